--- a/benches/size.rs
+++ b/benches/size.rs
@@ -2,19 +2,19 @@
 //! customers the longest stop and the bytes that one takes. `cargo bench --bench size`.
 
 use frostvale::{
-    Action, Class, Control, Effect, Ending, Event, Guide, Health, Listing, Name, Outcome, Part, Plan,
-    Request, Server, Settings,
+    Action, AttemptOutcome, AttemptResult, Class, Control, Effect, EndpointUpdateKind, Event, Health, Name,
+    Plan, Request, RoutingSnapshot, Server, Settings, ZoneShare,
 };
 use std::time::Instant;
 
 const REQUESTS: u64 = 200_000;
 
-fn gatekeeper(servers: u32, gateways: u32) -> Control {
+fn gatekeeper(servers: u32, gatekeepers: u32) -> Control {
     let settings = Settings {
-        gateways,
-        notes: gateways > 1,
-        note_intake: 60.0,
-        classes: vec![Class { effect: Effect::Safe, aim: 500.0, worth: 1.0, ..Class::default() }],
+        gatekeepers,
+        peer_messages: gatekeepers > 1,
+        peer_intake_per_second: 60.0,
+        classes: vec![Class { effect: Effect::Safe, target_ms: 500.0, worth: 1.0, ..Class::default() }],
         plans: vec![Plan { rate: 1e6, burst: 1e6, price: 1.0, ..Plan::default() }],
         ..Settings::default()
     };
@@ -26,10 +26,10 @@
         kind: 0,
         size: 1.0,
         health: Health::Up,
-        since: 0.0,
+        started_at: 0.0,
     };
     let servers = (0..servers).map(server).collect();
-    g.handle(0.0, Event::Servers { listing: Listing::Complete, servers });
+    g.handle(0.0, Event::EndpointUpdate { kind: EndpointUpdateKind::Complete, servers });
     g
 }
 
@@ -54,8 +54,8 @@
         units: 1.0,
         first: 0,
         spread: 1,
-        give_up: now + 1000.0,
-        repeat: false,
+        deadline: now + 1000.0,
+        is_retry: false,
     };
     let begun = Instant::now();
     let actions = g.handle(now, Event::Request(request));
@@ -65,48 +65,48 @@
     });
     let served = server.is_some();
     if let Some(server) = server {
-        let outcome = Outcome {
+        let result = AttemptResult {
             id,
             attempt: 0,
             server,
-            ending: Ending::Ok,
+            outcome: AttemptOutcome::Ok,
             latency: 0.01,
-            last: true,
+            is_final: true,
             metered: None,
             units: None,
-            report: None,
+            load_report: None,
         };
-        g.handle(now + 0.01, Event::Outcome(outcome));
+        g.handle(now + 0.01, Event::AttemptEnded(result));
     }
     (begun.elapsed().as_secs_f64() * 1e6, served)
 }
 
 /// Microseconds a request, the median of five rounds. One of many hears fifteen rumours a second besides.
-fn cost(servers: u32, gateways: u32) -> f64 {
-    cost_of(gatekeeper(servers, gateways), gateways)
+fn cost(servers: u32, gatekeepers: u32) -> f64 {
+    cost_of(gatekeeper(servers, gatekeepers), gatekeepers)
 }
 
 /// The same with what it sees of zones counted, and with a decision on them in effect.
-fn zoned(servers: u32, gateways: u32) -> (f64, f64) {
-    let mut watches = gatekeeper(servers, gateways);
+fn zoned(servers: u32, gatekeepers: u32) -> (f64, f64) {
+    let mut watches = gatekeeper(servers, gatekeepers);
     watches.watch_zones(true);
-    let mut guided = gatekeeper(servers, gateways);
+    let mut guided = gatekeeper(servers, gatekeepers);
     guided.watch_zones(true);
-    let part = |x: f64| Part { start: x, end: x };
+    let part = |x: f64| ZoneShare { start: x, end: x };
     let spill = vec![(1, part(0.3)), (2, part(0.3))];
-    let guide = Guide { near: part(1.0), spill, hold: 3.6e6, ..Guide::default() };
-    guided.handle(0.5, Event::Guide(guide));
-    (cost_of(watches, gateways), cost_of(guided, gateways))
+    let guide = RoutingSnapshot { local: part(1.0), spill, hold_ms: 3.6e6, ..RoutingSnapshot::default() };
+    guided.handle(0.5, Event::RoutingSnapshot(guide));
+    (cost_of(watches, gatekeepers), cost_of(guided, gatekeepers))
 }
 
-fn cost_of(mut g: Control, gateways: u32) -> f64 {
+fn cost_of(mut g: Control, gatekeepers: u32) -> f64 {
     let names = names(2000);
     let mut rounds: Vec<f64> = (0..5)
         .map(|round| {
             let all = (0..REQUESTS / 5).map(|k| {
                 let id = round * REQUESTS / 5 + k;
-                if gateways > 1 && id.is_multiple_of(1333) {
-                    let note = Event::Note { from: 1 + (id / 1333 % 90) as u32, text: rumour(id) };
+                if gatekeepers > 1 && id.is_multiple_of(1333) {
+                    let note = Event::PeerMessage { from: 1 + (id / 1333 % 90) as u32, text: rumour(id) };
                     g.handle(1.0 + id as f64 * 0.05, note);
                 }
                 let (us, served) = serve(&mut g, id, 1.0 + id as f64 * 0.05, &names[(k % 2000) as usize]);
@@ -139,10 +139,10 @@
             many / one
         );
     }
-    for (servers, gateways) in [(60, 1), (60, 100), (1000, 1)] {
-        let (plain, (watches, guided)) = (cost(servers, gateways), zoned(servers, gateways));
+    for (servers, gatekeepers) in [(60, 1), (60, 100), (1000, 1)] {
+        let (plain, (watches, guided)) = (cost(servers, gatekeepers), zoned(servers, gatekeepers));
         println!(
-            "{servers} servers, one of {gateways}: with zones counted {:.2} times as much, with a decision in effect {:.2}",
+            "{servers} servers, one of {gatekeepers}: with zones counted {:.2} times as much, with a decision in effect {:.2}",
             watches / plain,
             guided / plain
         );
@@ -182,5 +182,5 @@
         stops[stops.len() - 10] / 1000.0,
         at(1.0)
     );
-    println!("{} customers are left", g.levels(0, usize::MAX / 2).0.len());
+    println!("{} customers are left", g.bucket_snapshots(0, usize::MAX / 2).0.len());
 }
--- a/crates/agent/src/fleet.rs
+++ b/crates/agent/src/fleet.rs
@@ -186,8 +186,8 @@
                     self.count_up();
                 }
                 News::Seen(seen) => {
-                    let gateways = self.tier().gateways;
-                    lock(&self.sets).seen(&seen.shop, seen.first, seen.spread, gateways);
+                    let gatekeepers = self.tier().gatekeepers;
+                    lock(&self.sets).seen(&seen.shop, seen.first, seen.spread, gatekeepers);
                 }
                 News::Use(batch) => {
                     if let Some(keeper) = &keeper {
@@ -265,7 +265,7 @@
         let tier = tier_of(welcome);
         let mut known = self.tier.write().unwrap_or_else(PoisonError::into_inner);
         if **known != tier {
-            if known.gateways > 0 {
+            if known.gatekeepers > 0 {
                 tracing::warn!("the gatekeepers' settings differ; those of the one linked last are used");
             }
             *known = Arc::new(tier);
@@ -285,24 +285,24 @@
     }
 
     /// The set of a shop: as the descriptor says, else as a gatekeeper saw it, else the default.
-    fn set(&self, ask: &Ask, gateways: u32) -> (u32, u32) {
+    fn set(&self, ask: &Ask, gatekeepers: u32) -> (u32, u32) {
         let (first, spread) = self.default_set;
         ask.set.or_else(|| lock(&self.sets).get(&ask.shop)).unwrap_or((
-            if first < gateways { first } else { 0 },
-            if (1..=gateways).contains(&spread) { spread } else { gateways },
+            if first < gatekeepers { first } else { 0 },
+            if (1..=gatekeepers).contains(&spread) { spread } else { gatekeepers },
         ))
     }
 
     /// Has one of the shop's set decide. One that did not get the check at all is passed over for the next.
     pub async fn decide(&self, ask: &Ask, plan: &Plan, hold: bool, until: Instant) -> Decided {
-        let gateways = self.tier().gateways;
-        let set = self.set(ask, gateways);
+        let gatekeepers = self.tier().gatekeepers;
+        let set = self.set(ask, gatekeepers);
         let turn = self.turn.fetch_add(1, Ordering::Relaxed);
         let of = |number: u32| {
             let here = |m: &&Arc<Member>| m.link.welcome().is_some_and(|w| w.me == number);
             self.members.iter().find(|m| here(m) && m.link.usable())
         };
-        let all = order(&ask.shop, set, gateways, plan.ceiling_rate_milli > 0, turn, |n| of(n).is_some());
+        let all = order(&ask.shop, set, gatekeepers, plan.ceiling_rate_milli > 0, turn, |n| of(n).is_some());
         for number in all {
             let Some(member) = of(number) else { continue };
             let left = until.saturating_duration_since(Instant::now());
@@ -379,7 +379,7 @@
 /// What a gatekeeper's welcome says of the tier.
 pub(crate) fn tier_of(welcome: &Welcome) -> Tier {
     Tier {
-        gateways: welcome.gateways,
+        gatekeepers: welcome.gateways,
         plans: plans(&welcome.plans),
         classes: welcome.classes.clone(),
         largest_milli: welcome.largest_milli,
--- a/crates/agent/src/record.rs
+++ b/crates/agent/src/record.rs
@@ -9,7 +9,7 @@
 
 use crate::clock::unix_ms;
 use crate::config;
-use frostvale::least_sliced;
+use frostvale::min_local_limit_share;
 use frostvale_checks::Tier;
 use frostvale_link::agent::Link;
 use frostvale_link::proto::{Level as LevelWord, UseBatch, Welcome};
@@ -444,7 +444,8 @@
                     };
                     let int = |n: u64| i64::try_from(n).unwrap_or(i64::MAX);
                     // The smallest part of the ceiling that this gatekeeper can have of any shop.
-                    let sliced = least_sliced(plan.rate_milli as f64, plan.ceiling_rate_milli as f64);
+                    let sliced =
+                        min_local_limit_share(plan.rate_milli as f64, plan.ceiling_rate_milli as f64);
                     let part = sliced / f64::from(welcome.gateways.max(1));
                     let slice = |n: u64| (n as f64 * part) as i64;
                     let figures = Figures {
--- a/crates/agent/tests/failures.rs
+++ b/crates/agent/tests/failures.rs
@@ -123,7 +123,7 @@
     let mut town = Town::start(plan()).await.expect("started");
     let set = |plan: &str| {
         // Its keeper is the second gatekeeper; the others could decide as well.
-        let first = (0..3).find(|f| frostvale::keeper_of(SHOP, *f, 3, 3) == 1).expect("one of three");
+        let first = (0..3).find(|f| frostvale::quota_owner_of(SHOP, *f, 3, 3) == 1).expect("one of three");
         shop(plan, first, 3)
     };
     let (open, shut, capped) = (set("open"), set("shut"), set("capped"));
@@ -182,7 +182,7 @@
     assert_eq!(undecided(answer.get_ref()), Some("deny"));
     assert!(begun.elapsed() < Duration::from_millis(200), "the configured limit is 250 ms");
     until(&town, "seen to be silent", |s| s.gatekeepers[1].state == "silent").await;
-    let first = (0..3).find(|f| frostvale::keeper_of(SHOP, *f, 3, 3) == 1).expect("one of three");
+    let first = (0..3).find(|f| frostvale::quota_owner_of(SHOP, *f, 3, 3) == 1).expect("one of three");
     let answer = ask(&town, &shop("shut", first, 3)).await;
     assert_eq!((answer.overall_code(), undecided(&answer)), (Code::Ok, None), "another of the set decides");
     town.gatekeepers[1].process.signal("CONT").await;
--- a/crates/checks/src/lib.rs
+++ b/crates/checks/src/lib.rs
@@ -31,7 +31,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Tier {
     /// How many gatekeepers there are.
-    pub gateways: u32,
+    pub gatekeepers: u32,
     /// By name.
     pub plans: BTreeMap<String, Plan>,
     /// By number.
--- a/crates/checks/src/read.rs
+++ b/crates/checks/src/read.rs
@@ -148,7 +148,7 @@
             }
         },
     };
-    let most = if tier.gateways > 0 { tier.gateways } else { u32::MAX };
+    let most = if tier.gatekeepers > 0 { tier.gatekeepers } else { u32::MAX };
     let number = |(at, text): (usize, &str), low: u32, high: u32| {
         let value =
             text.parse::<u32>().ok().filter(|n| text.as_bytes()[0] != b'+' && (low..=high).contains(n));
--- a/crates/checks/src/route.rs
+++ b/crates/checks/src/route.rs
@@ -18,9 +18,9 @@
 
 impl Sets {
     /// A gatekeeper saw a shop's request with this set. What can't be a set is passed over.
-    pub fn seen(&mut self, shop: &str, first: u32, spread: u32, gateways: u32) {
+    pub fn seen(&mut self, shop: &str, first: u32, spread: u32, gatekeepers: u32) {
         let Ok(shop) = u64::from_str_radix(shop, 16) else { return };
-        if first >= gateways || spread == 0 || spread > gateways {
+        if first >= gatekeepers || spread == 0 || spread > gatekeepers {
             return;
         }
         if self.young.len() >= SETS_MOST && !self.young.contains_key(&shop) {
@@ -67,22 +67,25 @@
 pub fn order(
     shop: &str,
     (first, spread): (u32, u32),
-    gateways: u32,
+    gatekeepers: u32,
     ceiling: bool,
     turn: u32,
     usable: impl Fn(u32) -> bool,
 ) -> Vec<u32> {
-    if gateways == 0 {
+    if gatekeepers == 0 {
         return Vec::new();
     }
-    let spread = spread.clamp(1, gateways);
+    let spread = spread.clamp(1, gatekeepers);
     let begin = if ceiling {
         turn % spread
     } else {
-        let keeper = frostvale::keeper_of(shop, first, spread, gateways);
-        (keeper + gateways - first % gateways) % gateways
+        let keeper = frostvale::quota_owner_of(shop, first, spread, gatekeepers);
+        (keeper + gatekeepers - first % gatekeepers) % gatekeepers
     };
-    (0..spread).map(|k| (first % gateways + (begin + k) % spread) % gateways).filter(|g| usable(*g)).collect()
+    (0..spread)
+        .map(|k| (first % gatekeepers + (begin + k) % spread) % gatekeepers)
+        .filter(|g| usable(*g))
+        .collect()
 }
 
 #[cfg(test)]
@@ -93,14 +96,14 @@
     proptest! {
         #[test]
         fn only_the_set_decides_each_of_it_once(
-            shop in 0u64..1 << 33, first in 0u32..20, spread in 0u32..30, gateways in 1u32..20,
+            shop in 0u64..1 << 33, first in 0u32..20, spread in 0u32..30, gatekeepers in 1u32..20,
             ceiling: bool, turn: u32, dead in 0u32..20,
         ) {
-            let first = first % gateways;
+            let first = first % gatekeepers;
             let name = format!("{shop:016x}");
-            let order = order(&name, (first, spread), gateways, ceiling, turn, |g| g != dead);
-            let spread = spread.clamp(1, gateways);
-            let mut set: Vec<u32> = (0..spread).map(|k| (first + k) % gateways).filter(|g| *g != dead).collect();
+            let order = order(&name, (first, spread), gatekeepers, ceiling, turn, |g| g != dead);
+            let spread = spread.clamp(1, gatekeepers);
+            let mut set: Vec<u32> = (0..spread).map(|k| (first + k) % gatekeepers).filter(|g| *g != dead).collect();
             let mut sorted = order.clone();
             set.sort_unstable();
             sorted.sort_unstable();
@@ -113,7 +116,7 @@
         let shop = "00000000b4d65521";
         let firsts: Vec<u32> = (0..6).map(|turn| order(shop, (1, 3), 4, true, turn, |_| true)[0]).collect();
         assert_eq!(firsts, [1, 2, 3, 1, 2, 3]);
-        let keeper = frostvale::keeper_of(shop, 1, 3, 4);
+        let keeper = frostvale::quota_owner_of(shop, 1, 3, 4);
         assert!((0..6).all(|turn| order(shop, (1, 3), 4, false, turn, |_| true)[0] == keeper));
         assert_ne!(order(shop, (1, 3), 4, false, 0, |g| g != keeper)[0], keeper);
     }
--- a/crates/checks/tests/read.rs
+++ b/crates/checks/tests/read.rs
@@ -19,7 +19,7 @@
         ceiling_rate_milli,
     };
     Tier {
-        gateways: 3,
+        gatekeepers: 3,
         plans: [
             ("basico".to_string(), plan(0, 1400, 0)),
             ("ferreteria".to_string(), plan(1, 10_000, 20_000)),
--- a/crates/sim/src/formula.rs
+++ b/crates/sim/src/formula.rs
@@ -1,6 +1,6 @@
 //! A formula server: cores that work on requests in the order they came, a queue, a cold start, and the ways it is sick.
 
-use frostvale::{Ending, Name};
+use frostvale::{AttemptOutcome, Name};
 use std::collections::VecDeque;
 
 /// What is wrong with a server.
@@ -34,7 +34,7 @@
     /// It waits.
     Waits,
     /// It is answered so after so many ms.
-    Answered(Ending, f64),
+    Answered(AttemptOutcome, f64),
     /// Nothing comes of it.
     Nothing,
 }
@@ -159,14 +159,14 @@
         }
         let taken = match self.sick {
             Sick::Silent | Sick::Dead => Taken::Nothing,
-            Sick::Errors => Taken::Answered(Ending::Error, ERROR_MS),
-            _ if again => Taken::Answered(Ending::Ok, ERROR_MS),
+            Sick::Errors => Taken::Answered(AttemptOutcome::Error, ERROR_MS),
+            _ if again => Taken::Answered(AttemptOutcome::Ok, ERROR_MS),
             _ if self.working.len() < self.cores as usize => Taken::Begun(self.begin(job, now, cold)),
             _ if self.waiting.len() < self.queue_most => {
                 self.waiting.push_back(job);
                 Taken::Waits
             }
-            _ => Taken::Answered(Ending::Full, ERROR_MS),
+            _ => Taken::Answered(AttemptOutcome::Full, ERROR_MS),
         };
         (taken, false)
     }
@@ -217,7 +217,12 @@
         let mut take = |id| s.take(job(id), false, 0.0, &COLD).0;
         assert_eq!(
             [take(1), take(2), take(3), take(4)],
-            [Taken::Begun(100.0), Taken::Begun(100.0), Taken::Waits, Taken::Answered(Ending::Full, ERROR_MS)]
+            [
+                Taken::Begun(100.0),
+                Taken::Begun(100.0),
+                Taken::Waits,
+                Taken::Answered(AttemptOutcome::Full, ERROR_MS)
+            ]
         );
         assert_eq!(s.done(1, 0, 100.0, &COLD).map(|(j, ms)| (j.id, ms)), Some((3, 100.0)));
         assert_eq!(s.end().len(), 2);
--- a/crates/sim/src/oracle.rs
+++ b/crates/sim/src/oracle.rs
@@ -11,7 +11,7 @@
 //! | `ceiling` | more passed for a shop, by all gatekeepers together, than its ceiling's store holds, less the slack |
 
 use crate::scenario::{Repeat, Scenario};
-use frostvale::Ending;
+use frostvale::AttemptOutcome;
 use rustc_hash::FxHashMap;
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
@@ -265,10 +265,11 @@
     }
 
     /// An attempt has ended, as its gatekeeper sees it.
-    pub fn ended(&mut self, id: u64, ending: Ending) {
+    pub fn ended(&mut self, id: u64, outcome: AttemptOutcome) {
         let Some(w) = self.watched.get_mut(&id) else { return };
         w.out = false;
-        let never = matches!(ending, Ending::Full | Ending::Unreachable | Ending::Moot);
+        let never =
+            matches!(outcome, AttemptOutcome::Full | AttemptOutcome::Unreachable | AttemptOutcome::Moot);
         if !never && w.may_run.is_none() {
             w.may_run = Some(w.sent);
         }
--- a/crates/sim/src/scenario.rs
+++ b/crates/sim/src/scenario.rs
@@ -724,7 +724,7 @@
     pub fn module_classes(&self) -> Vec<Class> {
         let class = |c: &ClassOf| Class {
             worth: c.worth,
-            aim: c.aim_ms,
+            target_ms: c.aim_ms,
             late_worth: 0.0,
             effect: match c.repeat {
                 Repeat::Safe => Effect::Safe,
@@ -733,7 +733,7 @@
                 Repeat::All => Effect::Keyed(Group::All),
                 Repeat::Once => Effect::Unsafe,
             },
-            window: c.window_ms,
+            dedup_window_ms: c.window_ms,
         };
         self.classes.iter().map(class).collect()
     }
@@ -744,7 +744,7 @@
         let plan = |p: &PlanOf| Plan {
             rate: p.rate,
             burst: p.burst,
-            open: p.open,
+            max_in_flight: p.open,
             price: p.price,
             over_cost: 1.0,
             ceiling_rate: p.ceiling_rate,
--- a/crates/sim/src/shops.rs
+++ b/crates/sim/src/shops.rs
@@ -1,7 +1,7 @@
 //! Shops: who asks, on which plan, by which gatekeepers. The k-th shop asks 1 / k^S of what the first does.
 
 use crate::scenario::{Load, Scenario};
-use frostvale::{Name, keeper_of};
+use frostvale::{Name, quota_owner_of};
 use rand::Rng;
 use rand_distr::{Distribution, Zipf};
 use rand_pcg::Pcg64Mcg;
@@ -131,7 +131,7 @@
     /// The gatekeeper that keeps the busiest shop's store.
     pub fn keeper_of_busiest(&mut self) -> u32 {
         let shop = self.busiest();
-        keeper_of(&shop.name, shop.first, shop.spread, self.gatekeepers)
+        quota_owner_of(&shop.name, shop.first, shop.spread, self.gatekeepers)
     }
 }
 
--- a/crates/sim/src/world.rs
+++ b/crates/sim/src/world.rs
@@ -13,8 +13,8 @@
 use crate::shops::{Shop, Shops};
 use crate::tally::{Report, ServerSums, Tally};
 use frostvale::{
-    Action, Control, Ending, Event, Health, Listing, Name, Outcome, Report as LoadReport, Request, Server,
-    Settings, Sight,
+    Action, AttemptOutcome, AttemptResult, Control, EndpointUpdateKind, Event, Health, LoadReport, Name,
+    Request, Server, Settings, ZoneObservation,
 };
 use rand::seq::index::sample;
 use rand::{Rng, RngCore, SeedableRng};
@@ -41,7 +41,7 @@
     fn handle(&mut self, now: f64, event: Event) -> Vec<Action>;
 
     /// What it saw of zones since the last look; nothing, of one that has no eyes for them.
-    fn look_at_zones(&mut self, _now: f64) -> Option<Sight> {
+    fn observe_zones(&mut self, _now: f64) -> Option<ZoneObservation> {
         None
     }
 
@@ -54,8 +54,8 @@
         Control::handle(self, now, event)
     }
 
-    fn look_at_zones(&mut self, now: f64) -> Option<Sight> {
-        Some(Control::look_at_zones(self, now))
+    fn observe_zones(&mut self, now: f64) -> Option<ZoneObservation> {
+        Some(Control::observe_zones(self, now))
     }
 
     fn watch_zones(&mut self) {
@@ -99,7 +99,7 @@
     Answer {
         id: u64,
         attempt: u32,
-        ending: Ending,
+        outcome: AttemptOutcome,
         holds: Option<usize>,
     },
     /// An attempt is not waited for any more.
@@ -121,7 +121,7 @@
     List {
         gatekeeper: u32,
         life: u32,
-        listing: Listing,
+        kind: EndpointUpdateKind,
         lines: Lines,
     },
     Fault {
@@ -358,7 +358,7 @@
             kind: s.kind,
             size: f64::from(s.cores),
             health: self.health[number as usize],
-            since: s.since,
+            started_at: s.since,
         };
         (number, line)
     }
@@ -368,18 +368,18 @@
     fn start(&mut self, k: u32) -> Result<(), String> {
         let s = self.scenario;
         let settings = Settings {
-            me: k,
-            gateways: s.gatekeepers.count,
+            own_index: k,
+            gatekeepers: s.gatekeepers.count,
             zone: self.gatekeeper_zone(k),
             classes: s.module_classes(),
             plans: s.module_plans(),
             max_attempts: s.gatekeepers.max_attempts,
-            notes: s.gatekeepers.notes,
-            largest: s.classes.iter().map(|c| f64::from(c.units[1])).fold(1.0, f64::max),
-            note_intake: s.gatekeepers.note_intake,
-            cold_from: s.servers.cold_from,
-            warm_within: s.servers.warm_s * 1000.0,
-            fall_multiple: s.servers.cold_times,
+            peer_messages: s.gatekeepers.notes,
+            max_request_units: s.classes.iter().map(|c| f64::from(c.units[1])).fold(1.0, f64::max),
+            peer_intake_per_second: s.gatekeepers.note_intake,
+            cold_capacity_share: s.servers.cold_from,
+            warm_up_ms: s.servers.warm_s * 1000.0,
+            cold_overload_factor: s.servers.cold_times,
         };
         let seed = self.rng.next_u64();
         let mut mind = (self.make)(settings, seed)?;
@@ -392,7 +392,7 @@
             let then = self.now - 1000.0 * old;
             let known = self.history.iter().rev().find(|(at, _)| *at <= then).or(self.history.first());
             if let Some(lines) = known.map(|(_, lines)| lines.clone()) {
-                self.tell_list(k, 0.0, Listing::Complete, lines);
+                self.tell_list(k, 0.0, EndpointUpdateKind::Complete, lines);
             }
         }
         self.ask_list(k);
@@ -434,13 +434,13 @@
     /// Tells a gatekeeper the whole list.
     fn tell_all(&mut self, k: u32, lag: f64) {
         let lines = self.whole_list();
-        self.tell_list(k, lag, Listing::Complete, lines);
+        self.tell_list(k, lag, EndpointUpdateKind::Complete, lines);
     }
 
-    fn tell_list(&mut self, k: u32, lag: f64, listing: Listing, lines: Lines) {
+    fn tell_list(&mut self, k: u32, lag: f64, kind: EndpointUpdateKind, lines: Lines) {
         let g = &mut self.gatekeepers[k as usize];
         g.listed = g.listed.max(self.now + lag);
-        self.queue.put(g.listed, Ev::List { gatekeeper: k, life: g.life, listing, lines });
+        self.queue.put(g.listed, Ev::List { gatekeeper: k, life: g.life, kind, lines });
     }
 
     /// The entries of these servers have changed.
@@ -454,7 +454,7 @@
             let lag = self.between(self.scenario.discovery.lag_ms) + self.list_late;
             // Who gets no answer now is told the whole list when discovery is well again.
             if self.list_answers() {
-                self.tell_list(k, lag, Listing::Changes, lines.clone());
+                self.tell_list(k, lag, EndpointUpdateKind::Changes, lines.clone());
             }
         }
     }
@@ -494,16 +494,16 @@
 
     fn act(&mut self, k: u32, action: Action) {
         match action {
-            Action::Send { id, server, not_past, .. } => self.send(k, id, &server, not_past),
-            Action::Refuse { id, pause, .. } => self.answer(k, id, Final::Refused, pause),
+            Action::Send { id, server, deadline, .. } => self.send(k, id, &server, deadline),
+            Action::Refuse { id, retry_after_ms, .. } => self.answer(k, id, Final::Refused, retry_after_ms),
             Action::Fail { id } => self.answer(k, id, Final::Failed, 0.0),
             Action::Cancel { id, attempt } => {
                 if self.attempt_out(id, attempt).is_some() {
-                    self.ended(id, Ending::Cancelled, None);
+                    self.ended(id, AttemptOutcome::Cancelled, None);
                 }
             }
-            Action::Tell { to, text } => self.note(k, to, &text),
-            Action::TellAll { text } => {
+            Action::SendPeerMessage { to, text } => self.note(k, to, &text),
+            Action::BroadcastPeerMessage { text } => {
                 for to in (0..self.scenario.gatekeepers.count).filter(|to| *to != k) {
                     self.note(k, to, &text);
                 }
@@ -512,11 +512,11 @@
                 let life = self.gatekeepers[k as usize].life;
                 self.queue.put(self.now + after, Ev::Timer { gatekeeper: k, life, token });
             }
-            Action::Probe { .. } | Action::Log { .. } | Action::Verdict { .. } => {}
+            Action::Probe { .. } | Action::Log { .. } | Action::CheckDecision { .. } => {}
         }
     }
 
-    fn send(&mut self, k: u32, id: u64, server: &Name, not_past: f64) {
+    fn send(&mut self, k: u32, id: u64, server: &Name, deadline: f64) {
         let Some(number) = self.by_name.get(server).copied() else { return };
         let s = &self.servers[number as usize];
         let place = (s.zone, s.cell);
@@ -538,26 +538,29 @@
             self.tally.sick_of += 1;
             self.tally.sick += u64::from(self.sick.contains(&number));
         }
-        if not_past <= now {
-            self.queue.put(now, Ev::Answer { id, attempt, ending: Ending::Moot, holds: None });
+        if deadline <= now {
+            self.queue.put(now, Ev::Answer { id, attempt, outcome: AttemptOutcome::Moot, holds: None });
             return;
         }
         if cut {
             // Nothing comes up: that shows when the connection has taken too long.
-            let at = (now + CONNECT_MS).min(not_past);
-            self.queue.put(at, Ev::Answer { id, attempt, ending: Ending::Unreachable, holds: None });
+            let at = (now + CONNECT_MS).min(deadline);
+            self.queue.put(at, Ev::Answer { id, attempt, outcome: AttemptOutcome::Unreachable, holds: None });
             return;
         }
         // A dead server takes no connection: that shows when the attempt comes there.
         let way = if self.servers[number as usize].up() { self.connect(id, k, number) } else { Way::Kept };
         if way == Way::TurnedAway {
             let back = self.hop();
-            self.queue.put(now + hop + back, Ev::Answer { id, attempt, ending: Ending::Full, holds: None });
+            self.queue.put(
+                now + hop + back,
+                Ev::Answer { id, attempt, outcome: AttemptOutcome::Full, holds: None },
+            );
             return;
         }
         let comes_up = if way == Way::New { self.scenario.servers.handshake_ms } else { 0.0 };
         self.queue.put(now + comes_up + hop, Ev::Whole { id, attempt });
-        self.queue.put(not_past, Ev::Deadline { id, attempt });
+        self.queue.put(deadline, Ev::Deadline { id, attempt });
     }
 
     /// An attempt needs a connection to a server that is up.
@@ -580,47 +583,48 @@
     }
 
     /// An attempt has ended, as its gatekeeper sees it.
-    fn ended(&mut self, id: u64, ending: Ending, holds: Option<usize>) {
+    fn ended(&mut self, id: u64, outcome: AttemptOutcome, holds: Option<usize>) {
         let now = self.now;
         let Some(t) = self.tries.get_mut(&id) else { return };
         let Some(out) = t.out.take() else { return };
         let (k, answered) = (t.gatekeeper, t.answered);
         if let Some(life) = out.connected {
-            let answered = matches!(ending, Ending::Ok | Ending::Error | Ending::Full);
+            let answered =
+                matches!(outcome, AttemptOutcome::Ok | AttemptOutcome::Error | AttemptOutcome::Full);
             self.conns.give(now, k, (out.server, life), answered);
         }
-        self.oracle.ended(id, ending);
-        let outcome = Outcome {
+        self.oracle.ended(id, outcome);
+        let result = AttemptResult {
             id,
             attempt: out.attempt,
             server: self.servers[out.server as usize].name.clone(),
-            ending,
+            outcome,
             latency: now - out.at,
-            last: answered || ending == Ending::Ok,
+            is_final: answered || outcome == AttemptOutcome::Ok,
             metered: None,
             units: None,
-            report: holds.map(|n| LoadReport { in_flight: Some(n as f64), ..LoadReport::default() }),
+            load_report: holds.map(|n| LoadReport { in_flight: Some(n as f64), ..LoadReport::default() }),
         };
         self.trace(
             k,
-            match ending {
-                Ending::Ok => "is served by",
-                Ending::Error => "gets an error from",
-                Ending::Full => "is turned away by",
-                Ending::Timeout => "times out at",
-                Ending::Unreachable => "can't reach",
-                Ending::Reset => "is reset by",
-                Ending::Cancelled => "is called off at",
-                Ending::Moot => "is too late for",
+            match outcome {
+                AttemptOutcome::Ok => "is served by",
+                AttemptOutcome::Error => "gets an error from",
+                AttemptOutcome::Full => "is turned away by",
+                AttemptOutcome::Timeout => "times out at",
+                AttemptOutcome::Unreachable => "can't reach",
+                AttemptOutcome::Reset => "is reset by",
+                AttemptOutcome::Cancelled => "is called off at",
+                AttemptOutcome::Moot => "is too late for",
             },
             id,
             Some(out.server),
         );
-        if ending == Ending::Ok && !answered {
+        if outcome == AttemptOutcome::Ok && !answered {
             self.answer(k, id, Final::Served, 0.0);
         }
-        self.tell_mind(k, Event::Outcome(outcome));
-        if answered || ending == Ending::Ok {
+        self.tell_mind(k, Event::AttemptEnded(result));
+        if answered || outcome == AttemptOutcome::Ok {
             self.tries.remove(&id);
         }
     }
@@ -724,8 +728,8 @@
             units,
             first: shop.first,
             spread: shop.spread,
-            give_up: self.now + wait - MARGIN_MS,
-            repeat: again && self.scenario.load.marked,
+            deadline: self.now + wait - MARGIN_MS,
+            is_retry: again && self.scenario.load.marked,
         };
         self.tell_mind(k, Event::Request(request));
     }
@@ -801,7 +805,7 @@
         if !out {
             self.tries.remove(&id);
         }
-        self.tell_mind(k, Event::Left { id });
+        self.tell_mind(k, Event::ClientDisconnected { id });
         self.client_again(asked, None, true);
     }
 
@@ -812,7 +816,10 @@
         let (now, hop) = (self.now, self.hop());
         let s = &self.servers[server as usize];
         if !s.up() {
-            self.queue.put(now + hop, Ev::Answer { id, attempt, ending: Ending::Unreachable, holds: None });
+            self.queue.put(
+                now + hop,
+                Ev::Answer { id, attempt, outcome: AttemptOutcome::Unreachable, holds: None },
+            );
             return;
         }
         let place = (s.zone, s.cell);
@@ -842,13 +849,13 @@
         }
         let holds = self.scenario.servers.report.then_some(holds);
         // An error may have run; so may what a silent one has.
-        if !again && taken != Taken::Answered(Ending::Full, ERROR_MS) && !over {
+        if !again && taken != Taken::Answered(AttemptOutcome::Full, ERROR_MS) && !over {
             self.oracle.effect(now, id, place);
         }
         match taken {
             Taken::Begun(ms) => self.queue.put(now + ms, Ev::Done { server, life, id, attempt }),
-            Taken::Answered(ending, ms) => {
-                self.queue.put(now + ms + hop, Ev::Answer { id, attempt, ending, holds });
+            Taken::Answered(outcome, ms) => {
+                self.queue.put(now + ms + hop, Ev::Answer { id, attempt, outcome, holds });
             }
             Taken::Waits | Taken::Nothing => {}
         }
@@ -872,7 +879,7 @@
         let s = &self.servers[server as usize];
         if s.sick != Sick::Silent {
             let holds = self.scenario.servers.report.then_some(s.in_hand());
-            self.queue.put(now + hop, Ev::Answer { id, attempt, ending: Ending::Ok, holds });
+            self.queue.put(now + hop, Ev::Answer { id, attempt, outcome: AttemptOutcome::Ok, holds });
         }
     }
 
@@ -882,20 +889,21 @@
         self.conns.server_ended(server);
         for job in had {
             let hop = self.hop();
-            let lost = Ev::Answer { id: job.id, attempt: job.attempt, ending: Ending::Reset, holds: None };
+            let lost =
+                Ev::Answer { id: job.id, attempt: job.attempt, outcome: AttemptOutcome::Reset, holds: None };
             self.queue.put(self.now + hop, lost);
         }
     }
 
-    fn answer_came(&mut self, id: u64, attempt: u32, ending: Ending, holds: Option<usize>) {
+    fn answer_came(&mut self, id: u64, attempt: u32, outcome: AttemptOutcome, holds: Option<usize>) {
         if self.attempt_out(id, attempt).is_some() {
-            self.ended(id, ending, holds);
+            self.ended(id, outcome, holds);
         }
     }
 
     fn deadline(&mut self, id: u64, attempt: u32) {
         let Some(whole) = self.attempt_out(id, attempt).map(|o| o.whole) else { return };
-        self.ended(id, if whole { Ending::Timeout } else { Ending::Unreachable }, None);
+        self.ended(id, if whole { AttemptOutcome::Timeout } else { AttemptOutcome::Unreachable }, None);
     }
 
     // ---- what goes wrong ----
@@ -1029,7 +1037,7 @@
             Ev::Try(asked) => self.try_now(asked),
             Ev::Whole { id, attempt } => self.whole(id, attempt),
             Ev::Done { server, life, id, attempt } => self.done(server, life, id, attempt),
-            Ev::Answer { id, attempt, ending, holds } => self.answer_came(id, attempt, ending, holds),
+            Ev::Answer { id, attempt, outcome, holds } => self.answer_came(id, attempt, outcome, holds),
             Ev::Deadline { id, attempt } => self.deadline(id, attempt),
             Ev::Leave(id) => self.leave(id),
             Ev::Timer { gatekeeper, life, token } => {
@@ -1040,14 +1048,14 @@
             Ev::Note { to, from, text } => {
                 let up = self.gatekeepers.get(to as usize).is_some_and(|g| g.mind.is_some());
                 if up && self.takes_in(to) {
-                    self.tell_mind(to, Event::Note { from, text: text.into() });
+                    self.tell_mind(to, Event::PeerMessage { from, text: text.into() });
                 } else {
                     self.tally.notes_lost += 1;
                 }
             }
-            Ev::List { gatekeeper, life, listing, lines } => {
+            Ev::List { gatekeeper, life, kind, lines } => {
                 if self.gatekeepers[gatekeeper as usize].life == life {
-                    self.list_came(gatekeeper, listing, &lines);
+                    self.list_came(gatekeeper, kind, &lines);
                 }
             }
             Ev::Zones(step) => self.zone_step(step),
@@ -1073,19 +1081,19 @@
         Ok(())
     }
 
-    fn list_came(&mut self, k: u32, listing: Listing, lines: &[(u32, Server)]) {
+    fn list_came(&mut self, k: u32, kind: EndpointUpdateKind, lines: &[(u32, Server)]) {
         let mut named = BTreeSet::new();
         for (number, line) in lines {
             named.insert(*number);
-            self.oracle.told(self.now, k, *number, line.health == Health::Up, line.since);
+            self.oracle.told(self.now, k, *number, line.health == Health::Up, line.started_at);
         }
-        if listing == Listing::Complete {
+        if kind == EndpointUpdateKind::Complete {
             for number in (0..self.servers.len() as u32).filter(|n| !named.contains(n)) {
                 self.oracle.told(self.now, k, number, false, 0.0);
             }
         }
         let servers = lines.iter().map(|(_, line)| line.clone()).collect();
-        self.tell_mind(k, Event::Servers { listing, servers });
+        self.tell_mind(k, Event::EndpointUpdate { kind, servers });
     }
 
     fn finish(mut self, seed: u64) -> Report {
--- a/crates/sim/src/world/zoned.rs
+++ b/crates/sim/src/world/zoned.rs
@@ -4,7 +4,7 @@
 use super::{Ev, World};
 use crate::formula::Sick;
 use crate::scenario::{Fault, Kind};
-use frostvale::{Event, Guide, Part, Sight};
+use frostvale::{Event, RoutingSnapshot, ZoneObservation, ZoneShare};
 use frostvale_zones::{Decision, Judge, Line, Place, Report, Share};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -84,8 +84,8 @@
     name[1..].parse().unwrap_or(u32::MAX)
 }
 
-fn part(s: Share) -> Part {
-    Part { start: f64::from(s.start) / 1000.0, end: f64::from(s.end) / 1000.0 }
+fn part(s: Share) -> ZoneShare {
+    ZoneShare { start: f64::from(s.start) / 1000.0, end: f64::from(s.end) / 1000.0 }
 }
 
 impl World<'_> {
@@ -175,7 +175,9 @@
                 continue;
             }
             let Some(mind) = self.gatekeepers[k as usize].mind.as_mut() else { continue };
-            let Some(Sight { need: own, lines: seen, places: listed }) = mind.look_at_zones(now) else {
+            let Some(ZoneObservation { required_concurrency: own, attempt_counts: seen, capacity: listed }) =
+                mind.observe_zones(now)
+            else {
                 continue;
             };
             many += 1;
@@ -256,18 +258,18 @@
             return;
         }
         let Some(row) = stands.decision.row(&name(zone)) else { return };
-        let guide = Guide {
-            near: part(row.near),
+        let guide = RoutingSnapshot {
+            local: part(row.near),
             spill: row.spill.iter().map(|s| (number(&s.to), part(s.share))).collect(),
-            ramp: stands.decision.ramp_ms as f64,
-            age: self.now - stands.at,
-            hold: z.hold_ms,
-            fade: z.fade_ms,
+            ramp_ms: stands.decision.ramp_ms as f64,
+            age_ms: self.now - stands.at,
+            hold_ms: z.hold_ms,
+            fade_ms: z.fade_ms,
         };
         for k in 0..self.gatekeepers.len() as u32 {
             if self.gatekeeper_zone(k) == zone && self.gatekeepers[k as usize].mind.is_some() {
                 self.zoned.acts[k as usize] = stands.version;
-                self.tell_mind(k, Event::Guide(guide.clone()));
+                self.tell_mind(k, Event::RoutingSnapshot(guide.clone()));
             }
         }
         let reached = |k: &u32| {
--- a/crates/sim/tests/oracles.rs
+++ b/crates/sim/tests/oracles.rs
@@ -1,6 +1,6 @@
 //! The oracles see each rule broken by a mind that breaks it, and a failing scenario shrinks.
 
-use frostvale::{Action, Control, Event, Health, Outcome, RefusalReason, Request, Settings};
+use frostvale::{Action, AttemptResult, Control, Event, Health, RefusalReason, Request, Settings};
 use frostvale_sim::scenario::{Fault, Kind, Repeat};
 use frostvale_sim::shrink::shrink;
 use frostvale_sim::{Mind, Report, Scenario, real, run};
@@ -107,7 +107,7 @@
     let kindly = |all: Vec<Action>| {
         let kind = |a| {
             if let Action::Fail { id } = a {
-                Action::Refuse { id, pause: 0.0, reason: RefusalReason::NoServer }
+                Action::Refuse { id, retry_after_ms: 0.0, reason: RefusalReason::NoServer }
             } else {
                 a
             }
@@ -118,7 +118,7 @@
 }
 
 fn deaf_to_drains(event: &mut Event) {
-    if let Event::Servers { servers, .. } = event {
+    if let Event::EndpointUpdate { servers, .. } = event {
         servers.iter_mut().for_each(|s| s.health = Health::Up);
     }
 }
@@ -137,7 +137,7 @@
 impl Mind for Floods {
     fn handle(&mut self, _: f64, event: Event) -> Vec<Action> {
         match event {
-            Event::Servers { servers, .. } => {
+            Event::EndpointUpdate { servers, .. } => {
                 for s in servers.iter().filter(|s| &*s.name == "s-0") {
                     self.listed = s.health == Health::Up;
                 }
@@ -147,12 +147,13 @@
                 vec![Action::Send {
                     id: r.id,
                     server: "s-0".into(),
-                    not_past: r.give_up,
-                    begin_by: f64::INFINITY,
+                    deadline: r.deadline,
+                    start_deadline: f64::INFINITY,
                 }]
             }
-            Event::Request(Request { id, .. }) | Event::Outcome(Outcome { id, last: false, .. }) => {
-                vec![Action::Refuse { id, pause: 0.0, reason: RefusalReason::NoServer }]
+            Event::Request(Request { id, .. })
+            | Event::AttemptEnded(AttemptResult { id, is_final: false, .. }) => {
+                vec![Action::Refuse { id, retry_after_ms: 0.0, reason: RefusalReason::NoServer }]
             }
             _ => Vec::new(),
         }
--- a/src/window.rs
+++ b/src/accept_window.rs
@@ -7,13 +7,13 @@
 const SLOT: f64 = 300.0;
 const SLOT_LEAST: u32 = 4;
 const SLOT_LONGEST: f64 = 3000.0;
-/// The longest slot of one of many gateways, which with the usual one would remember a bad moment for half a minute, and
+/// The longest slot of one of many gatekeepers, which with the usual one would remember a bad moment for half a minute, and
 /// the accepts that each of its tiers is taken to have had beside.
 const SLOT_MANY: f64 = 500.0;
 const TAKEN_AS_WELL: f64 = 2.0;
 
 /// Requests and accepts of late.
-pub(crate) struct Window {
+pub(crate) struct AcceptWindow {
     counts: Vec<Vec<(f64, f64)>>,
     slot: usize,
     slot_at: f64,
@@ -22,11 +22,11 @@
     beside: f64,
 }
 
-impl Window {
-    pub fn new(tiers: usize, many: bool) -> Window {
+impl AcceptWindow {
+    pub fn new(tiers: usize, many: bool) -> AcceptWindow {
         let (longest, beside) = if many { (SLOT_MANY, TAKEN_AS_WELL) } else { (SLOT_LONGEST, 0.0) };
         let counts = vec![vec![(0.0, 0.0); tiers]; SLOTS];
-        Window { counts, slot: 0, slot_at: 0.0, slot_count: 0, longest, beside }
+        AcceptWindow { counts, slot: 0, slot_at: 0.0, slot_count: 0, longest, beside }
     }
 
     fn turn(&mut self, now: f64) {
@@ -42,7 +42,7 @@
     }
 
     /// One request of a tier, accepted or not.
-    pub fn count(&mut self, now: f64, tier: usize, accepted: bool) {
+    pub fn record(&mut self, now: f64, tier: usize, accepted: bool) {
         self.turn(now);
         let entry = &mut self.counts[self.slot][tier];
         entry.0 += 1.0;
--- a/src/api.rs
+++ b/src/api.rs
@@ -2,8 +2,8 @@
 //!
 //! All times are milliseconds on the host's clock, which only moves forward.
 
-use crate::outs::Shut;
-use crate::zones::Guide;
+use crate::fenced_off::FenceOffDecision;
+use crate::zones::RoutingSnapshot;
 use std::fmt;
 use std::sync::Arc;
 
@@ -39,16 +39,16 @@
     /// What an answer is worth, before the plan's price.
     pub worth: f64,
     /// An answer within this time earns the full worth.
-    pub aim: f64,
+    pub target_ms: f64,
     /// The share of the worth that a later answer earns.
     pub late_worth: f64,
     /// Whether it may be repeated.
     pub effect: Effect,
     /// For keyed classes: how long repeats are dropped after the first send that may have run.
-    pub window: f64,
+    pub dedup_window_ms: f64,
 }
 
-/// A plan: quotas of each of its customers, over all gateways together.
+/// A plan: quotas of each of its customers, over all gatekeepers together.
 #[derive(Debug, Clone, Default)]
 pub struct Plan {
     /// Units a second; 0 means no quota on the rate.
@@ -56,7 +56,7 @@
     /// The most units the customer's store holds.
     pub burst: f64,
     /// Attempts out at once; 0 means no such quota.
-    pub open: u32,
+    pub max_in_flight: u32,
     /// A factor on the worth.
     pub price: f64,
     /// The share of its worth that a try sent on beyond the quota costs.
@@ -69,14 +69,14 @@
     pub ceiling_slack: f64,
 }
 
-/// What a gateway is told at its start.
+/// What a gatekeeper is told at its start.
 #[derive(Debug, Clone)]
 pub struct Settings {
-    /// This gateway's number, from 0.
-    pub me: u32,
-    /// How many gateways there are.
-    pub gateways: u32,
-    /// The zone this gateway stands in.
+    /// This gatekeeper's number, from 0.
+    pub own_index: u32,
+    /// How many gatekeepers there are.
+    pub gatekeepers: u32,
+    /// The zone this gatekeeper stands in.
     pub zone: u32,
     /// The classes, by number.
     pub classes: Vec<Class>,
@@ -84,36 +84,36 @@
     pub plans: Vec<Plan>,
     /// The most attempts for one request; 0 means no limit.
     pub max_attempts: u32,
-    /// Whether gateways may send each other notes.
-    pub notes: bool,
+    /// Whether gatekeepers may send each other notes.
+    pub peer_messages: bool,
     /// The most units that a request counts.
-    pub largest: f64,
-    /// How many notes a second a gateway takes in.
-    pub note_intake: f64,
+    pub max_request_units: f64,
+    /// How many notes a second a gatekeeper takes in.
+    pub peer_intake_per_second: f64,
     /// The least share of its capacity a server starts with.
-    pub cold_from: f64,
+    pub cold_capacity_share: f64,
     /// A server is warm no later than this after its start.
-    pub warm_within: f64,
+    pub warm_up_ms: f64,
     /// A cold server that is sent more than so many times what it can do falls over.
-    pub fall_multiple: f64,
+    pub cold_overload_factor: f64,
 }
 
 impl Default for Settings {
     /// Nothing but what has no meaning as nothing: a cold server bears as much as it can do.
     fn default() -> Settings {
         Settings {
-            me: 0,
-            gateways: 0,
+            own_index: 0,
+            gatekeepers: 0,
             zone: 0,
             classes: Vec::new(),
             plans: Vec::new(),
             max_attempts: 0,
-            notes: false,
-            largest: 0.0,
-            note_intake: 0.0,
-            cold_from: 0.0,
-            warm_within: 0.0,
-            fall_multiple: 1.0,
+            peer_messages: false,
+            max_request_units: 0.0,
+            peer_intake_per_second: 0.0,
+            cold_capacity_share: 0.0,
+            warm_up_ms: 0.0,
+            cold_overload_factor: 1.0,
         }
     }
 }
@@ -126,14 +126,19 @@
     pub fn check(&self) -> Result<(), SettingsError> {
         let bad = |what: &str| Err(SettingsError(what.to_string()));
         let sound = |x: f64| x.is_finite() && x >= 0.0;
-        if self.classes.is_empty() || self.gateways == 0 {
-            return bad("at least one class and one gateway are needed");
+        if self.classes.is_empty() || self.gatekeepers == 0 {
+            return bad("at least one class and one gatekeeper are needed");
         }
         for c in &self.classes {
-            if !(sound(c.worth) && sound(c.late_worth) && sound(c.window) && sound(c.aim) && c.aim > 0.0) {
+            if !(sound(c.worth)
+                && sound(c.late_worth)
+                && sound(c.dedup_window_ms)
+                && sound(c.target_ms)
+                && c.target_ms > 0.0)
+            {
                 return bad("a class has a negative or endless figure, or no aim");
             }
-            if matches!(c.effect, Effect::Keyed(_)) && c.window <= 0.0 {
+            if matches!(c.effect, Effect::Keyed(_)) && c.dedup_window_ms <= 0.0 {
                 return bad("a keyed class has a window of nothing");
             }
         }
@@ -144,10 +149,10 @@
                 return bad("a plan has a negative or endless figure, or a rate without a burst");
             }
         }
-        if ![self.note_intake, self.cold_from, self.warm_within].into_iter().all(sound) {
+        if ![self.peer_intake_per_second, self.cold_capacity_share, self.warm_up_ms].into_iter().all(sound) {
             return bad("a bound or rule is negative or endless");
         }
-        if !(sound(self.fall_multiple) && self.fall_multiple > 0.0) {
+        if !(sound(self.cold_overload_factor) && self.cold_overload_factor > 0.0) {
             return bad("a cold server's multiple is nothing, negative or endless");
         }
         Ok(())
@@ -194,12 +199,12 @@
     /// What the list says of it.
     pub health: Health,
     /// When it last started; 0 means long ago.
-    pub since: f64,
+    pub started_at: f64,
 }
 
 /// What a list event holds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Listing {
+pub enum EndpointUpdateKind {
     /// Every server there is; one not named is gone.
     Complete,
     /// Only those that changed.
@@ -219,19 +224,19 @@
     pub plan: usize,
     /// The units it counts.
     pub units: f64,
-    /// The first gateway of the customer's set.
+    /// The first gatekeeper of the customer's set.
     pub first: u32,
-    /// How many gateways the set has, counted round from the first.
+    /// How many gatekeepers the set has, counted round from the first.
     pub spread: u32,
     /// When the client leaves.
-    pub give_up: f64,
+    pub deadline: f64,
     /// Whether the client says it tries again.
-    pub repeat: bool,
+    pub is_retry: bool,
 }
 
 /// How an attempt ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Ending {
+pub enum AttemptOutcome {
     /// Served.
     Ok,
     /// The server answered with an error; it may have run.
@@ -252,18 +257,18 @@
 
 /// A server's own word on its load; what it does not report is absent.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
-pub struct Report {
+pub struct LoadReport {
     /// Requests it holds.
     pub in_flight: Option<f64>,
     /// How busy its cores are, 0 to 1.
-    pub busy: Option<f64>,
+    pub cpu_utilization: Option<f64>,
     /// Requests a second it serves.
-    pub served: Option<f64>,
+    pub requests_per_second: Option<f64>,
 }
 
 /// How one attempt ended, and what came with the answer.
 #[derive(Debug, Clone)]
-pub struct Outcome {
+pub struct AttemptResult {
     /// The request.
     pub id: u64,
     /// The attempt's number, from 0.
@@ -271,64 +276,64 @@
     /// The server.
     pub server: Name,
     /// How it ended.
-    pub ending: Ending,
+    pub outcome: AttemptOutcome,
     /// How long it was out.
     pub latency: f64,
     /// Whether the request has ended too.
-    pub last: bool,
-    /// The customer's metered use over all gateways, as a share of its rate or open cap.
+    pub is_final: bool,
+    /// The customer's metered use over all gatekeepers, as a share of its rate or open cap.
     pub metered: Option<f64>,
     /// The true units, where the request's were a guess.
     pub units: Option<f64>,
     /// The server's load report.
-    pub report: Option<Report>,
+    pub load_report: Option<LoadReport>,
 }
 
-/// What a customer's stores hold at a gateway, known by the customer's key in notes.
+/// What a customer's stores hold at a gatekeeper, known by the customer's key in notes.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
-pub struct Level {
+pub struct BucketSnapshot {
     /// The customer's key.
     pub key: u64,
     /// Its plan.
     pub plan: usize,
-    /// The store, where this gateway keeps it.
-    pub store: f64,
-    /// This gateway's slice of the ceiling.
-    pub ceiling: f64,
+    /// The store, where this gatekeeper keeps it.
+    pub quota_tokens: f64,
+    /// This gatekeeper's slice of the ceiling.
+    pub ceiling_tokens: f64,
     /// When the customer was last seen.
-    pub seen: f64,
+    pub last_seen: f64,
 }
 
-/// What a gateway sees.
+/// What a gatekeeper sees.
 #[derive(Debug, Clone)]
 pub enum Event {
-    /// What was decided for gateways of this zone, or that it still stands.
-    Guide(Guide),
+    /// What was decided for gatekeepers of this zone, or that it still stands.
+    RoutingSnapshot(RoutingSnapshot),
     /// Who is shut out of the fleet, or that it still stands.
-    Shut(Shut),
+    FenceOff(FenceOffDecision),
     /// News of the servers.
-    Servers {
+    EndpointUpdate {
         /// Whether all of them or only changes.
-        listing: Listing,
+        kind: EndpointUpdateKind,
         /// The lines.
         servers: Vec<Server>,
     },
     /// A request came in.
     Request(Request),
     /// Somebody asks whether a customer may have these units, and sends whatever they are for by another
-    /// way. It is charged as a request is, once, and answered with [`Action::Verdict`]; `give_up` is when the
+    /// way. It is charged as a request is, once, and answered with [`Action::CheckDecision`]; `deadline` is when the
     /// asker no longer waits.
     Check(Request),
     /// What a granted check took was not used: the same request, given back once at most.
     Unused(Request),
     /// An attempt ended.
-    Outcome(Outcome),
+    AttemptEnded(AttemptResult),
     /// The plans' figures have changed: as many as the settings had, in their order. Counts go on.
     Plans(Vec<Plan>),
-    /// What stores held in a former life of this gateway, as far as it may be used now.
-    Restore(Vec<Level>),
+    /// What stores held in a former life of this gatekeeper, as far as it may be used now.
+    Restore(Vec<BucketSnapshot>),
     /// The client left; the request has ended.
-    Left {
+    ClientDisconnected {
         /// The request.
         id: u64,
     },
@@ -339,10 +344,10 @@
         /// Whether it answered well.
         ok: bool,
         /// Its load report.
-        report: Option<Report>,
+        load_report: Option<LoadReport>,
     },
-    /// A note from another gateway.
-    Note {
+    /// A note from another gatekeeper.
+    PeerMessage {
         /// Its number.
         from: u32,
         /// What it says.
@@ -358,7 +363,7 @@
 /// Why a request is refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum RefusalReason {
-    /// This gateway is fenced off, or the class or plan has no tier.
+    /// This gatekeeper is fenced off, or the class or plan has no tier.
     FencedOff,
     /// The customer's hard ceiling has no room.
     Ceiling,
@@ -378,7 +383,7 @@
     AttemptsFailed,
 }
 
-/// What a gateway does.
+/// What a gatekeeper does.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
     /// Starts an attempt.
@@ -388,21 +393,21 @@
         /// The server.
         server: Name,
         /// When to abandon the attempt.
-        not_past: f64,
+        deadline: f64,
         /// When it has to have begun: past this a repeat that may take effect again is not to reach the server.
-        begin_by: f64,
+        start_deadline: f64,
     },
     /// The final answer "not now; trying again is harmless".
     Refuse {
         /// The request.
         id: u64,
         /// How long the client should keep away; 0 gives no advice.
-        pause: f64,
+        retry_after_ms: f64,
         /// Why, for logs and metrics.
         reason: RefusalReason,
     },
     /// What came of a check.
-    Verdict {
+    CheckDecision {
         /// The check.
         id: u64,
         /// Whether the units are granted, and charged.
@@ -429,15 +434,15 @@
         /// The server.
         server: Name,
     },
-    /// Sends a note to another gateway.
-    Tell {
+    /// Sends a note to another gatekeeper.
+    SendPeerMessage {
         /// Its number.
         to: u32,
         /// At most 256 bytes.
         text: String,
     },
-    /// Sends a note to every other gateway.
-    TellAll {
+    /// Sends a note to every other gatekeeper.
+    BroadcastPeerMessage {
         /// At most 256 bytes.
         text: String,
     },
--- a/src/bin/frostvale-drill/main.rs
+++ b/src/bin/frostvale-drill/main.rs
@@ -1,5 +1,5 @@
-//! Hosts many independent gateways on the wire of a simulator: batches of events come in on
-//! standard input, the gateways' actions go out on standard output. Translation only.
+//! Hosts many independent gatekeepers on the wire of a simulator: batches of events come in on
+//! standard input, the gatekeepers' actions go out on standard output. Translation only.
 
 mod wire;
 
--- a/src/bin/frostvale-drill/wire.rs
+++ b/src/bin/frostvale-drill/wire.rs
@@ -23,7 +23,7 @@
     Hello {
         gatekeeper_id: Name,
         prng: u64,
-        conf: Box<Conf>,
+        conf: Box<RawSettings>,
     },
     #[serde(rename_all = "PascalCase")]
     Retire {
@@ -182,7 +182,7 @@
 /// All instances of this process, and the batch being read.
 #[derive(Default)]
 pub struct Host {
-    gateways: HashMap<Name, Control>,
+    gatekeepers: HashMap<Name, Control>,
     sheets: BTreeMap<u32, Vec<Entry>>,
     batch: Option<(f64, u64)>,
     reply: Vec<u8>,
@@ -220,21 +220,21 @@
             }
             Frame::Hello { gatekeeper_id, prng, conf } => {
                 let control = Control::new(conf.settings(), prng).map_err(|e| e.to_string())?;
-                self.gateways.insert(gatekeeper_id, control);
+                self.gatekeepers.insert(gatekeeper_id, control);
                 return Ok(None);
             }
             Frame::Retire { gatekeeper_id } => {
-                self.gateways.remove(&gatekeeper_id);
+                self.gatekeepers.remove(&gatekeeper_id);
                 return Ok(None);
             }
             Frame::DirectoryUpdate { gatekeeper_id, form, sheet } => {
-                let listing = match form {
+                let kind = match form {
                     Form::Error => return self.known(&gatekeeper_id).map(|()| None),
-                    Form::Diff => Listing::Changes,
-                    Form::Snapshot | Form::Disk => Listing::Complete,
+                    Form::Diff => EndpointUpdateKind::Changes,
+                    Form::Snapshot | Form::Disk => EndpointUpdateKind::Complete,
                 };
                 let entries = self.sheets.get(&sheet).ok_or(format!("no list has the number {sheet}"))?;
-                (gatekeeper_id, Event::Servers { listing, servers: entries.iter().map(server).collect() })
+                (gatekeeper_id, Event::EndpointUpdate { kind, servers: entries.iter().map(server).collect() })
             }
             Frame::Incoming {
                 gatekeeper_id,
@@ -256,8 +256,8 @@
                     units: weight,
                     first: first as u32,
                     spread: doors as u32,
-                    give_up: give_up_at,
-                    repeat: state_bits & 2 != 0,
+                    deadline: give_up_at,
+                    is_retry: state_bits & 2 != 0,
                 };
                 (gatekeeper_id, Event::Request(request))
             }
@@ -266,7 +266,7 @@
             }
             Frame::StatusBack { gatekeeper_id, worker, ending, usage } => {
                 let ok = matches!(ending, Code::Ok);
-                (gatekeeper_id, Event::Probed { server: worker, ok, report: usage.map(report) })
+                (gatekeeper_id, Event::Probed { server: worker, ok, load_report: usage.map(report) })
             }
             Frame::Done {
                 gatekeeper_id,
@@ -280,36 +280,38 @@
                 actual,
                 usage,
             } => {
-                let outcome = Outcome {
+                let result = AttemptResult {
                     id: request_id,
                     attempt: trial,
                     server: worker,
-                    ending: match ending {
-                        Code::Ok => Ending::Ok,
-                        Code::Internal => Ending::Error,
-                        Code::ResourceExhausted => Ending::Full,
-                        Code::DeadlineExceeded => Ending::Timeout,
-                        Code::Unavailable => Ending::Unreachable,
-                        Code::Aborted => Ending::Reset,
-                        Code::Cancelled => Ending::Cancelled,
-                        Code::TooLate => Ending::Moot,
+                    outcome: match ending {
+                        Code::Ok => AttemptOutcome::Ok,
+                        Code::Internal => AttemptOutcome::Error,
+                        Code::ResourceExhausted => AttemptOutcome::Full,
+                        Code::DeadlineExceeded => AttemptOutcome::Timeout,
+                        Code::Unavailable => AttemptOutcome::Unreachable,
+                        Code::Aborted => AttemptOutcome::Reset,
+                        Code::Cancelled => AttemptOutcome::Cancelled,
+                        Code::TooLate => AttemptOutcome::Moot,
                     },
                     latency,
-                    last: terminal,
+                    is_final: terminal,
                     metered: (seen_use > 0).then(|| f64::from(seen_use - 1) / 100.0),
                     units: (actual > 0.0).then_some(actual),
-                    report: usage.map(report),
+                    load_report: usage.map(report),
                 };
-                (gatekeeper_id, Event::Outcome(outcome))
+                (gatekeeper_id, Event::AttemptEnded(result))
+            }
+            Frame::Lapsed { gatekeeper_id, request_id } => {
+                (gatekeeper_id, Event::ClientDisconnected { id: request_id })
             }
-            Frame::Lapsed { gatekeeper_id, request_id } => (gatekeeper_id, Event::Left { id: request_id }),
             Frame::FromPeer { gatekeeper_id, src, content } => {
-                (gatekeeper_id, Event::Note { from: src, text: content })
+                (gatekeeper_id, Event::PeerMessage { from: src, text: content })
             }
             Frame::Fired { gatekeeper_id, nonce } => (gatekeeper_id, Event::Timer { token: nonce }),
         };
-        let gateway = self.gateways.get_mut(&who).ok_or_else(|| unknown(&who))?;
-        for action in gateway.handle(now, event) {
+        let gatekeeper = self.gatekeepers.get_mut(&who).ok_or_else(|| unknown(&who))?;
+        for action in gatekeeper.handle(now, event) {
             let Some(reply) = spoken(&who, &action) else { continue };
             serde_json::to_writer(&mut self.reply, &reply).map_err(|e| e.to_string())?;
             self.reply.push(b'\n');
@@ -318,7 +320,7 @@
     }
 
     fn known(&self, who: &Name) -> Result<(), String> {
-        if self.gateways.contains_key(who) { Ok(()) } else { Err(unknown(who)) }
+        if self.gatekeepers.contains_key(who) { Ok(()) } else { Err(unknown(who)) }
     }
 }
 
@@ -329,27 +331,29 @@
 /// An action on the wire, where it has words for it.
 fn spoken<'a>(who: &'a str, action: &'a Action) -> Option<Reply<'a>> {
     Some(match action {
-        Action::Send { id, server, not_past, .. } => {
-            Reply::Deliver { gatekeeper_id: who, request_id: *id, worker: server, not_past: *not_past }
+        Action::Send { id, server, deadline, .. } => {
+            Reply::Deliver { gatekeeper_id: who, request_id: *id, worker: server, not_past: *deadline }
         }
-        Action::Refuse { id, pause, .. } => {
-            Reply::Busy { gatekeeper_id: who, request_id: *id, pause: *pause }
+        Action::Refuse { id, retry_after_ms, .. } => {
+            Reply::Busy { gatekeeper_id: who, request_id: *id, pause: *retry_after_ms }
         }
         Action::Fail { id } => Reply::Lose { gatekeeper_id: who, request_id: *id },
         Action::Cancel { id, attempt } => {
             Reply::Recall { gatekeeper_id: who, request_id: *id, trial: *attempt }
         }
         Action::Probe { server } => Reply::Test { gatekeeper_id: who, worker: server },
-        Action::Tell { to, text } => {
+        Action::SendPeerMessage { to, text } => {
             Reply::Signal { gatekeeper_id: who, neighbour_id: i64::from(*to), content: text }
         }
-        Action::TellAll { text } => Reply::Signal { gatekeeper_id: who, neighbour_id: -1, content: text },
+        Action::BroadcastPeerMessage { text } => {
+            Reply::Signal { gatekeeper_id: who, neighbour_id: -1, content: text }
+        }
         Action::SetTimer { token, after } => {
             Reply::SetTimer { gatekeeper_id: who, nonce: *token, after: *after }
         }
         Action::Log { text } => Reply::Record { gatekeeper_id: who, msg: text },
         // The simulator asks for no checks.
-        Action::Verdict { .. } => return None,
+        Action::CheckDecision { .. } => return None,
     })
 }
 
@@ -365,10 +369,14 @@
             State::Draining => Health::Draining,
             State::Removed => Health::Gone,
         },
-        since: entry.since,
+        started_at: entry.since,
     }
 }
 
-fn report(usage: Usage) -> Report {
-    Report { in_flight: usage.outstanding, busy: usage.utilization, served: usage.throughput }
+fn report(usage: Usage) -> LoadReport {
+    LoadReport {
+        in_flight: usage.outstanding,
+        cpu_utilization: usage.utilization,
+        requests_per_second: usage.throughput,
+    }
 }
--- a/src/bin/frostvale/acts.rs
+++ b/src/bin/frostvale/acts.rs
@@ -1,6 +1,6 @@
 //! What this gatekeeper acts on, worked out from what is in effect and not from what it was told; and whether it is shut out.
 
-use crate::gateway::Gateway;
+use crate::gatekeeper::Gatekeeper;
 use frostvale_audit::acts::{BUILD, EPOCH, OWN, PLANS, PLATFORM, Version, ZONES};
 use frostvale_audit::chain::hex;
 use frostvale_link::proto::{Acting, Acts, Plan, Shut};
@@ -83,7 +83,7 @@
     pub fn tell<'a>(
         &mut self,
         now_ms: u64,
-        gateway: &Gateway,
+        gatekeeper: &Gatekeeper,
         plans: (u64, &[Plan]),
         zones: (u64, &str),
         epochs: impl Iterator<Item = (&'a str, u64)>,
@@ -98,11 +98,11 @@
             revision: v.revision,
             digest: v.digest.clone(),
         };
-        let zone = gateway.settings.zone;
+        let zone = gatekeeper.settings.zone;
         Acts {
             number: self.number,
             at_ms: now_ms,
-            zone: gateway.conf.areas.get(zone as usize).cloned().unwrap_or_else(|| zone.to_string()),
+            zone: gatekeeper.conf.areas.get(zone as usize).cloned().unwrap_or_else(|| zone.to_string()),
             versions: self.last.iter().map(word).collect(),
             shut: self.shut && self.until.is_some_and(|until| Instant::now() < until),
             shut_version: self.version,
@@ -113,16 +113,16 @@
     ///
     /// # Errors
     /// When a later version was here: nothing has changed then.
-    pub fn shut(&mut self, name: &str, me: u32, word: &Shut) -> Result<frostvale::Shut, String> {
+    pub fn shut(&mut self, name: &str, me: u32, word: &Shut) -> Result<frostvale::FenceOffDecision, String> {
         if word.version < self.version {
             return Err(format!("version {} came after {}", word.version, self.version));
         }
         let hold_ms = word.hold_ms.min(HOLD_MOST_MS);
-        let own = word.out.iter().any(|o| o.instance == name);
+        let includes_self = word.out.iter().any(|o| o.instance == name);
         let held = self.until.is_some_and(|until| Instant::now() < until);
-        if word.version != self.version || own != (self.shut && held) {
+        if word.version != self.version || includes_self != (self.shut && held) {
             let (version, many) = (word.version, word.out.len());
-            match own {
+            match includes_self {
                 true => tracing::warn!(
                     version,
                     "this gatekeeper is shut out by version {version}: all requests are turned away until it has caught up"
@@ -133,10 +133,15 @@
                 false => tracing::info!(version, "{many} gatekeepers are shut out by version {version}"),
             }
         }
-        (self.version, self.shut) = (word.version, own);
+        (self.version, self.shut) = (word.version, includes_self);
         self.until = Some(Instant::now() + Duration::from_millis(hold_ms));
         let others = word.out.iter().filter(|o| o.me != me).map(|o| o.me).collect();
-        Ok(frostvale::Shut { own, others, retry: word.retry_ms as f64, hold: hold_ms as f64 })
+        Ok(frostvale::FenceOffDecision {
+            includes_self,
+            others,
+            retry_after_ms: word.retry_ms as f64,
+            hold_ms: hold_ms as f64,
+        })
     }
 }
 
--- a/src/bin/frostvale/acts/tests.rs
+++ b/src/bin/frostvale/acts/tests.rs
@@ -12,10 +12,13 @@
     let word =
         |version, out: Vec<ShutOne>| Shut { version, hold_ms: 1000, retry_ms: 5, out, ..Shut::default() };
     let said = audit.shut("n1", 1, &word(8, vec![out("n1", 1), out("n2", 2)])).expect("taken");
-    assert_eq!((said.own, said.others, said.retry, said.hold), (true, vec![2], 5.0, 1000.0));
+    assert_eq!(
+        (said.includes_self, said.others, said.retry_after_ms, said.hold_ms),
+        (true, vec![2], 5.0, 1000.0)
+    );
     assert!(audit.shut("n1", 1, &word(7, vec![])).is_err_and(|e| e.contains("7 came after 8")));
     assert!(audit.shut);
-    assert!(!audit.shut("n1", 1, &word(9, vec![])).expect("taken").own);
+    assert!(!audit.shut("n1", 1, &word(9, vec![])).expect("taken").includes_self);
 }
 
 #[test]
--- a/src/bin/frostvale/ask.rs
+++ b/src/bin/frostvale/ask.rs
@@ -1,7 +1,7 @@
 //! A request as a client writes it, read and checked.
 
 use crate::resp::{self, Command};
-use frostvale::{Conf, EffectWord, Name, Settings};
+use frostvale::{Name, RawEffect, RawSettings, Settings};
 use std::ops::Range;
 
 /// The longest time to wait that is taken, in ms, where the class sets no deadline.
@@ -17,7 +17,7 @@
 
 /// The most units that one request may count.
 pub fn largest(settings: &Settings) -> f64 {
-    if settings.largest > 0.0 { settings.largest } else { 1e6 }
+    if settings.max_request_units > 0.0 { settings.max_request_units } else { 1e6 }
 }
 
 /// A request as the client wrote it.
@@ -54,7 +54,7 @@
 
     /// Reads a request. The text says which field is bad or missing.
     pub fn read(
-        conf: &Conf,
+        conf: &RawSettings,
         settings: &Settings,
         is_open: impl Fn(u64) -> bool,
         bytes: &[u8],
@@ -100,11 +100,11 @@
                     units.replace(value.parse::<f64>().ok().filter(sound).ok_or("bad units")?).is_some()
                 }
                 "first" => {
-                    let sound = |k: &u32| *k < settings.gateways;
+                    let sound = |k: &u32| *k < settings.gatekeepers;
                     first.replace(whole(value).filter(sound).ok_or("bad first")?).is_some()
                 }
                 "spread" => {
-                    let sound = |n: &u32| (1..=settings.gateways).contains(n);
+                    let sound = |n: &u32| (1..=settings.gatekeepers).contains(n);
                     spread.replace(whole(value).filter(sound).ok_or("bad spread")?).is_some()
                 }
                 "k" if value.is_empty() => return Err("bad k"),
@@ -121,10 +121,10 @@
         }
         let class = class.ok_or("missing c")?;
         let effect = conf.classes[class].effect;
-        if (command.part(bytes, 0) == b"Q.ASK") != (effect == EffectWord::Repeatable) {
+        if (command.part(bytes, 0) == b"Q.ASK") != (effect == RawEffect::Repeatable) {
             return Err("not the command of this class");
         }
-        if effect == EffectWord::ByKey && !keyed {
+        if effect == RawEffect::ByKey && !keyed {
             return Err("missing k");
         }
         let (wait, deadline) = deadline.ok_or("missing d")?;
--- a/src/bin/frostvale/client.rs
+++ b/src/bin/frostvale/client.rs
@@ -6,7 +6,7 @@
 
 use crate::ask::Ask;
 use crate::budget::Share;
-use crate::gateway::{Caller, Shared};
+use crate::gatekeeper::{Caller, Shared};
 use crate::receive_time::{ConnectionId, ReceiveTimes};
 use crate::resp::{self, Broken, Command};
 use socket2::SockRef;
@@ -329,15 +329,15 @@
     }
 
     /// Serves the connection until either side ends it.
-    pub async fn serve(self: &Rc<Client>, gateway: &Shared) {
-        if self.until_end(gateway).await.is_ok() {
+    pub async fn serve(self: &Rc<Client>, gatekeeper: &Shared) {
+        if self.until_end(gatekeeper).await.is_ok() {
             self.end_in_order().await;
         }
         self.life.set(Life::Over);
     }
 
     /// `Ok` once our sending may end, `Err` where the client has gone.
-    async fn until_end(self: &Rc<Client>, gateway: &Shared) -> Result<(), ()> {
+    async fn until_end(self: &Rc<Client>, gatekeeper: &Shared) -> Result<(), ()> {
         let mut bytes: Vec<u8> = Vec::new();
         let mut came = Instant::now();
         loop {
@@ -347,7 +347,7 @@
             // What came while the line was full is taken up when there is room again.
             let room = self.out.borrow().slots.len() < PIPELINE_MOST;
             if room && !bytes.is_empty() {
-                match self.take(gateway, &mut bytes, came) {
+                match self.take(gatekeeper, &mut bytes, came) {
                     Ok(true) => continue,
                     Ok(false) => match self.awaits.get() {
                         (Awaits::Next, _) => self.awaits.set((Awaits::Rest, came)),
@@ -446,7 +446,12 @@
 
     /// Begins every whole command in the bytes, as far as there is room in the line. Whether there was any. `came` is when
     /// the last of the bytes came: a client's time runs on while its command waits here.
-    fn take(self: &Rc<Client>, gateway: &Shared, bytes: &mut Vec<u8>, came: Instant) -> Result<bool, Broken> {
+    fn take(
+        self: &Rc<Client>,
+        gatekeeper: &Shared,
+        bytes: &mut Vec<u8>,
+        came: Instant,
+    ) -> Result<bool, Broken> {
         let mut at = 0;
         let ended = loop {
             if self.out.borrow().slots.len() >= PIPELINE_MOST {
@@ -454,7 +459,7 @@
             }
             match resp::command(&bytes[at..]) {
                 Ok(Some(command)) => {
-                    self.begin(gateway, &bytes[at..], &command, came);
+                    self.begin(gatekeeper, &bytes[at..], &command, came);
                     at += command.len;
                 }
                 Ok(None) => break Ok(()),
@@ -472,26 +477,32 @@
         ended.map(|()| at > 0)
     }
 
-    fn begin(self: &Rc<Client>, gateway: &Shared, bytes: &[u8], command: &Command, came: Instant) {
+    fn begin(self: &Rc<Client>, gatekeeper: &Shared, bytes: &[u8], command: &Command, came: Instant) {
         let name = command.part(bytes, 0);
         if name == b"Q.ASK" || name == b"Q.DO" {
             if self.life.get() >= Life::Declining {
                 return self.say(b"-BUSY\r\n");
             }
             let ask = {
-                let gateway = gateway.borrow();
-                Ask::read(&gateway.conf, &gateway.settings, |wire| gateway.is_open(wire), bytes, command)
+                let gatekeeper = gatekeeper.borrow();
+                Ask::read(
+                    &gatekeeper.conf,
+                    &gatekeeper.settings,
+                    |wire| gatekeeper.is_open(wire),
+                    bytes,
+                    command,
+                )
             };
             match ask {
                 Ok(mut ask) => {
                     ask.wait -= came.elapsed().as_secs_f64() * 1000.0;
-                    let mut gateway = gateway.borrow_mut();
-                    if !gateway.has_room(ask.command.len()) {
+                    let mut gatekeeper = gatekeeper.borrow_mut();
+                    if !gatekeeper.has_room(ask.command.len()) {
                         return self.say(b"-BUSY\r\n");
                     }
-                    let id = gateway.next_id();
+                    let id = gatekeeper.next_id();
                     self.out.borrow_mut().slots.push_back(Slot::Waiting(id));
-                    gateway.request(id, ask, self.clone());
+                    gatekeeper.request(id, ask, self.clone());
                 }
                 Err(what) => self.say(format!("-ERR {what}\r\n").as_bytes()),
             }
@@ -501,13 +512,13 @@
                 1 => echo.extend_from_slice(b"+PONG\r\n"),
                 _ => resp::put_bulk(&mut echo, command.part(bytes, 1)),
             }
-            if gateway.borrow().serving() {
+            if gatekeeper.borrow().serving() {
                 return self.say(&echo);
             }
-            let mut gateway = gateway.borrow_mut();
-            let id = gateway.next_id();
+            let mut gatekeeper = gatekeeper.borrow_mut();
+            let id = gatekeeper.next_id();
             self.out.borrow_mut().slots.push_back(Slot::Waiting(id));
-            gateway.answer_once_serving(id, self.clone(), echo);
+            gatekeeper.answer_once_serving(id, self.clone(), echo);
         } else {
             self.say(b"-ERR unknown command\r\n");
         }
--- a/src/bin/frostvale/clients.rs
+++ b/src/bin/frostvale/clients.rs
@@ -2,7 +2,7 @@
 
 use crate::budget::Budget;
 use crate::client::{Client, Life};
-use crate::gateway::Shared;
+use crate::gatekeeper::Shared;
 use crate::receive_time::ReceiveTimes;
 use crate::run_queue::RunQueue;
 use std::cell::{Cell, RefCell};
@@ -107,7 +107,7 @@
     }
 
     /// Takes in connections until it is dropped.
-    pub async fn accept(self: Rc<Self>, listener: &TcpListener, gateway: Shared) {
+    pub async fn accept(self: Rc<Self>, listener: &TcpListener, gatekeeper: Shared) {
         let mut complained = false;
         loop {
             while self.all.borrow().len() >= self.most && self.held() >= self.most {
@@ -119,7 +119,7 @@
             match listener.accept().await {
                 Ok((stream, _)) => {
                     complained = false;
-                    self.admit(stream, &gateway);
+                    self.admit(stream, &gatekeeper);
                 }
                 // Out of descriptors, most likely: make room, and don't spin while there is none.
                 Err(e) => {
@@ -137,13 +137,13 @@
     /// Takes in what still stands in the listener's queue, with room in the table or without: the kernel has accepted
     /// it, and what it has sent with it, and would reset it with the listener. Where descriptors have run out it waits
     /// for connections to end.
-    pub async fn accept_rest(self: &Rc<Self>, listener: &TcpListener, gateway: &Shared) {
+    pub async fn accept_rest(self: &Rc<Self>, listener: &TcpListener, gatekeeper: &Shared) {
         let mut looked = false;
         loop {
             // However many there are: with a budget of the runtime's the queue would look empty once that is spent.
             let accepted = unconstrained(poll_fn(|cx| Poll::Ready(listener.poll_accept(cx)))).await;
             match accepted {
-                Poll::Ready(Ok((stream, _))) => self.admit(stream, gateway),
+                Poll::Ready(Ok((stream, _))) => self.admit(stream, gatekeeper),
                 Poll::Ready(Err(_)) if !self.all.borrow().is_empty() => {
                     self.cut_lingering(0);
                     sleep(FULL).await;
@@ -155,7 +155,7 @@
         }
     }
 
-    fn admit(self: &Rc<Self>, stream: TcpStream, gateway: &Shared) {
+    fn admit(self: &Rc<Self>, stream: TcpStream, gatekeeper: &Shared) {
         let client = Rc::new(Client::new(
             stream,
             self.reading.share(),
@@ -164,13 +164,13 @@
             self.receive_times.clone(),
         ));
         client.to(self.begins.get());
-        let number = gateway.borrow_mut().next_id();
+        let number = gatekeeper.borrow_mut().next_id();
         self.all.borrow_mut().insert(number, client.clone());
-        let (clients, gateway) = (self.clone(), gateway.clone());
+        let (clients, gatekeeper) = (self.clone(), gatekeeper.clone());
         tokio::task::spawn_local(async move {
-            client.serve(&gateway).await;
+            client.serve(&gatekeeper).await;
             for id in client.abandoned() {
-                gateway.borrow_mut().left(id);
+                gatekeeper.borrow_mut().left(id);
             }
             clients.all.borrow_mut().remove(&number);
             drop(client);
--- a/src/bin/frostvale/config.rs
+++ b/src/bin/frostvale/config.rs
@@ -1,6 +1,6 @@
 //! What the gatekeeper is told: GW_CONFIG and the variables that stand beside it.
 
-use frostvale::{Conf, Settings};
+use frostvale::{RawSettings, Settings};
 use serde::Deserialize;
 use serde_json::value::RawValue;
 use std::env;
@@ -33,7 +33,7 @@
 #[derive(Deserialize)]
 struct SettingsOnly {
     #[serde(rename = "settings")]
-    _settings: Conf,
+    _settings: RawSettings,
 }
 
 #[derive(Deserialize)]
@@ -64,7 +64,7 @@
     pub peers_all: Option<SocketAddr>,
     /// The endpoint list as it was last had, in discovery's form.
     pub known: Option<Box<RawValue>>,
-    pub conf: Conf,
+    pub conf: RawSettings,
     pub settings: Settings,
     /// The settings as the file has them, with keys in order.
     text: String,
@@ -107,7 +107,7 @@
         // A new start must not draw the lots of the last one, nor those of its peers.
         let seed = u64::from_str_radix(file.seed.trim(), 16).map_err(|e| format!("{path}: seed: {e}"))?;
         let peers = file.peers.iter().map(|p| address("peers", p)).collect::<Result<Vec<_>, _>>()?;
-        let peer_listen = (settings.notes && !file.peer_listen.is_empty())
+        let peer_listen = (settings.peer_messages && !file.peer_listen.is_empty())
             .then(|| address("peer_listen", &file.peer_listen))
             .transpose()?;
         Ok(Config {
@@ -134,7 +134,7 @@
 }
 
 /// The settings in a file's text. The list of servers beside them is not read for it, unless there is an error to be placed.
-fn read_settings(file: &[u8], settings: &RawValue) -> Result<Conf, serde_json::Error> {
+fn read_settings(file: &[u8], settings: &RawValue) -> Result<RawSettings, serde_json::Error> {
     serde_json::from_str(settings.get())
         .map_err(|error| serde_json::from_slice::<SettingsOnly>(file).err().unwrap_or(error))
 }
--- a/src/bin/frostvale/discovery.rs
+++ b/src/bin/frostvale/discovery.rs
@@ -7,7 +7,7 @@
 mod call_clock;
 
 use crate::backoff::Backoff;
-use crate::gateway::{Shared, apply_update};
+use crate::gatekeeper::{Shared, apply_update};
 use call_clock::CallClock;
 use http_body_util::{BodyExt, Empty};
 use hyper::body::{Bytes, Incoming};
@@ -44,7 +44,7 @@
 
 /// Follows discovery for as long as the process lives. At a new address all begins anew: versions are its own, and what is
 /// on its way from the old one is dropped.
-pub async fn follow(gateway: Shared, mut at: watch::Receiver<SocketAddr>, mut backoff: Backoff) {
+pub async fn follow(gatekeeper: Shared, mut at: watch::Receiver<SocketAddr>, mut backoff: Backoff) {
     loop {
         let address = *at.borrow_and_update();
         tokio::select! {
@@ -54,7 +54,7 @@
                     return;
                 }
             }
-            () = follow_one(&gateway, address, &mut backoff) => {}
+            () = follow_one(&gatekeeper, address, &mut backoff) => {}
         }
     }
 }
@@ -85,7 +85,7 @@
 }
 
 /// Follows discovery at one address without end.
-async fn follow_one(gateway: &Shared, address: SocketAddr, backoff: &mut Backoff) {
+async fn follow_one(gatekeeper: &Shared, address: SocketAddr, backoff: &mut Backoff) {
     backoff.reset();
     let heard = Rc::new(Heard::default());
     let mut sessions = JoinSet::new();
@@ -133,7 +133,7 @@
                 }
                 last += 1;
                 tracing::debug!(call = last, open = open.len(), "discovery is called");
-                let task = sessions.spawn_local(session(last, gateway.clone(), address, heard.clone()));
+                let task = sessions.spawn_local(session(last, gatekeeper.clone(), address, heard.clone()));
                 open.push((last, task));
                 clock.called(Instant::now());
             }
@@ -144,24 +144,24 @@
 /// One connection, until it ends: which it was, how long after its list, and how.
 async fn session(
     number: u64,
-    gateway: Shared,
+    gatekeeper: Shared,
     address: SocketAddr,
     heard: Rc<Heard>,
 ) -> (u64, Duration, String) {
     let mut driver = JoinSet::new();
-    let (mut call, rev) = match fetch(&gateway, address, &mut driver, &heard).await {
+    let (mut call, rev) = match fetch(&gatekeeper, address, &mut driver, &heard).await {
         Ok(fetched) => fetched,
         Err(what) => return (number, Duration::ZERO, what),
     };
     let began = Instant::now();
     heard.from(number);
-    let ended = listen(&gateway, &mut call, address, rev, (&heard, number)).await;
+    let ended = listen(&gatekeeper, &mut call, address, rev, (&heard, number)).await;
     (number, began.elapsed(), ended.err().unwrap_or_else(|| "the watch ended".to_string()))
 }
 
 /// A watch from this version on, until it ends.
 async fn listen(
-    gateway: &Shared,
+    gatekeeper: &Shared,
     call: &mut SendRequest<Empty<Bytes>>,
     address: SocketAddr,
     rev: u64,
@@ -174,7 +174,7 @@
         heard.read(data.len());
         for line in lines.take(&data)? {
             if !line.trim_ascii().is_empty() {
-                take(gateway, &line).await?;
+                take(gatekeeper, &line).await?;
             }
             heard.from(session);
         }
@@ -184,7 +184,7 @@
 
 /// Connects and takes the whole list, which has this version. The connection goes on in `driver`, which ends it when it is dropped.
 async fn fetch(
-    gateway: &Shared,
+    gatekeeper: &Shared,
     address: SocketAddr,
     driver: &mut JoinSet<()>,
     heard: &Heard,
@@ -207,14 +207,14 @@
             return Err("the list is too long".into());
         }
     }
-    let rev = take(gateway, &text).await?;
+    let rev = take(gatekeeper, &text).await?;
     call.ready().await.map_err(|e| format!("the list: {e}"))?;
     Ok((call, rev))
 }
 
 /// Takes one list, or what has changed in it, into effect. Gives its version.
-async fn take(gateway: &Shared, text: &[u8]) -> Result<u64, String> {
-    apply_update(gateway, text).await.map_err(|e| e.to_string())
+async fn take(gatekeeper: &Shared, text: &[u8]) -> Result<u64, String> {
+    apply_update(gatekeeper, text).await.map_err(|e| e.to_string())
 }
 
 /// Bytes that come in pieces, as lines.
--- a/src/bin/frostvale/endpoint_update.rs
+++ b/src/bin/frostvale/endpoint_update.rs
@@ -4,7 +4,7 @@
 //! one pass over the text, and [`EndpointLine::read`] decodes one line at a time, straight into types. Both are linear in the
 //! length of their text. A line that can't be read is passed over and costs no other line.
 
-use frostvale::{Conf, Health};
+use frostvale::{Health, RawSettings};
 use serde::de::{Deserialize, Deserializer, IgnoredAny, MapAccess, SeqAccess, Visitor};
 use serde_json::value::RawValue;
 use std::borrow::Cow;
@@ -86,7 +86,7 @@
 
 impl<'a> EndpointLine<'a> {
     /// Decodes a line; none where it can't be read.
-    pub fn read(line: &'a RawValue, conf: &Conf) -> Option<EndpointLine<'a>> {
+    pub fn read(line: &'a RawValue, conf: &RawSettings) -> Option<EndpointLine<'a>> {
         let fields: Fields = serde_json::from_str(line.get()).ok()?;
         let number = |names: &[String], name: Option<Cow<str>>| {
             let name = name.unwrap_or_default();
--- a/src/bin/frostvale/endpoint_update/tests.rs
+++ b/src/bin/frostvale/endpoint_update/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
-use frostvale::Conf;
+use frostvale::RawSettings;
 
-fn conf() -> Conf {
+fn conf() -> RawSettings {
     let text = r#"{"Areas":["a","b"],"Kinds":["m"],"Balancers":1,"Me":0,
         "Classes":[{"Name":"read","Target":500.0,"Effect":"repeatable","Worth":1.0}],
         "Plans":[{"Name":"p","UnitsPerS":10.0,"PeakUnits":10.0,"ValueFactor":1.0}]}"#;
--- a/src/bin/frostvale/event_loop.rs
+++ b/src/bin/frostvale/event_loop.rs
@@ -3,7 +3,7 @@
 //! One timer every [`PERIOD`]. A turn that comes late is counted and logged, with how much of the last second or so was this
 //! process's own work and how much it waited for a core. Costs one timer each period, and a small read of `/proc` a second.
 
-use crate::gateway::Shared;
+use crate::gatekeeper::Shared;
 use std::fs::File;
 use std::os::unix::fs::FileExt;
 use std::time::{Duration, Instant};
@@ -45,7 +45,7 @@
 }
 
 /// Watches for as long as the process lives.
-pub async fn watch(gateway: Shared) {
+pub async fn watch(gatekeeper: Shared) {
     let account = Account::open();
     let mut before = account.read();
     let mut looks = 0;
@@ -63,7 +63,7 @@
                 waiting_ms = ms(now.waiting_ns, before.waiting_ns),
                 "the event loop was held up"
             );
-            gateway.borrow_mut().metrics.loop_held_up(late);
+            gatekeeper.borrow_mut().metrics.loop_held_up(late);
         }
         if looks % ACCOUNT_PERIODS == 0 {
             before = account.read();
--- a/src/bin/frostvale/extra.rs
+++ b/src/bin/frostvale/extra.rs
@@ -1,6 +1,6 @@
 //! The gatekeeper's own file, which `GW_EXTRA` names: what the platform doesn't know of. Without it all of it is off.
 
-use frostvale::Conf;
+use frostvale::RawSettings;
 use frostvale_log::Format;
 use frostvale_outside::{Mode, Settings};
 use serde::Deserialize;
@@ -162,7 +162,7 @@
 
 impl Extra {
     /// Reads the file that `GW_EXTRA` names, if it names one. Plans are looked up in the settings.
-    pub fn read(conf: &Conf) -> Result<Extra, String> {
+    pub fn read(conf: &RawSettings) -> Result<Extra, String> {
         let Some(path) = env::var("GW_EXTRA").ok().filter(|path| !path.is_empty()) else {
             return Ok(Extra::default());
         };
@@ -170,7 +170,7 @@
         Self::of(&text, conf).map_err(|e| format!("{path}: {e}"))
     }
 
-    fn of(text: &str, conf: &Conf) -> Result<Extra, String> {
+    fn of(text: &str, conf: &RawSettings) -> Result<Extra, String> {
         // The first line says where and what; the rest is a drawing.
         let told = |e: toml::de::Error| e.to_string().lines().collect::<Vec<_>>().join(" ");
         let file: File = toml::from_str(text).map_err(told)?;
@@ -218,7 +218,7 @@
     }
 }
 
-fn settings(outside: Outside, conf: &Conf) -> Result<Settings, String> {
+fn settings(outside: Outside, conf: &RawSettings) -> Result<Settings, String> {
     let mut plans = vec![None; conf.plans.len()];
     let names: Vec<&str> = conf.plans.iter().map(|p| p.name.as_str()).collect();
     let held = conf.settings();
--- a/src/bin/frostvale/extra/tests.rs
+++ b/src/bin/frostvale/extra/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-fn conf() -> Conf {
+fn conf() -> RawSettings {
     serde_json::from_str(
         r#"{"Balancers":1,"Classes":[{"Name":"read","Target":400.0,"Effect":"repeatable"}],
             "Plans":[{"Name":"basico"},{"Name":"ferreteria","CapRate":2.0}]}"#,
--- a/src/bin/frostvale/gateway.rs
+++ b/src/bin/frostvale/gatekeeper.rs
@@ -35,21 +35,21 @@
 use tokio::time::{sleep_until, timeout};
 
 /// The one owner of all state; every task borrows it for the length of one call.
-pub type Shared = Rc<RefCell<Gateway>>;
+pub type Shared = Rc<RefCell<Gatekeeper>>;
 
 /// What answers and ends of connections to workers call back.
-struct Heard(Weak<RefCell<Gateway>>);
+struct Heard(Weak<RefCell<Gatekeeper>>);
 
 impl Ear for Heard {
     fn answered(&self, conn: &Rc<Conn>, reply: Reply, bytes: &[u8], clean: bool) {
-        if let Some(gateway) = self.0.upgrade() {
-            gateway.borrow_mut().answered(conn, reply, bytes, clean);
+        if let Some(gatekeeper) = self.0.upgrade() {
+            gatekeeper.borrow_mut().answered(conn, reply, bytes, clean);
         }
     }
 
     fn closed(&self, conn: &Rc<Conn>, spoilt: Option<&'static str>) {
-        if let Some(gateway) = self.0.upgrade() {
-            gateway.borrow_mut().worker_closed(conn, spoilt);
+        if let Some(gatekeeper) = self.0.upgrade() {
+            gatekeeper.borrow_mut().worker_closed(conn, spoilt);
         }
     }
 }
@@ -80,11 +80,11 @@
     Sweep,
 }
 
-pub struct Gateway {
-    me: Weak<RefCell<Gateway>>,
+pub struct Gatekeeper {
+    me: Weak<RefCell<Gatekeeper>>,
     control: Control,
     clock: Clock,
-    pub conf: Conf,
+    pub conf: RawSettings,
     pub settings: Settings,
     requests: HashMap<u64, InFlight>,
     last_id: u64,
@@ -123,12 +123,12 @@
     pub metrics: Metrics,
 }
 
-impl Gateway {
+impl Gatekeeper {
     pub fn new(config: Config, peers: Option<Peers>, connections: usize) -> Result<Shared, SettingsError> {
         let control = Control::new(config.settings.clone(), config.seed)?;
         let memory = config.memory_part();
-        let gateway = Rc::new_cyclic(|me| {
-            RefCell::new(Gateway {
+        let gatekeeper = Rc::new_cyclic(|me| {
+            RefCell::new(Gatekeeper {
                 me: me.clone(),
                 control,
                 clock: Clock::new(),
@@ -162,8 +162,8 @@
                 metrics: Metrics::default(),
             })
         });
-        gateway.borrow_mut().sweep();
-        Ok(gateway)
+        gatekeeper.borrow_mut().sweep();
+        Ok(gatekeeper)
     }
 
     pub fn now(&self) -> f64 {
@@ -179,7 +179,7 @@
 
     /// A note from another gatekeeper.
     pub fn note(&mut self, from: u32, text: &str) {
-        self.event(Event::Note { from, text: text.into() });
+        self.event(Event::PeerMessage { from, text: text.into() });
     }
 
     /// A number for a request, never used twice. The wire's ids are the clients': they may come again.
@@ -202,7 +202,7 @@
 
     /// A request came in whole.
     pub fn request(&mut self, id: u64, ask: Ask, client: Rc<dyn Caller>) {
-        let give_up = self.now() + ask.wait - MARGIN_MS;
+        let deadline = self.now() + ask.wait - MARGIN_MS;
         let request = Request {
             id,
             customer: ask.customer.clone(),
@@ -211,8 +211,8 @@
             units: ask.units,
             first: ask.first,
             spread: ask.spread,
-            give_up,
-            repeat: ask.repeat,
+            deadline,
+            is_retry: ask.repeat,
         };
         self.held += ask.command.len();
         self.open.insert(ask.wire);
@@ -226,13 +226,13 @@
                 ask,
                 client,
                 pending,
-                due: give_up + MARGIN_MS,
+                due: deadline + MARGIN_MS,
                 attempts: 0,
                 attempt: None,
                 passed: false,
             },
         );
-        self.at(give_up + OVERDUE_MS, Due::Answer(id));
+        self.at(deadline + OVERDUE_MS, Due::Answer(id));
         if self.serving() {
             self.begin_request(request);
         } else {
@@ -253,9 +253,9 @@
     /// Somebody asks for units. `request` is as the asker wrote it; its id and limit are set here.
     pub fn check(&mut self, request: Request, within: f64, tag: u64, asker: Rc<dyn Asker>) -> u64 {
         let id = self.next_id();
-        let give_up = self.now() + within;
+        let deadline = self.now() + within;
         self.checks.insert(id, (tag, asker));
-        self.event(Event::Check(Request { id, give_up, ..request }));
+        self.event(Event::Check(Request { id, deadline, ..request }));
         id
     }
 
@@ -263,7 +263,7 @@
     pub fn leave(&mut self, checks: impl IntoIterator<Item = u64>) {
         for id in checks {
             if self.checks.remove(&id).is_some() {
-                self.event(Event::Left { id });
+                self.event(Event::ClientDisconnected { id });
             }
         }
     }
@@ -278,14 +278,14 @@
             return self.tidy(id);
         }
         let unsent = r.attempt.as_ref().filter(|a| a.unsent()).map(|a| a.conn.clone());
-        self.event(Event::Left { id });
+        self.event(Event::ClientDisconnected { id });
         if let Some(conn) = unsent {
             // Of a command that is half written the rest would still go out.
             if let Some(conn) = conn {
                 conn.busy.set(None);
                 conn.abort();
             }
-            self.end(id, Ending::Moot, None);
+            self.end(id, AttemptOutcome::Moot, None);
         }
         self.tidy(id);
     }
@@ -311,12 +311,12 @@
                     self.trace_answer(id, b"served");
                     self.count(id, What::Served);
                 }
-                self.end(id, Ending::Ok, report.and_then(|at| workers::report(&bytes[at])));
+                self.end(id, AttemptOutcome::Ok, report.and_then(|at| workers::report(&bytes[at])));
             }
             Reply::Error(_) => match line {
-                Some(Refusal::Busy(report)) => self.end(id, Ending::Full, report),
-                Some(Refusal::Failed(report)) => self.end(id, Ending::Error, report),
-                _ => self.end(id, Ending::Error, None),
+                Some(Refusal::Busy(report)) => self.end(id, AttemptOutcome::Full, report),
+                Some(Refusal::Failed(report)) => self.end(id, AttemptOutcome::Error, report),
+                _ => self.end(id, AttemptOutcome::Error, None),
             },
         }
     }
@@ -331,7 +331,7 @@
             *last = format!("{}: {what}", conn.worker);
         }
         if let Some(id) = conn.busy.get() {
-            self.give_up(id, Ending::Reset);
+            self.give_up(id, AttemptOutcome::Reset);
         }
     }
 
@@ -354,14 +354,14 @@
 
     fn act(&mut self, action: Action, now: f64) {
         match action {
-            Action::Send { id, server, not_past, begin_by } => {
-                self.send(id, server, (not_past, begin_by), now);
+            Action::Send { id, server, deadline, start_deadline } => {
+                self.send(id, server, (deadline, start_deadline), now);
             }
-            Action::Refuse { id, pause, reason } => {
+            Action::Refuse { id, retry_after_ms, reason } => {
                 self.trace_refusal(id, reason);
-                self.refuse(id, pause);
+                self.refuse(id, retry_after_ms);
             }
-            Action::Verdict { id, granted, remaining, reset } => {
+            Action::CheckDecision { id, granted, remaining, reset } => {
                 if let Some((tag, asker)) = self.checks.remove(&id) {
                     asker.verdict(tag, granted, remaining, reset);
                 }
@@ -370,15 +370,15 @@
             Action::Cancel { id, attempt } => {
                 let out = self.requests.get(&id).and_then(|r| r.attempt.as_ref());
                 if out.is_some_and(|a| a.number == attempt) {
-                    self.give_up(id, Ending::Cancelled);
+                    self.give_up(id, AttemptOutcome::Cancelled);
                 }
             }
-            Action::Tell { to, text } => {
+            Action::SendPeerMessage { to, text } => {
                 if let Some(peers) = &self.peers {
                     peers.tell(to, &text);
                 }
             }
-            Action::TellAll { text } => {
+            Action::BroadcastPeerMessage { text } => {
                 if let Some(peers) = &self.peers {
                     peers.tell_all(&text);
                 }
@@ -423,20 +423,26 @@
 
     // ---- attempts ----
 
-    fn send(&mut self, id: u64, server: Name, (not_past, begin_by): (f64, f64), now: f64) {
+    fn send(&mut self, id: u64, server: Name, (deadline, start_deadline): (f64, f64), now: f64) {
         let Some(r) = self.requests.get_mut(&id) else { return };
         let number = r.attempts;
         r.attempts += 1;
-        r.attempt =
-            Some(Attempt { number, server: server.clone(), started: now, not_past, begin_by, conn: None });
-        if not_past <= now || r.client.is_none() {
-            return self.end(id, Ending::Moot, None);
+        r.attempt = Some(Attempt {
+            number,
+            server: server.clone(),
+            started: now,
+            deadline,
+            start_deadline,
+            conn: None,
+        });
+        if deadline <= now || r.client.is_none() {
+            return self.end(id, AttemptOutcome::Moot, None);
         }
         // What ended the attempt before, or the wait, may have come in one turn with the client's end.
         if r.client.as_ref().is_some_and(|client| client.has_left()) {
             return self.left(id);
         }
-        self.at(not_past, Due::Attempt(id, number));
+        self.at(deadline, Due::Attempt(id, number));
         // A connection that breaks before anything is written has cost nothing: the next one is as good.
         while let Some(conn) = self.workers.take(&server, now - REST_MS) {
             if self.begin(id, &conn) {
@@ -445,19 +451,25 @@
         }
         let worker = self.workers.get(&server);
         let Some((address, life)) = worker.and_then(|w| Some((w.open_at()?, w.life))) else {
-            return self.end(id, Ending::Unreachable, None);
+            return self.end(id, AttemptOutcome::Unreachable, None);
         };
-        let (Some(place), Some(gateway)) = (self.workers.place(), self.me.upgrade()) else {
-            return self.end(id, Ending::Unreachable, None);
+        let (Some(place), Some(gatekeeper)) = (self.workers.place(), self.me.upgrade()) else {
+            return self.end(id, AttemptOutcome::Unreachable, None);
         };
-        let part = (CONNECT_PART * (not_past - now)).max(CONNECT_LEAST_MS);
-        let most =
-            self.conf.bounds.connect_timeout.clamp(1.0, 60_000.0).min(part).min(begin_by - now).max(0.0);
+        let part = (CONNECT_PART * (deadline - now)).max(CONNECT_LEAST_MS);
+        let most = self
+            .conf
+            .bounds
+            .connect_timeout
+            .clamp(1.0, 60_000.0)
+            .min(part)
+            .min(start_deadline - now)
+            .max(0.0);
         let most = Duration::from_secs_f64(most / 1000.0);
         tokio::task::spawn_local(async move {
             // A machine that has vanished never answers: the settings say how long to try.
             let stream = timeout(most, TcpStream::connect(address)).await.ok().and_then(Result::ok);
-            gateway.borrow_mut().connected(id, number, server, life, place, stream);
+            gatekeeper.borrow_mut().connected(id, number, server, life, place, stream);
         });
     }
 
@@ -472,7 +484,7 @@
     ) {
         let attempt = self.requests.get(&id).and_then(|r| r.attempt.as_ref());
         let waits = attempt.is_some_and(|a| a.number == number && a.conn.is_none());
-        let in_time = attempt.is_some_and(|a| self.clock.now() <= a.begin_by);
+        let in_time = attempt.is_some_and(|a| self.clock.now() <= a.start_deadline);
         let reading = self.workers.reading();
         let conn = stream.map(|stream| Conn::new(stream, server, life, place, reading));
         if let Some(conn) = &conn {
@@ -488,7 +500,7 @@
             None => false,
         };
         if waits && !begun {
-            self.end(id, Ending::Unreachable, None);
+            self.end(id, AttemptOutcome::Unreachable, None);
         }
     }
 
@@ -509,7 +521,7 @@
         }
         let mut bytes = std::mem::take(&mut self.scratch);
         bytes.clear();
-        r.ask.write((attempt.not_past - now).max(1.0) as u64, &mut bytes);
+        r.ask.write((attempt.deadline - now).max(1.0) as u64, &mut bytes);
         let sent = match conn.stream.try_write(&bytes) {
             Ok(n) => n,
             Err(e) if e.kind() == ErrorKind::WouldBlock => 0,
@@ -523,7 +535,7 @@
         conn.busy.set(Some(id));
         conn.written.set(sent == bytes.len());
         if sent < bytes.len()
-            && let Some(gateway) = self.me.upgrade()
+            && let Some(gatekeeper) = self.me.upgrade()
         {
             let (conn, rest) = (conn.clone(), bytes[sent..].to_vec());
             tokio::task::spawn_local(async move {
@@ -531,9 +543,9 @@
                 if conn.busy.get() == Some(id) {
                     conn.written.set(whole);
                     if whole {
-                        gateway.borrow_mut().passed(id);
+                        gatekeeper.borrow_mut().passed(id);
                     } else {
-                        gateway.borrow_mut().give_up(id, Ending::Unreachable);
+                        gatekeeper.borrow_mut().give_up(id, AttemptOutcome::Unreachable);
                     }
                 }
             });
@@ -547,34 +559,34 @@
     }
 
     /// Closes the attempt's connection, so that nothing late can be taken for another answer, and ends it.
-    fn give_up(&mut self, id: u64, ending: Ending) {
+    fn give_up(&mut self, id: u64, outcome: AttemptOutcome) {
         let attempt = self.requests.get(&id).and_then(|r| r.attempt.as_ref());
         let Some(conn) = attempt.map(|a| a.conn.clone()) else { return };
-        let Some(conn) = conn else { return self.end(id, Ending::Unreachable, None) };
+        let Some(conn) = conn else { return self.end(id, AttemptOutcome::Unreachable, None) };
         conn.busy.set(None);
         conn.abort();
         // With its last byte unwritten the worker can't have begun.
-        self.end(id, if conn.written.get() { ending } else { Ending::Unreachable }, None);
+        self.end(id, if conn.written.get() { outcome } else { AttemptOutcome::Unreachable }, None);
     }
 
     /// The attempt has ended; the module hears of it.
-    fn end(&mut self, id: u64, ending: Ending, report: Option<Report>) {
+    fn end(&mut self, id: u64, outcome: AttemptOutcome, load_report: Option<LoadReport>) {
         let now = self.clock.now();
         let Some(r) = self.requests.get_mut(&id) else { return };
         let Some(attempt) = r.attempt.take() else { return };
-        trace::attempt_ended(r.ask.wire, &attempt, ending, now);
-        let outcome = Outcome {
+        trace::attempt_ended(r.ask.wire, &attempt, outcome, now);
+        let result = AttemptResult {
             id,
             attempt: attempt.number,
             server: attempt.server,
-            ending,
+            outcome,
             latency: (now - attempt.started).max(0.0),
-            last: r.client.is_none(),
+            is_final: r.client.is_none(),
             metered: None,
             units: None,
-            report,
+            load_report,
         };
-        self.event(Event::Outcome(outcome));
+        self.event(Event::AttemptEnded(result));
         self.tidy(id);
     }
 
@@ -601,7 +613,7 @@
         if let Some((count, last)) = self.spoilt.take() {
             tracing::warn!("{count} answers could not be read, the last from {last}");
         }
-        let dropped = self.control.words_dropped();
+        let dropped = self.control.gossip_entries_dropped();
         if dropped > self.dropped {
             let fresh = dropped - self.dropped;
             tracing::debug!("{fresh} words of notes to all meant nothing here and were passed over");
@@ -646,7 +658,7 @@
             }
             match due {
                 Due::Timer(token) => self.event(Event::Timer { token }),
-                Due::Attempt(id, _) => self.give_up(id, Ending::Timeout),
+                Due::Attempt(id, _) => self.give_up(id, AttemptOutcome::Timeout),
                 Due::Answer(id) => {
                     self.trace_unsettled(id);
                     if let Some(r) = self.requests.get_mut(&id) {
@@ -656,7 +668,7 @@
                             self.trace_answer(id, b"-ERR failed");
                         }
                     }
-                    self.event(Event::Left { id });
+                    self.event(Event::ClientDisconnected { id });
                     self.tidy(id);
                 }
                 Due::Consult(call) => self.outside_verdict(call, Verdict::Failed),
@@ -667,10 +679,10 @@
     }
 
     /// The task that wakes for all timers.
-    pub async fn keep_time(gateway: Shared) {
-        let sooner = gateway.borrow().sooner.clone();
+    pub async fn keep_time(gatekeeper: Shared) {
+        let sooner = gatekeeper.borrow().sooner.clone();
         loop {
-            let next = gateway.borrow_mut().run_due();
+            let next = gatekeeper.borrow_mut().run_due();
             match next {
                 Some(at) => {
                     tokio::select! {
--- a/src/bin/frostvale/gateway/endpoints.rs
+++ b/src/bin/frostvale/gatekeeper/endpoints.rs
@@ -5,11 +5,11 @@
 //! lines of which k differ costs O(n) to read and O(k) to apply.
 
 use super::last_list::Digest;
-use super::{Gateway, Shared};
+use super::{Gatekeeper, Shared};
 use crate::endpoint_update::{EndpointLine, Outline, UpdateError};
 use crate::metrics::ListApplied;
 use crate::workers::EndpointChange;
-use frostvale::{Ending, Event, Health, Listing, Name, Server};
+use frostvale::{AttemptOutcome, EndpointUpdateKind, Event, Health, Name, Server};
 use serde_json::value::RawValue;
 use std::borrow::Cow;
 use std::collections::HashSet;
@@ -41,16 +41,16 @@
     }
 
     /// Compares the next lines with what is known. False once there are none left.
-    fn step(&mut self, gateway: &Gateway) -> bool {
+    fn step(&mut self, gatekeeper: &Gatekeeper) -> bool {
         let Some(first) = self.lines.next() else { return false };
         let step: Vec<&'a RawValue> =
             std::iter::once(*first).chain(self.lines.by_ref().take(STEP_LINES - 1).copied()).collect();
         for line in step {
-            let Some(EndpointLine { uid, state }) = EndpointLine::read(line, &gateway.conf) else {
+            let Some(EndpointLine { uid, state }) = EndpointLine::read(line, &gatekeeper.conf) else {
                 self.refused_lines += 1;
                 continue;
             };
-            let differs = gateway.workers.differs(&uid, &state);
+            let differs = gatekeeper.workers.differs(&uid, &state);
             // Of a server that is named twice the last line holds, also where it says what was known before.
             if differs || self.named.contains(&uid) {
                 self.changes.push(EndpointChange { name: uid.as_ref().into(), state });
@@ -66,20 +66,20 @@
 ///
 /// # Errors
 /// When the text is no update; nothing has changed then.
-pub async fn apply_update(gateway: &Shared, text: &[u8]) -> Result<u64, UpdateError> {
-    let turns = gateway.borrow().update_turns.clone();
+pub async fn apply_update(gatekeeper: &Shared, text: &[u8]) -> Result<u64, UpdateError> {
+    let turns = gatekeeper.borrow().update_turns.clone();
     let _turn = turns.lock().await;
-    let digester = gateway.borrow().last_list.digester();
+    let digester = gatekeeper.borrow().last_list.digester();
     let digest = digester.digest(text).await;
-    if let Some(version) = gateway.borrow_mut().recognise_list(digest) {
+    if let Some(version) = gatekeeper.borrow_mut().recognise_list(digest) {
         return Ok(version);
     }
     let mut longest_step = Duration::ZERO;
     let mut began = Instant::now();
-    let outline = read_outline(gateway, text)?;
+    let outline = read_outline(gatekeeper, text)?;
     let mut update = PendingUpdate::new(&outline);
     loop {
-        let more = update.step(&gateway.borrow());
+        let more = update.step(&gatekeeper.borrow());
         longest_step = longest_step.max(began.elapsed());
         if !more {
             break;
@@ -88,9 +88,9 @@
         began = Instant::now();
     }
     began = Instant::now();
-    let mut applied = gateway.borrow_mut().apply(update);
+    let mut applied = gatekeeper.borrow_mut().apply(update);
     applied.longest_step = longest_step.max(began.elapsed());
-    gateway.borrow_mut().list_applied(&applied, &outline, digest, text.len());
+    gatekeeper.borrow_mut().list_applied(&applied, &outline, digest, text.len());
     Ok(outline.version)
 }
 
@@ -98,23 +98,23 @@
 ///
 /// # Errors
 /// When the text is no update; nothing has changed then.
-pub fn apply_known(gateway: &Shared, text: &[u8]) -> Result<(), UpdateError> {
-    let outline = read_outline(gateway, text)?;
+pub fn apply_known(gatekeeper: &Shared, text: &[u8]) -> Result<(), UpdateError> {
+    let outline = read_outline(gatekeeper, text)?;
     let mut update = PendingUpdate::new(&outline);
-    while update.step(&gateway.borrow()) {}
-    let mut gateway = gateway.borrow_mut();
-    let applied = gateway.apply(update);
-    let digest = gateway.last_list.digester().digest_at_once(text);
-    gateway.remember_list(&applied, outline.version, digest);
+    while update.step(&gatekeeper.borrow()) {}
+    let mut gatekeeper = gatekeeper.borrow_mut();
+    let applied = gatekeeper.apply(update);
+    let digest = gatekeeper.last_list.digester().digest_at_once(text);
+    gatekeeper.remember_list(&applied, outline.version, digest);
     applied.log(outline.version, text.len());
     Ok(())
 }
 
-fn read_outline<'a>(gateway: &Shared, text: &'a [u8]) -> Result<Outline<'a>, UpdateError> {
-    Outline::read(text).inspect_err(|_| gateway.borrow_mut().metrics.list_refused())
+fn read_outline<'a>(gatekeeper: &Shared, text: &'a [u8]) -> Result<Outline<'a>, UpdateError> {
+    Outline::read(text).inspect_err(|_| gatekeeper.borrow_mut().metrics.list_refused())
 }
 
-impl Gateway {
+impl Gatekeeper {
     /// The version of a list that is in effect already, which nothing is to be done for.
     fn recognise_list(&mut self, digest: Option<Digest>) -> Option<u64> {
         let version = self.last_list.version_of(digest)?;
@@ -163,13 +163,13 @@
                 kind: state.kind,
                 size: state.size,
                 health,
-                since: state.boot_ms,
+                started_at: state.boot_ms,
             }
         };
         let mut servers: Vec<Server> = changes.iter().map(server).collect();
         servers.extend(absent.iter().chain(&effect.replaced).map(gone));
         if !servers.is_empty() {
-            self.event(Event::Servers { listing: Listing::Changes, servers });
+            self.event(Event::EndpointUpdate { kind: EndpointUpdateKind::Changes, servers });
         }
         self.reset_attempts_at(&effect.restarted);
         ListApplied { whole, changed, refused_lines, longest_step: Duration::ZERO }
@@ -184,12 +184,12 @@
         let requests = self.requests.iter();
         let lost: Vec<u64> = requests.filter(|(_, r)| r.lives_in(restarted)).map(|(id, _)| *id).collect();
         for id in lost {
-            self.give_up(id, Ending::Reset);
+            self.give_up(id, AttemptOutcome::Reset);
         }
     }
 }
 
 /// The line of a server that is not listed any more.
 fn gone(name: &Name) -> Server {
-    Server { name: name.clone(), zone: 0, cell: 0, kind: 0, size: 1.0, health: Health::Gone, since: 0.0 }
+    Server { name: name.clone(), zone: 0, cell: 0, kind: 0, size: 1.0, health: Health::Gone, started_at: 0.0 }
 }
--- a/src/bin/frostvale/gateway/in_flight.rs
+++ b/src/bin/frostvale/gatekeeper/in_flight.rs
@@ -50,9 +50,9 @@
     pub(super) number: u32,
     pub(super) server: Name,
     pub(super) started: f64,
-    pub(super) not_past: f64,
+    pub(super) deadline: f64,
     /// A connection that is up later than this is of no use to it.
-    pub(super) begin_by: f64,
+    pub(super) start_deadline: f64,
     /// Its connection once there is one.
     pub(super) conn: Option<Rc<Conn>>,
 }
--- a/src/bin/frostvale/gateway/outside.rs
+++ b/src/bin/frostvale/gatekeeper/outside.rs
@@ -1,11 +1,11 @@
 //! An outside rate limit service, asked before the module. What comes of it, `frostvale_outside::Consult` decides.
 
-use super::{Agents, Due, Gateway};
+use super::{Agents, Due, Gatekeeper};
 use frostvale::{Event, Request};
 use frostvale_outside::{Breaker, Consult, Counts, Step, Verdict};
 use std::rc::Rc;
 
-impl Gateway {
+impl Gatekeeper {
     /// Sets how an outside service is consulted, or that none is. Requests that wait for one go by the mode.
     pub fn set_outside(&mut self, outside: Option<Consult>) {
         self.unlinked();
@@ -20,8 +20,8 @@
     pub(super) fn consult(&mut self, request: Request) {
         let (now, id) = (self.now(), request.id);
         let (Some(outside), Some(agents)) = (&mut self.outside, self.agents.clone()) else { return };
-        let aim = self.settings.classes[request.class].aim;
-        let times = (aim, request.give_up - now);
+        let aim = self.settings.classes[request.class].target_ms;
+        let times = (aim, request.deadline - now);
         let before = outside.breaker();
         let step =
             outside.ask(now, id, &request.customer, request.plan, request.units, times, agents.linked());
--- a/src/bin/frostvale/gateway/parties.rs
+++ b/src/bin/frostvale/gatekeeper/parties.rs
@@ -1,4 +1,4 @@
-//! Whom the gateway speaks to on behalf of requests and checks.
+//! Whom the gatekeeper speaks to on behalf of requests and checks.
 
 use frostvale::{Name, Request};
 use frostvale_outside::{Breaker, Counts};
--- a/src/bin/frostvale/gateway/record.rs
+++ b/src/bin/frostvale/gatekeeper/record.rs
@@ -1,10 +1,10 @@
 //! Use, plans and levels, for the store of record.
 
-use super::Gateway;
+use super::Gatekeeper;
 use crate::usage::{Usage, What};
-use frostvale::{Event, Level, Plan, Request, Settings};
+use frostvale::{BucketSnapshot, Event, Plan, Request, Settings};
 
-impl Gateway {
+impl Gatekeeper {
     /// Begins to count use.
     pub fn count_use(&mut self, ahead: i64) {
         let now = (self.now().max(0.0) as u64).saturating_add_signed(ahead);
@@ -51,13 +51,13 @@
     }
 
     /// What stores held in a former life.
-    pub fn restore(&mut self, levels: Vec<Level>) {
+    pub fn restore(&mut self, levels: Vec<BucketSnapshot>) {
         self.event(Event::Restore(levels));
     }
 
     /// What stores hold, some parts of the customers at a time.
-    pub fn levels(&self, part: usize, most: usize) -> (Vec<Level>, Option<usize>) {
-        self.control.levels(part, most)
+    pub fn levels(&self, part: usize, most: usize) -> (Vec<BucketSnapshot>, Option<usize>) {
+        self.control.bucket_snapshots(part, most)
     }
 
     /// What a granted check took was not used.
--- a/src/bin/frostvale/gateway/starting.rs
+++ b/src/bin/frostvale/gatekeeper/starting.rs
@@ -1,7 +1,7 @@
 //! Before the first endpoint list: requests are taken in and held, so that none waits unseen in the listener's queue while its
 //! time runs out.
 
-use super::{Caller, Due, Gateway};
+use super::{Caller, Due, Gatekeeper};
 use frostvale::Request;
 use std::rc::Rc;
 
@@ -15,7 +15,7 @@
     answers: Vec<(u64, Rc<dyn Caller>, Vec<u8>)>,
 }
 
-impl Gateway {
+impl Gatekeeper {
     /// Whether requests go on to servers.
     pub fn serving(&self) -> bool {
         self.held_at_start.is_none()
@@ -24,7 +24,7 @@
     /// Holds a request that has just come, and has its place in `requests`.
     pub(super) fn hold(&mut self, request: Request) {
         let (id, now) = (request.id, self.now());
-        let refuse_at = now + HOLD_PART * (request.give_up - now).max(0.0);
+        let refuse_at = now + HOLD_PART * (request.deadline - now).max(0.0);
         if let Some(r) = self.requests.get_mut(&id) {
             r.pending = Some(request);
         }
--- a/src/bin/frostvale/gateway/trace.rs
+++ b/src/bin/frostvale/gatekeeper/trace.rs
@@ -1,24 +1,24 @@
 //! What the log says of single requests: at debug level each change of state with the client's id, above it what must not
 //! happen.
 
-use super::Gateway;
+use super::Gatekeeper;
 use super::in_flight::Attempt;
-use frostvale::{Ending, RefusalReason};
+use frostvale::{AttemptOutcome, RefusalReason};
 
 /// An attempt has ended; a further one may follow.
-pub(super) fn attempt_ended(wire: u64, attempt: &Attempt, ending: Ending, now: f64) {
+pub(super) fn attempt_ended(wire: u64, attempt: &Attempt, outcome: AttemptOutcome, now: f64) {
     tracing::debug!(
         target: "frostvale::request",
         id = format_args!("{wire:016x}"),
         attempt = attempt.number,
         server = %attempt.server,
-        ending = ?ending,
+        ending = ?outcome,
         after_ms = (now - attempt.started) as u64,
         "attempt ended"
     );
 }
 
-impl Gateway {
+impl Gatekeeper {
     /// The module refuses a request.
     pub(super) fn trace_refusal(&mut self, id: u64, reason: RefusalReason) {
         self.metrics.refused(reason);
--- a/src/bin/frostvale/gateway/zones.rs
+++ b/src/bin/frostvale/gatekeeper/zones.rs
@@ -1,12 +1,12 @@
 //! Zones: what was decided goes to the module, what it saw comes back.
 
-use super::Gateway;
-use frostvale::{Event, Guide, Sight};
+use super::Gatekeeper;
+use frostvale::{Event, RoutingSnapshot, ZoneObservation};
 
-impl Gateway {
+impl Gatekeeper {
     /// Who is shut out, as it was decided for the fleet.
-    pub fn shut(&mut self, shut: frostvale::Shut) {
-        self.event(Event::Shut(shut));
+    pub fn shut(&mut self, shut: frostvale::FenceOffDecision) {
+        self.event(Event::FenceOff(shut));
     }
 
     /// From now on what is seen of zones is counted, or not any more.
@@ -15,13 +15,13 @@
     }
 
     /// What was seen since the last look.
-    pub fn look_at_zones(&mut self) -> Sight {
+    pub fn observe_zones(&mut self) -> ZoneObservation {
         let now = self.now();
-        self.control.look_at_zones(now)
+        self.control.observe_zones(now)
     }
 
     /// What was decided for this gatekeeper's zone, or that it still stands.
-    pub fn guide(&mut self, guide: Guide) {
-        self.event(Event::Guide(guide));
+    pub fn guide(&mut self, guide: RoutingSnapshot) {
+        self.event(Event::RoutingSnapshot(guide));
     }
 }
--- a/src/bin/frostvale/link.rs
+++ b/src/bin/frostvale/link.rs
@@ -3,9 +3,9 @@
 use crate::acts::{AUDIT, Audit, Fixed};
 use crate::ask::{self, CUSTOMERS, WAIT_MOST};
 use crate::fences::{Fences, PLANS};
-use crate::gateway::{Agents, Asker, Gateway, Shared};
+use crate::gatekeeper::{Agents, Asker, Gatekeeper, Shared};
 use crate::zones::{ZONES, Zones};
-use frostvale::{Level, Name, Request};
+use frostvale::{BucketSnapshot, Name, Request};
 use frostvale_link::VERSION;
 use frostvale_link::left;
 use frostvale_link::node::{Host, Peer, UNREAD_MOST};
@@ -83,7 +83,7 @@
                 hands.held.insert(tag, request);
                 hands.ages.push_back((Instant::now(), tag));
             }
-            // Counted once this call is over: it comes from within the gateway.
+            // Counted once this call is over: it comes from within the gatekeeper.
             Some((_, request, _)) => hands.decided.push((request, granted)),
             None => {}
         }
@@ -122,7 +122,7 @@
 
 /// All agents that are linked.
 pub struct Links {
-    gateway: Shared,
+    gatekeeper: Shared,
     name: String,
     started_ms: u64,
     ahead: i64,
@@ -160,7 +160,7 @@
 impl Links {
     /// `ahead`: ms to add to this host's clock.
     pub fn new(
-        gateway: Shared,
+        gatekeeper: Shared,
         name: String,
         socket: PathBuf,
         ahead: i64,
@@ -170,7 +170,7 @@
         let unix = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
         let started_ms = u64::try_from(unix.as_millis()).unwrap_or(0).saturating_add_signed(ahead);
         let links = Rc::new(Links {
-            gateway,
+            gatekeeper,
             name,
             started_ms,
             ahead,
@@ -185,7 +185,7 @@
             socket,
             ended: Cell::new(false),
         });
-        links.gateway.borrow_mut().set_agents(links.clone());
+        links.gatekeeper.borrow_mut().set_agents(links.clone());
         links
     }
 
@@ -199,13 +199,13 @@
     fn count(&self, line: &Line) {
         let decided = std::mem::take(&mut line.hands.borrow_mut().decided);
         if !decided.is_empty() {
-            let mut gateway = self.gateway.borrow_mut();
-            decided.iter().for_each(|(request, granted)| gateway.used(request, *granted));
+            let mut gatekeeper = self.gatekeeper.borrow_mut();
+            decided.iter().for_each(|(request, granted)| gatekeeper.used(request, *granted));
         }
     }
 
     fn now_ms(&self) -> u64 {
-        (self.gateway.borrow().now().max(0.0) as u64).saturating_add_signed(self.ahead)
+        (self.gatekeeper.borrow().now().max(0.0) as u64).saturating_add_signed(self.ahead)
     }
 
     /// Closes the use so far and reports it.
@@ -214,7 +214,7 @@
         lines.iter().for_each(|line| self.count(line));
         let now_ms = self.now_ms();
         let fresh: Vec<UseBatch> =
-            self.gateway.borrow_mut().usage().map_or(Vec::new(), |usage| usage.close(now_ms, last));
+            self.gatekeeper.borrow_mut().usage().map_or(Vec::new(), |usage| usage.close(now_ms, last));
         if let Some(line) = self.keeper() {
             fresh.into_iter().for_each(|batch| line.peer.report_use(batch));
         }
@@ -234,7 +234,7 @@
             if Instant::now() >= again {
                 again = Instant::now() + AGAIN;
                 // An agent without room takes nothing and says nothing.
-                if let Some(usage) = self.gateway.borrow_mut().usage() {
+                if let Some(usage) = self.gatekeeper.borrow_mut().usage() {
                     usage.overdue(AGAIN_AT_ONCE).for_each(|batch| line.peer.report_use(batch.clone()));
                 }
             }
@@ -246,16 +246,16 @@
 
     /// The task that reports what is seen of zones.
     pub async fn look_at_zones(self: Rc<Self>, every: Duration) {
-        self.gateway.borrow_mut().watch_zones(true);
+        self.gatekeeper.borrow_mut().watch_zones(true);
         loop {
             sleep(every).await;
             let Some(zones) = &self.zones else { return };
             // Looked at in any case: what nobody took is old by the next time.
-            let sight = self.gateway.borrow_mut().look_at_zones();
+            let sight = self.gatekeeper.borrow_mut().observe_zones();
             let lines = self.lines.borrow();
             let takes = |l: &&Rc<Line>| l.zones && !l.leaving.get();
             if let Some(line) = lines.values().filter(takes).max_by_key(|l| l.peer.number) {
-                line.peer.zones(zones.borrow().seen(&self.gateway.borrow(), sight));
+                line.peer.zones(zones.borrow().seen(&self.gatekeeper.borrow(), sight));
             }
         }
     }
@@ -277,12 +277,12 @@
         if takes.peek().is_none() {
             return;
         }
-        let (gateway, fences) = (self.gateway.borrow(), self.fences.borrow());
-        let plans = plans(&gateway);
+        let (gatekeeper, fences) = (self.gatekeeper.borrow(), self.fences.borrow());
+        let plans = plans(&gatekeeper);
         let zones = self.zones.as_ref().map(RefCell::borrow);
         let in_effect = zones.as_ref().map_or((0, ""), |z| z.in_effect());
-        let now_ms = (gateway.now().max(0.0) as u64).saturating_add_signed(self.ahead);
-        let acts = audit.tell(now_ms, &gateway, (self.revision.get(), &plans), in_effect, fences.epochs());
+        let now_ms = (gatekeeper.now().max(0.0) as u64).saturating_add_signed(self.ahead);
+        let acts = audit.tell(now_ms, &gatekeeper, (self.revision.get(), &plans), in_effect, fences.epochs());
         takes.for_each(|line| line.peer.acts(acts.clone()));
     }
 
@@ -308,13 +308,13 @@
 
     /// Tells of stores that have changed since they were told of, of so many parts from one on.
     fn tell_levels(&self, peer: &Peer, part: usize, most: usize) -> Option<usize> {
-        let (levels, next) = self.gateway.borrow().levels(part, most);
+        let (levels, next) = self.gatekeeper.borrow().levels(part, most);
         let mut told = self.told.borrow_mut();
         if told.len() > TOLD_STORES {
             told.clear();
         }
         for l in levels {
-            if told.insert(l.key, l.seen) != Some(l.seen) {
+            if told.insert(l.key, l.last_seen) != Some(l.last_seen) {
                 peer.level(level_word(&l));
             }
         }
@@ -324,7 +324,7 @@
     /// The last word of this life: all use, and what all stores hold. Waits until an agent has it, not for ever; what
     /// none has by then is left in a file beside the socket, for the next agent.
     pub async fn last_word(&self) {
-        if self.gateway.borrow_mut().usage().is_none() {
+        if self.gatekeeper.borrow_mut().usage().is_none() {
             return;
         }
         self.ended.set(true);
@@ -347,7 +347,7 @@
         let until = Instant::now() + LAST_WORD;
         while Instant::now() < until
             && self.keeper().is_some()
-            && !self.gateway.borrow_mut().usage().is_none_or(|u| u.settled())
+            && !self.gatekeeper.borrow_mut().usage().is_none_or(|u| u.settled())
         {
             sleep(Duration::from_millis(5)).await;
         }
@@ -357,15 +357,15 @@
     /// Leaves what no agent has kept.
     fn leave_word(&self) {
         let welcome = self.welcome();
-        let mut gateway = self.gateway.borrow_mut();
+        let mut gatekeeper = self.gatekeeper.borrow_mut();
         let mut levels = Vec::new();
         let mut part = Some(0);
         while let Some(from) = part.filter(|_| levels.len() < TOLD_STORES) {
-            let (some, next) = gateway.levels(from, LOOK_AT);
+            let (some, next) = gatekeeper.levels(from, LOOK_AT);
             levels.extend(some.iter().map(level_word));
             part = next;
         }
-        let Some(usage) = gateway.usage().filter(|usage| !usage.settled()) else { return };
+        let Some(usage) = gatekeeper.usage().filter(|usage| !usage.settled()) else { return };
         let [passed, refused, served] = usage.sums().map(|milli| milli as f64 / 1000.0);
         let (from_ms, to_ms) = usage.span();
         let (name, what) = (&self.name, format!("units passed {passed}, refused {refused}, served {served}"));
@@ -401,8 +401,8 @@
 
     /// What a check asks for; the text names the field that is wrong and what it may be.
     fn read(&self, check: &Check) -> Result<Request, String> {
-        let gateway = self.gateway.borrow();
-        let settings = &gateway.settings;
+        let gatekeeper = self.gatekeeper.borrow();
+        let settings = &gatekeeper.settings;
         let below = |name: &str, value: u32, most: usize| {
             let at = usize::try_from(value).unwrap_or(usize::MAX);
             if at < most { Ok(at) } else { Err(format!("{name} {value}: below {most}")) }
@@ -414,8 +414,8 @@
         if !(1..=most).contains(&check.units_milli) {
             return Err(format!("units: over 0 and at most {}", most as f64 / 1000.0));
         }
-        if !(1..=settings.gateways).contains(&check.spread) {
-            return Err(format!("spread {}: 1 to {}", check.spread, settings.gateways));
+        if !(1..=settings.gatekeepers).contains(&check.spread) {
+            return Err(format!("spread {}: 1 to {}", check.spread, settings.gatekeepers));
         }
         if !(1..=WAIT_MOST as u32).contains(&check.within_ms) {
             return Err(format!("within_ms: 1 to {WAIT_MOST}"));
@@ -426,53 +426,53 @@
             class: below("class", check.class, settings.classes.len())?,
             plan: below("plan", check.plan, settings.plans.len())?,
             units: check.units_milli as f64 / 1000.0,
-            first: below("first", check.first, settings.gateways as usize).map(|_| check.first)?,
+            first: below("first", check.first, settings.gatekeepers as usize).map(|_| check.first)?,
             spread: check.spread,
-            give_up: 0.0,
-            repeat: false,
+            deadline: 0.0,
+            is_retry: false,
         })
     }
 }
 
 /// What a store holds, rounded down, as the link writes it.
-fn level_word(l: &Level) -> LevelWord {
+fn level_word(l: &BucketSnapshot) -> LevelWord {
     let milli = |units: f64| (units * 1000.0).floor().clamp(-1e15, 1e15);
     LevelWord {
         key: l.key,
         plan: u32::try_from(l.plan).unwrap_or(u32::MAX),
-        store_milli: milli(l.store).max(0.0) as u64,
-        ceiling_milli: milli(l.ceiling) as i64,
+        store_milli: milli(l.quota_tokens).max(0.0) as u64,
+        ceiling_milli: milli(l.ceiling_tokens) as i64,
     }
 }
 
 /// The plans as they are now.
-fn plans(gateway: &Gateway) -> Vec<Plan> {
-    let (conf, settings) = (&gateway.conf, &gateway.settings);
-    let plan = |(c, p): (&frostvale::ConfPlan, &frostvale::Plan)| Plan {
+fn plans(gatekeeper: &Gatekeeper) -> Vec<Plan> {
+    let (conf, settings) = (&gatekeeper.conf, &gatekeeper.settings);
+    let plan = |(c, p): (&frostvale::RawPlan, &frostvale::Plan)| Plan {
         name: c.name.clone(),
         rate_milli: milli(p.rate),
         burst_milli: milli(p.burst),
         ceiling_rate_milli: milli(p.ceiling_rate),
         ceiling_burst_milli: milli(p.ceiling_burst),
         ceiling_slack_milli: milli(p.ceiling_slack),
-        open: p.open,
+        open: p.max_in_flight,
     };
     conf.plans.iter().zip(&settings.plans).map(plan).collect()
 }
 
 impl Host for Links {
     fn welcome(&self) -> Welcome {
-        let gateway = self.gateway.borrow();
-        let (conf, settings) = (&gateway.conf, &gateway.settings);
+        let gatekeeper = self.gatekeeper.borrow();
+        let (conf, settings) = (&gatekeeper.conf, &gatekeeper.settings);
         Welcome {
             version: VERSION,
             name: self.name.clone(),
             started_ms: self.started_ms,
-            me: settings.me,
-            gateways: settings.gateways,
-            plans: plans(&gateway),
+            me: settings.own_index,
+            gateways: settings.gatekeepers,
+            plans: plans(&gatekeeper),
             classes: conf.classes.iter().map(|c| c.name.clone()).collect(),
-            largest_milli: milli(settings.largest),
+            largest_milli: milli(settings.max_request_units),
             nonce: self.fences.borrow().nonce(),
         }
     }
@@ -489,7 +489,7 @@
         };
         if hello.record {
             // What another agent, or this one's former life, has not kept.
-            if let Some(usage) = self.gateway.borrow_mut().usage() {
+            if let Some(usage) = self.gatekeeper.borrow_mut().usage() {
                 usage.waiting().cloned().for_each(|batch| peer.report_use(batch));
             }
             self.told.borrow_mut().clear();
@@ -499,7 +499,7 @@
         for (shop, (first, spread)) in sets.young.iter().take(TOLD_MOST) {
             peer.seen(Seen { shop: shop.to_string(), first: *first, spread: *spread });
         }
-        if let Some((breaker, counts)) = self.gateway.borrow().outside_state() {
+        if let Some((breaker, counts)) = self.gatekeeper.borrow().outside_state() {
             peer.outside_state(state(breaker, counts));
         }
         // A name comes from outside: what can't be printed would spoil the log.
@@ -530,7 +530,8 @@
             Err(what) => return refuse(Code::Invalid, what),
         };
         line.hands.borrow_mut().waiting.insert(check.id, (0, request.clone(), check.hold));
-        let id = self.gateway.borrow_mut().check(request, f64::from(check.within_ms), check.id, line.clone());
+        let id =
+            self.gatekeeper.borrow_mut().check(request, f64::from(check.within_ms), check.id, line.clone());
         // Unless it is decided by now, its own number is needed to call it off.
         if let Some(entry) = line.hands.borrow_mut().waiting.get_mut(&check.id) {
             entry.0 = id;
@@ -542,8 +543,8 @@
         let Some(line) = self.line(peer) else { return };
         let held = line.hands.borrow_mut().held.remove(&settle.id);
         match held {
-            Some(request) if settle.keep => self.gateway.borrow_mut().used(&request, true),
-            Some(request) => self.gateway.borrow_mut().unused(request),
+            Some(request) if settle.keep => self.gatekeeper.borrow_mut().used(&request, true),
+            Some(request) => self.gatekeeper.borrow_mut().unused(request),
             None => {}
         }
     }
@@ -556,11 +557,11 @@
             VerdictWord::Over => Verdict::Over { reset_ms: verdict.reset_ms as f64 },
             VerdictWord::Failed | VerdictWord::Unknown => Verdict::Failed,
         };
-        self.gateway.borrow_mut().outside_verdict(verdict.id, said);
+        self.gatekeeper.borrow_mut().outside_verdict(verdict.id, said);
     }
 
     fn use_kept(&self, _peer: &Rc<Peer>, kept: &[UseKept]) {
-        if let Some(usage) = self.gateway.borrow_mut().usage() {
+        if let Some(usage) = self.gatekeeper.borrow_mut().usage() {
             // Those of a former life are none of this one's.
             kept.iter().filter(|k| k.started_ms == self.started_ms).for_each(|k| usage.kept(&k.seqs));
         }
@@ -576,11 +577,11 @@
         if !self.admitted(peer, PLANS, sent.fence.as_ref(), "plans") {
             return;
         }
-        let mut gateway = self.gateway.borrow_mut();
+        let mut gatekeeper = self.gatekeeper.borrow_mut();
         // An agent that comes back may know less than another has told meanwhile.
         if sent.revision < self.revision.get() {
             let error = format!("revision {} is in effect here", self.revision.get());
-            let plans = plans(&gateway);
+            let plans = plans(&gatekeeper);
             return peer.plans_taken(PlansTaken {
                 revision: self.revision.get(),
                 plans,
@@ -588,14 +589,15 @@
                 unknown: Vec::new(),
             });
         }
-        let mut figures = gateway.settings.plans.clone();
+        let mut figures = gatekeeper.settings.plans.clone();
         let mut unknown = Vec::new();
         for plan in &sent.plans {
             let units = |milli: u64| milli as f64 / 1000.0;
-            match gateway.conf.plans.iter().position(|c| c.name == plan.name) {
+            match gatekeeper.conf.plans.iter().position(|c| c.name == plan.name) {
                 Some(at) => {
                     let p = &mut figures[at];
-                    (p.rate, p.burst, p.open) = (units(plan.rate_milli), units(plan.burst_milli), plan.open);
+                    (p.rate, p.burst, p.max_in_flight) =
+                        (units(plan.rate_milli), units(plan.burst_milli), plan.open);
                     (p.ceiling_rate, p.ceiling_burst) =
                         (units(plan.ceiling_rate_milli), units(plan.ceiling_burst_milli));
                     p.ceiling_slack = units(plan.ceiling_slack_milli);
@@ -604,20 +606,20 @@
             }
         }
         // What was decided so far was under the plans before.
-        let now_ms = (gateway.now().max(0.0) as u64).saturating_add_signed(self.ahead);
-        let turn_to = |gateway: &mut Gateway, revision: u64| {
-            let closed = gateway.usage().map_or(Vec::new(), |u| u.turn_to(revision, now_ms));
+        let now_ms = (gatekeeper.now().max(0.0) as u64).saturating_add_signed(self.ahead);
+        let turn_to = |gatekeeper: &mut Gatekeeper, revision: u64| {
+            let closed = gatekeeper.usage().map_or(Vec::new(), |u| u.turn_to(revision, now_ms));
             if let Some(line) = self.keeper() {
                 closed.into_iter().for_each(|batch| line.peer.report_use(batch));
             }
         };
         let before = self.revision.get();
         if sent.revision != before {
-            turn_to(&mut gateway, sent.revision);
+            turn_to(&mut gatekeeper, sent.revision);
         }
-        let taken = if self.keeps_plans { Ok(()) } else { gateway.set_plans(figures) };
+        let taken = if self.keeps_plans { Ok(()) } else { gatekeeper.set_plans(figures) };
         if taken.is_err() && sent.revision != before {
-            turn_to(&mut gateway, before);
+            turn_to(&mut gatekeeper, before);
         }
         if taken.is_ok() {
             if self.revision.replace(sent.revision) != sent.revision {
@@ -634,9 +636,9 @@
                 sent.revision
             );
         }
-        let (plans, revision) = (plans(&gateway), self.revision.get());
+        let (plans, revision) = (plans(&gatekeeper), self.revision.get());
         peer.plans_taken(PlansTaken { revision, unknown, plans, error: taken.err().unwrap_or_default() });
-        drop(gateway);
+        drop(gatekeeper);
         self.tell_now();
     }
 
@@ -646,10 +648,10 @@
         {
             return;
         }
-        let me = self.gateway.borrow().settings.me;
+        let me = self.gatekeeper.borrow().settings.own_index;
         let taken = self.audit.borrow_mut().as_mut().map(|a| a.shut(&self.name, me, &shut));
         match taken {
-            Some(Ok(word)) => self.gateway.borrow_mut().shut(word),
+            Some(Ok(word)) => self.gatekeeper.borrow_mut().shut(word),
             Some(Err(why)) => {
                 let version = shut.version;
                 tracing::warn!(
@@ -668,7 +670,7 @@
         if !self.admitted(peer, ZONES, guide.fence.as_ref(), "decisions on zones") {
             return;
         }
-        let taken = zones.borrow_mut().take(&mut self.gateway.borrow_mut(), &guide);
+        let taken = zones.borrow_mut().take(&mut self.gatekeeper.borrow_mut(), &guide);
         if let Err(why) = taken {
             let version = guide.version;
             tracing::warn!(
@@ -680,14 +682,14 @@
     }
 
     fn levels(&self, _peer: &Rc<Peer>, levels: &[LevelWord]) {
-        let level = |l: &LevelWord| Level {
+        let level = |l: &LevelWord| BucketSnapshot {
             key: l.key,
             plan: l.plan as usize,
-            store: l.store_milli as f64 / 1000.0,
-            ceiling: l.ceiling_milli as f64 / 1000.0,
-            seen: 0.0,
+            quota_tokens: l.store_milli as f64 / 1000.0,
+            ceiling_tokens: l.ceiling_milli as f64 / 1000.0,
+            last_seen: 0.0,
         };
-        self.gateway.borrow_mut().restore(levels.iter().map(level).collect());
+        self.gatekeeper.borrow_mut().restore(levels.iter().map(level).collect());
     }
 
     fn agent_stops(&self, peer: &Rc<Peer>) {
@@ -695,7 +697,7 @@
         // Reported to this one even now, if there is no other.
         self.close(false);
         line.leaving.set(true);
-        let number = self.gateway.borrow_mut().usage().map_or(0, |usage| usage.last());
+        let number = self.gatekeeper.borrow_mut().usage().map_or(0, |usage| usage.last());
         peer.reported(number);
     }
 
@@ -710,12 +712,12 @@
         let waiting = std::mem::take(&mut line.hands.borrow_mut().waiting);
         let held = std::mem::take(&mut line.hands.borrow_mut().held);
         self.count(&line);
-        let mut gateway = self.gateway.borrow_mut();
+        let mut gatekeeper = self.gatekeeper.borrow_mut();
         // Nobody is left to say that they are not used.
-        held.values().for_each(|request| gateway.used(request, true));
-        gateway.leave(waiting.into_values().map(|(id, ..)| id));
+        held.values().for_each(|request| gatekeeper.used(request, true));
+        gatekeeper.leave(waiting.into_values().map(|(id, ..)| id));
         if line.outside && !self.linked() {
-            gateway.unlinked();
+            gatekeeper.unlinked();
         }
     }
 }
@@ -743,7 +745,7 @@
     }
 
     fn ask_outside(&self, call: u64, request: &Request, within: f64) -> bool {
-        // Not through `self.gateway`: it is in the middle of this call.
+        // Not through `self.gatekeeper`: it is in the middle of this call.
         let lines = self.lines.borrow();
         let Some(line) = lines.values().filter(|line| line.outside).min_by_key(|line| line.peer.number)
         else {
--- a/src/bin/frostvale/main.rs
+++ b/src/bin/frostvale/main.rs
@@ -13,7 +13,7 @@
 mod event_loop;
 mod extra;
 mod fences;
-mod gateway;
+mod gatekeeper;
 mod link;
 mod metrics;
 mod peers;
@@ -30,7 +30,7 @@
 use config::Config;
 use extra::Extra;
 use frostvale_outside::Consult;
-use gateway::{Gateway, Shared};
+use gatekeeper::{Gatekeeper, Shared};
 use link::Links;
 use metrics::Metrics;
 use peers::Peers;
@@ -106,7 +106,7 @@
     let mut term = signal(SignalKind::terminate()).map_err(|e| format!("cannot await SIGTERM: {e}"))?;
     let mut int = signal(SignalKind::interrupt()).map_err(|e| format!("cannot await SIGINT: {e}"))?;
     let (mut config, extra) = told(false)?;
-    let (name, me) = (std::mem::take(&mut config.name), config.settings.me);
+    let (name, me) = (std::mem::take(&mut config.name), config.settings.own_index);
     frostvale_log::init("frostvale", ("instance", &name), extra.log.format, &extra.log.level)?;
     let listen = config.listen;
     let peers = match config.peer_listen {
@@ -123,19 +123,19 @@
     let (moved, discovery) = watch::channel(config.discovery);
     let clients = Clients::new(config.sockets * CLIENT_PART / 100, config.memory_part(), run_queue.clone());
     let places = config.sockets * WORKER_PART / 100;
-    let gateway = Gateway::new(config, peers.clone(), places).map_err(|e| e.to_string())?;
+    let gatekeeper = Gatekeeper::new(config, peers.clone(), places).map_err(|e| e.to_string())?;
     let consult = move |extra: &Extra| {
         let settings = extra.outside.clone();
         settings.map(|s| Consult::new(s, seed)).transpose().map_err(|e| format!("outside.{e}"))
     };
-    gateway.borrow_mut().set_outside(consult(&extra)?);
+    gatekeeper.borrow_mut().set_outside(consult(&extra)?);
     let (agents, socket) = extra.link.map_or((0, PathBuf::new()), |link| (link.agents, link.socket));
     let audit = extra.audit.as_ref().map(|part| (part.report(), part.fault_keeps_plans));
     let fixed = Fixed { platform: platform.clone(), own: extra.digest.clone() };
     let links = door.map(|door| {
         let zones = extra.zones.is_some();
         let keeps = audit.is_some_and(|(_, keeps)| keeps);
-        let links = Links::new(gateway.clone(), name.clone(), socket, extra.clock_ahead_ms, zones, keeps);
+        let links = Links::new(gatekeeper.clone(), name.clone(), socket, extra.clock_ahead_ms, zones, keeps);
         if let Some((every, _)) = audit {
             spawn_local(links.clone().tell_acts(every, fixed));
         }
@@ -143,14 +143,14 @@
             spawn_local(links.clone().look_at_zones(zones.report()));
         }
         if let Some(usage) = &extra.usage {
-            gateway.borrow_mut().count_use(extra.clock_ahead_ms);
+            gatekeeper.borrow_mut().count_use(extra.clock_ahead_ms);
             spawn_local(links.clone().report(usage.report()));
         }
         spawn_local(frostvale_link::node::serve(door, links.clone(), agents));
         links
     });
     if let Some(list) = known
-        && let Err(error) = gateway::apply_known(&gateway, list.get().as_bytes())
+        && let Err(error) = gatekeeper::apply_known(&gatekeeper, list.get().as_bytes())
     {
         tracing::warn!("the known endpoints are passed over: {error}");
     }
@@ -159,15 +159,15 @@
     let listen = listener.local_addr().unwrap_or(listen);
     run_queue.woke();
     let news = Rc::new(Notify::new());
-    gateway.borrow_mut().news = news.clone();
+    gatekeeper.borrow_mut().news = news.clone();
     if let Some(peers) = peers {
-        let heard = gateway.clone();
+        let heard = gatekeeper.clone();
         spawn_local(peers.listen(me, move |from, text| heard.borrow_mut().note(from, text)));
     }
-    spawn_local(Gateway::keep_time(gateway.clone()));
+    spawn_local(Gatekeeper::keep_time(gatekeeper.clone()));
     spawn_local(clients.clone().keep_time());
-    spawn_local(event_loop::watch(gateway.clone()));
-    spawn_local(log_metrics(gateway.clone()));
+    spawn_local(event_loop::watch(gatekeeper.clone()));
+    spawn_local(log_metrics(gatekeeper.clone()));
     spawn_local(async {
         loop {
             sleep(LOG_TURN).await;
@@ -176,8 +176,8 @@
     });
     // Gatekeepers may have been given one seed.
     let backoff = backoff::Backoff::new(seed ^ u64::from(me) << 32);
-    spawn_local(discovery::follow(gateway.clone(), discovery, backoff));
-    let reloaded = gateway.clone();
+    spawn_local(discovery::follow(gatekeeper.clone(), discovery, backoff));
+    let reloaded = gatekeeper.clone();
     let mut outside = extra.outside;
     let (heard, mut own) = (links.clone(), extra.digest);
     spawn_local(async move {
@@ -213,21 +213,21 @@
             _ = int.recv() => {}
         }
     };
-    serve_until(stop, &clients, &listener, &gateway, &news, &format!("{name} serves at {listen}")).await;
+    serve_until(stop, &clients, &listener, &gatekeeper, &news, &format!("{name} serves at {listen}")).await;
     tracing::info!("{name} stops");
     if let Some(links) = &links {
         links.stop();
     }
-    shutdown::graceful(&clients, listener, &gateway).await;
+    shutdown::graceful(&clients, listener, &gatekeeper).await;
     // The last attempts of clients that have left need no answer; the last bytes to clients are the kernel's.
-    while !gateway.borrow().settled() {
+    while !gatekeeper.borrow().settled() {
         sleep(Duration::from_millis(5)).await;
     }
     // Nothing is sent on any more, so nothing more can become use.
     if let Some(links) = &links {
         links.last_word().await;
     }
-    gateway.borrow().metrics.log();
+    gatekeeper.borrow().metrics.log();
     frostvale_log::end();
     Ok(())
 }
@@ -238,31 +238,31 @@
     stop: impl Future<Output = ()>,
     clients: &Rc<Clients>,
     listener: &TcpListener,
-    gateway: &Shared,
+    gatekeeper: &Shared,
     first_list: &Notify,
     serving: &str,
 ) {
     let begin = async {
         let _ = timeout(FIRST_LIST, first_list.notified()).await;
-        gateway.borrow_mut().begin_serving();
+        gatekeeper.borrow_mut().begin_serving();
         tracing::info!("{serving}");
         std::future::pending::<()>().await;
     };
     tokio::select! {
         () = stop => {}
-        () = clients.clone().accept(listener, gateway.clone()) => {}
+        () = clients.clone().accept(listener, gatekeeper.clone()) => {}
         () = begin => {}
     }
     // What is held is answered before the end, by what is known.
-    gateway.borrow_mut().begin_serving();
+    gatekeeper.borrow_mut().begin_serving();
 }
 
 /// Logs the counts now and then, where they have changed.
-async fn log_metrics(gateway: Shared) {
+async fn log_metrics(gatekeeper: Shared) {
     let mut logged = Metrics::default();
     loop {
         sleep(METRICS_PERIOD).await;
-        let metrics = gateway.borrow().metrics.clone();
+        let metrics = gatekeeper.borrow().metrics.clone();
         if metrics != logged {
             metrics.log();
             logged = metrics;
--- a/src/bin/frostvale/shutdown.rs
+++ b/src/bin/frostvale/shutdown.rs
@@ -7,7 +7,7 @@
 
 use crate::client::Life;
 use crate::clients::Clients;
-use crate::gateway::Shared;
+use crate::gatekeeper::Shared;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::net::TcpListener;
@@ -21,12 +21,12 @@
 const TURN: Duration = Duration::from_millis(50);
 
 /// Ends all clients' connections in order. What they have sent by then is answered.
-pub async fn graceful(clients: &Rc<Clients>, listener: TcpListener, gateway: &Shared) {
+pub async fn graceful(clients: &Rc<Clients>, listener: TcpListener, gatekeeper: &Shared) {
     let began = Instant::now();
-    let _ = timeout_at(began + ACCEPT, clients.clone().accept(&listener, gateway.clone())).await;
+    let _ = timeout_at(began + ACCEPT, clients.clone().accept(&listener, gatekeeper.clone())).await;
     clients.all_to(Life::Stopping);
     let ended = async {
-        clients.accept_rest(&listener, gateway).await;
+        clients.accept_rest(&listener, gatekeeper).await;
         drop(listener);
         clients.all_left().await;
     };
--- a/src/bin/frostvale/workers.rs
+++ b/src/bin/frostvale/workers.rs
@@ -4,7 +4,7 @@
 use crate::budget::{Budget, Share};
 use crate::endpoint_update::EndpointState;
 use crate::resp::{self, Reply, VALUE_MOST};
-use frostvale::{Health, Name, Report};
+use frostvale::{Health, LoadReport, Name};
 use socket2::SockRef;
 use std::borrow::Cow;
 use std::cell::{Cell, OnceCell};
@@ -414,9 +414,9 @@
 /// What an error line says.
 pub enum Refusal {
     /// Turned away unseen: only this exact word, with a report or none, means that it never ran.
-    Busy(Option<Report>),
+    Busy(Option<LoadReport>),
     /// A failure in the worker's own words.
-    Failed(Option<Report>),
+    Failed(Option<LoadReport>),
     /// No line that a worker writes.
     Other,
 }
@@ -436,19 +436,19 @@
 
 /// A load report: names, as the settings' `LoadReport.Columns` has them or in the protocol's short form, and figures.
 /// What can't be read is passed over.
-pub fn report(text: &[u8]) -> Option<Report> {
-    let mut report = Report::default();
+pub fn report(text: &[u8]) -> Option<LoadReport> {
+    let mut report = LoadReport::default();
     for pair in std::str::from_utf8(text).ok()?.split(',') {
         let Some((name, figure)) = pair.split_once('=') else { continue };
         let figure = figure.parse().ok().filter(|x: &f64| x.is_finite() && *x >= 0.0);
         match name {
             "outstanding" | "inflight" => report.in_flight = figure,
-            "utilization" | "util" => report.busy = figure,
-            "throughput" | "qps" => report.served = figure,
+            "utilization" | "util" => report.cpu_utilization = figure,
+            "throughput" | "qps" => report.requests_per_second = figure,
             _ => {}
         }
     }
-    (report != Report::default()).then_some(report)
+    (report != LoadReport::default()).then_some(report)
 }
 
 #[cfg(test)]
--- a/src/bin/frostvale/zones.rs
+++ b/src/bin/frostvale/zones.rs
@@ -1,7 +1,7 @@
 //! Decisions on zones as they come over the link, and what is reported of zones. Names on the wire, numbers inside.
 
-use crate::gateway::Gateway;
-use frostvale::{Guide, Part, Sight};
+use crate::gatekeeper::Gatekeeper;
+use frostvale::{RoutingSnapshot, ZoneObservation, ZoneShare};
 use frostvale_link::proto::{ZoneLine, ZonePlace, ZoneRow, ZonesGuide, ZonesSeen};
 use std::time::{Duration, Instant};
 
@@ -27,7 +27,7 @@
 }
 
 /// The row of this gatekeeper's zone, as the module takes it.
-fn guide_of(areas: &[String], home: u32, word: &ZonesGuide) -> Result<Guide, String> {
+fn guide_of(areas: &[String], home: u32, word: &ZonesGuide) -> Result<RoutingSnapshot, String> {
     let own = name(areas, home);
     if word.rows.len() > ZONES_MOST {
         return Err(format!("rows: {ZONES_MOST} at the most"));
@@ -37,7 +37,8 @@
     if rows.next().is_some() {
         return Err(format!("rows: zone {own} is there twice"));
     }
-    let part = |start: u32, end: u32| Part { start: f64::from(start) / 1000.0, end: f64::from(end) / 1000.0 };
+    let part =
+        |start: u32, end: u32| ZoneShare { start: f64::from(start) / 1000.0, end: f64::from(end) / 1000.0 };
     let ZoneRow { near_start_milli, near_end_milli, spill, .. } = row;
     let mut far = Vec::new();
     for s in spill {
@@ -48,13 +49,13 @@
         far.push((at, part(s.start_milli, s.end_milli)));
     }
     let ms = |ms: u64| ms.min(3_600_000) as f64;
-    let guide = Guide {
-        near: part(*near_start_milli, *near_end_milli),
+    let guide = RoutingSnapshot {
+        local: part(*near_start_milli, *near_end_milli),
         spill: far,
-        ramp: ms(word.ramp_ms),
-        age: ms(word.age_ms),
-        hold: ms(word.hold_ms),
-        fade: ms(word.fade_ms),
+        ramp_ms: ms(word.ramp_ms),
+        age_ms: ms(word.age_ms),
+        hold_ms: ms(word.hold_ms),
+        fade_ms: ms(word.fade_ms),
     };
     guide.check().map_err(|e| e.to_string())?;
     Ok(guide)
@@ -66,13 +67,13 @@
 
 impl Zones {
     /// Takes a decision that its fence lets through, or says why not; then nothing has changed.
-    pub fn take(&mut self, gateway: &mut Gateway, word: &ZonesGuide) -> Result<(), String> {
+    pub fn take(&mut self, gatekeeper: &mut Gatekeeper, word: &ZonesGuide) -> Result<(), String> {
         let epoch = word.fence.as_ref().map_or(0, |f| f.epoch);
         if word.version < self.version {
             self.problem = format!("version {} came after {}", word.version, self.version);
             return Err(self.problem.clone());
         }
-        let guide = guide_of(&gateway.conf.areas, gateway.settings.zone, word);
+        let guide = guide_of(&gatekeeper.conf.areas, gatekeeper.settings.zone, word);
         let guide = match guide {
             Ok(guide) => guide,
             Err(why) => {
@@ -98,7 +99,7 @@
                 word.version
             );
         }
-        gateway.guide(guide);
+        gatekeeper.guide(guide);
         Ok(())
     }
 
@@ -109,8 +110,8 @@
     }
 
     /// What is told of a look, and what is in effect.
-    pub fn seen(&self, gateway: &Gateway, sight: Sight) -> ZonesSeen {
-        let areas = &gateway.conf.areas;
+    pub fn seen(&self, gatekeeper: &Gatekeeper, sight: ZoneObservation) -> ZonesSeen {
+        let areas = &gatekeeper.conf.areas;
         let milli = |x: f64| (x.max(0.0) * 1000.0).round().min(1e12) as u64;
         let line = |(zone, class, [attempts, bad, late]): (u32, usize, [u32; 3])| ZoneLine {
             to: name(areas, zone),
@@ -127,10 +128,10 @@
         };
         let holds = self.until.is_some_and(|until| Instant::now() < until);
         ZonesSeen {
-            zone: name(areas, gateway.settings.zone),
-            need_milli: milli(sight.need),
-            lines: sight.lines.into_iter().map(line).collect(),
-            places: sight.places.into_iter().map(place).collect(),
+            zone: name(areas, gatekeeper.settings.zone),
+            need_milli: milli(sight.required_concurrency),
+            lines: sight.attempt_counts.into_iter().map(line).collect(),
+            places: sight.capacity.into_iter().map(place).collect(),
             version: if holds { self.version } else { 0 },
             epoch: if holds { self.epoch } else { 0 },
             problem: self.problem.clone(),
--- a/src/bin/frostvale/zones/tests.rs
+++ b/src/bin/frostvale/zones/tests.rs
@@ -14,8 +14,8 @@
     let word = |rows: Vec<ZoneRow>| ZonesGuide { ramp_ms: 100, hold_ms: 1000, rows, ..ZonesGuide::default() };
     let sound = word(vec![row("a", 0, vec![]), row("b", 200, vec![spill("c", 300), spill("a", 0)])]);
     let guide = guide_of(&areas, 1, &sound).expect("sound");
-    assert_eq!((guide.near, guide.ramp), (Part { start: 0.2, end: 1.0 }, 100.0));
-    assert_eq!(guide.spill[0], (2, Part { start: 0.3, end: 0.3 }));
+    assert_eq!((guide.local, guide.ramp_ms), (ZoneShare { start: 0.2, end: 1.0 }, 100.0));
+    assert_eq!(guide.spill[0], (2, ZoneShare { start: 0.3, end: 0.3 }));
     let bad = [
         ("none is of zone c", 2, sound.clone()),
         ("there twice", 0, word(vec![row("a", 0, vec![]), row("a", 1, vec![])])),
--- a/src/swept.rs
+++ b/src/expiring_map.rs
@@ -1,5 +1,5 @@
 //! A map whose entries stand side by side in parts that never move, and whose idle ones are forgotten a few at a time:
-//! nothing that it does stops the gateway, however many there are. What is idle is decided by who asks.
+//! nothing that it does stops the gatekeeper, however many there are. What is idle is decided by who asks.
 //!
 //! An ordered index of keys beside it, not a hash: its growth moves a few entries at a time, and no choice of names by
 //! a client makes it slow.
@@ -12,7 +12,7 @@
 const NONE: u64 = u64::MAX;
 
 /// The map.
-pub(crate) struct Swept<T> {
+pub(crate) struct ExpiringMap<T> {
     index: BTreeMap<u64, u32>,
     parts: Vec<Vec<(u64, T)>>,
     free: Vec<u32>,
@@ -21,13 +21,13 @@
     next: usize,
 }
 
-impl<T> Default for Swept<T> {
+impl<T> Default for ExpiringMap<T> {
     fn default() -> Self {
-        Swept { index: BTreeMap::new(), parts: Vec::new(), free: Vec::new(), at: 0.0, next: 0 }
+        ExpiringMap { index: BTreeMap::new(), parts: Vec::new(), free: Vec::new(), at: 0.0, next: 0 }
     }
 }
 
-impl<T: Default> Swept<T> {
+impl<T: Default> ExpiringMap<T> {
     #[cfg(test)]
     pub fn len(&self) -> usize {
         self.index.len()
@@ -66,14 +66,14 @@
     }
 
     /// Entries of one part, by its number, with their keys; none past the last part.
-    pub fn part(&self, number: usize) -> Option<impl Iterator<Item = (u64, &T)>> {
+    pub fn chunk(&self, number: usize) -> Option<impl Iterator<Item = (u64, &T)>> {
         let part = self.parts.get(number)?;
         Some(part.iter().filter(|(key, _)| *key != NONE).map(|(key, it)| (*key, it)))
     }
 
     /// Looks at the next part if its time has come, so that all are looked at about every `round` ms, and forgets
     /// what does not stay.
-    pub fn sweep(&mut self, now: f64, round: f64, stays: impl Fn(&T) -> bool) {
+    pub fn evict_idle(&mut self, now: f64, round: f64, stays: impl Fn(&T) -> bool) {
         if (now - self.at) * self.parts.len() as f64 <= round && now - self.at <= round {
             return;
         }
--- a/src/rumors.rs
+++ b/src/failure_gossip.rs
@@ -1,9 +1,9 @@
-//! What many gateways tell each other of servers that fail, so that not each of them must find out by itself.
+//! What many gatekeepers tell each other of servers that fail, so that not each of them must find out by itself.
 //!
-//! A hundred gateways that see five requests a second each meet a given server of sixty once in ten seconds. One that has
-//! died, crawls or fails in no time then takes its full share of requests until every gateway has lost some to it. So
+//! A hundred gatekeepers that see five requests a second each meet a given server of sixty once in ten seconds. One that has
+//! died, crawls or fails in no time then takes its full share of requests until every gatekeeper has lost some to it. So
 //! whoever sees an attempt fail says so to all at once, unless enough others have just said it: a moment drawn by lot lets
-//! a few speak for all. What was said fades in seconds, one gateway counts once, and a server that all speak ill of is
+//! a few speak for all. What was said fades in seconds, one gatekeeper counts once, and a server that all speak ill of is
 //! still tried now and then, so a rumour that is wrong or old rights itself. Where all servers are ill spoken of alike the
 //! choice is as if none were.
 //!
@@ -16,7 +16,7 @@
 
 /// A rumour fades over this time.
 const FADE_MS: f64 = 3000.0;
-/// So many gateways are remembered of those that speak ill of a server, the latest of each.
+/// So many gatekeepers are remembered of those that speak ill of a server, the latest of each.
 const VOICES: usize = 4;
 /// With so much heard from others there is no news in saying it too.
 const ENOUGH: f64 = 1.5;
@@ -27,7 +27,7 @@
 /// How often the average is taken, and of how many servers.
 const USUAL_MS: f64 = 200.0;
 const USUAL_OF: usize = 64;
-/// Notes that one gateway may send at one stroke, and the part of a second's that all may have sent of late: a burst of two
+/// Notes that one gatekeeper may send at one stroke, and the part of a second's that all may have sent of late: a burst of two
 /// from each of three hundred is ten seconds of what everyone takes in, and whatever else is said then is lost.
 const BURST: f64 = 2.0;
 const AIR_PART: f64 = 0.1;
@@ -37,7 +37,7 @@
 const NAMED: usize = 16;
 
 /// A note of rumours begins with this; no other does.
-pub(crate) const MARK: char = '!';
+pub(crate) const GOSSIP_MARK: char = '!';
 
 /// What is said of one server: who spoke ill of it, and when.
 #[derive(Clone, Default)]
@@ -61,14 +61,14 @@
     }
 }
 
-/// What one gateway has heard and seen.
-pub(crate) struct Rumors {
+/// What one gatekeeper has heard and seen.
+pub(crate) struct FailureGossip {
     me: u32,
-    /// Notes a second that this gateway may send to all; nothing is sent or heard where it is 0.
+    /// Notes a second that this gatekeeper may send to all; nothing is sent or heard where it is 0.
     rate: f64,
     left: f64,
     left_at: f64,
-    /// Notes to all a second from all gateways, and those of late, ours and others', as of when. Who hears all that is
+    /// Notes to all a second from all gatekeepers, and those of late, ours and others', as of when. Who hears all that is
     /// said to all knows without asking how much of that everyone had to take in.
     rate_all: f64,
     air: f64,
@@ -89,7 +89,7 @@
     /// Lots of its own, so that those of the decisions stay what they were.
     rng: Pcg64Mcg,
     /// Words that could not be read, or were of nobody we know.
-    pub dropped: u64,
+    pub dropped_entries: u64,
 }
 
 fn micros(ms: f64) -> u64 {
@@ -101,13 +101,13 @@
     name.bytes().fold(0x811c_9dc5, |h, b| (h ^ u32::from(b)).wrapping_mul(0x0100_0193))
 }
 
-impl Rumors {
-    /// For gateway `me` of so many, which together may send so many notes to all a second. With 0 it neither speaks nor
+impl FailureGossip {
+    /// For gatekeeper `me` of so many, which together may send so many notes to all a second. With 0 it neither speaks nor
     /// listens.
-    pub fn new((me, gateways): (u32, u32), rate_all: f64, seed: u64) -> Rumors {
-        Rumors {
+    pub fn new((me, gatekeepers): (u32, u32), rate_all: f64, seed: u64) -> FailureGossip {
+        FailureGossip {
             me,
-            rate: rate_all / f64::from(gateways.max(1)),
+            rate: rate_all / f64::from(gatekeepers.max(1)),
             left: BURST,
             left_at: 0.0,
             rate_all,
@@ -123,12 +123,12 @@
             usual_at: f64::NEG_INFINITY,
             usual_from: 0,
             rng: Pcg64Mcg::seed_from_u64(seed),
-            dropped: 0,
+            dropped_entries: 0,
         }
     }
 
     /// The list names a server, or takes it away. One that has started anew is spoken of anew.
-    pub fn listed(&mut self, name: &str, up: bool, anew: bool) {
+    pub fn server_listed(&mut self, name: &str, up: bool, anew: bool) {
         if self.rate <= 0.0 {
             return;
         }
@@ -144,7 +144,7 @@
 
     /// An attempt of ours has begun that should take so long. Waiting for its end would tell of a server that hangs
     /// only when the client has nothing more of it.
-    pub fn sent(&mut self, now: f64, attempt: u64, name: &Name, expected: f64) {
+    pub fn attempt_sent(&mut self, now: f64, attempt: u64, name: &Name, expected: f64) {
         // Before any answer nothing is known of what to expect.
         if self.rate > 0.0 && expected > 0.0 {
             self.forget(attempt);
@@ -155,7 +155,7 @@
     }
 
     /// It has ended: well, badly, or in a way that says nothing. One that was overdue has been spoken of.
-    pub fn ended(&mut self, now: f64, attempt: u64, name: &str, well: Option<bool>) {
+    pub fn attempt_ended(&mut self, now: f64, attempt: u64, name: &str, well: Option<bool>) {
         let watched = self.forget(attempt);
         match well {
             Some(true) if watched.is_some_and(|(until, _)| micros(now) < until) => self.good(now, name),
@@ -204,21 +204,21 @@
         self.news.remove(&id);
     }
 
-    /// Another gateway's words. What can't be read, names too many or nobody we know changes nothing.
-    pub fn hear(&mut self, now: f64, from: u32, text: &str) {
-        let text = text.strip_prefix(MARK).unwrap_or_default();
+    /// Another gatekeeper's words. What can't be read, names too many or nobody we know changes nothing.
+    pub fn receive(&mut self, now: f64, from: u32, text: &str) {
+        let text = text.strip_prefix(GOSSIP_MARK).unwrap_or_default();
         if self.rate <= 0.0 || from == self.me {
             return;
         }
         self.aired(now);
         if text.split(',').nth(NAMED).is_some() {
-            self.dropped += 1;
+            self.dropped_entries += 1;
             return;
         }
         for word in text.split(',') {
             let id = u32::from_str_radix(word, 16).ok().filter(|_| word.len() <= 8);
             let Some((id, talk)) = id.and_then(|id| Some((id, self.known.get_mut(&id)?))) else {
-                self.dropped += 1;
+                self.dropped_entries += 1;
                 continue;
             };
             talk.put(from, now);
@@ -239,7 +239,7 @@
     }
 
     /// The note to all that is due, if one is.
-    pub fn due(&mut self, now: f64) -> Option<String> {
+    pub fn take_due_message(&mut self, now: f64) -> Option<String> {
         if self.rate <= 0.0 {
             return None;
         }
@@ -274,12 +274,12 @@
         self.due = f64::INFINITY;
         let ids = std::mem::take(&mut self.news);
         let ids: Vec<String> = ids.iter().map(|id| format!("{id:x}")).collect();
-        Some(format!("{MARK}{}", ids.join(",")))
+        Some(format!("{GOSSIP_MARK}{}", ids.join(",")))
     }
 
-    /// In how many ms the host should wake us for what is due or overdue next, unless it does so soon enough: a gateway
+    /// In how many ms the host should wake us for what is due or overdue next, unless it does so soon enough: a gatekeeper
     /// that sees little must not keep its news until its next request.
-    pub fn wake(&mut self, now: f64) -> Option<f64> {
+    pub fn next_wakeup_ms(&mut self, now: f64) -> Option<f64> {
         let overdue = self.by_time.first().map_or(f64::INFINITY, |(until, _)| *until as f64 / 1000.0);
         let next = self.due.min(overdue);
         let pending = if self.woken_at > now { self.woken_at } else { f64::INFINITY };
@@ -291,7 +291,7 @@
     }
 
     /// How ill a server is spoken of: 0 not at all, 1 for each fresh voice.
-    pub fn of(&self, now: f64, name: &str) -> f64 {
+    pub fn report_score(&self, now: f64, name: &str) -> f64 {
         if self.rate <= 0.0 {
             return 0.0;
         }
--- a/src/outs.rs
+++ b/src/fenced_off.rs
@@ -3,38 +3,38 @@
 
 use std::collections::BTreeSet;
 
-/// Gateways that may be shut out at once.
+/// Gatekeepers that may be shut out at once.
 const OUT_MOST: usize = 1024;
 
 /// Who is shut out.
 #[derive(Debug, Clone, PartialEq, Default)]
-pub struct Shut {
-    /// Whether this gateway is.
-    pub own: bool,
+pub struct FenceOffDecision {
+    /// Whether this gatekeeper is.
+    pub includes_self: bool,
     /// The numbers of the others that are.
     pub others: Vec<u32>,
     /// When clients that are turned away should come back, in ms.
-    pub retry: f64,
+    pub retry_after_ms: f64,
     /// For how long it holds when it is not renewed, in ms.
-    pub hold: f64,
+    pub hold_ms: f64,
 }
 
 /// What stands.
 #[derive(Default)]
-pub(crate) struct Outs {
+pub(crate) struct FencedOff {
     own: Option<f64>,
     others: BTreeSet<u32>,
     until: f64,
 }
 
-impl Outs {
-    pub fn heard(&mut self, now: f64, shut: &Shut) {
-        if !(shut.hold.is_finite() && shut.retry.is_finite()) || shut.others.len() > OUT_MOST {
+impl FencedOff {
+    pub fn apply_decision(&mut self, now: f64, shut: &FenceOffDecision) {
+        if !(shut.hold_ms.is_finite() && shut.retry_after_ms.is_finite()) || shut.others.len() > OUT_MOST {
             return;
         }
-        self.own = shut.own.then_some(shut.retry.max(0.0));
+        self.own = shut.includes_self.then_some(shut.retry_after_ms.max(0.0));
         self.others = shut.others.iter().copied().collect();
-        self.until = now + shut.hold.clamp(0.0, 3.6e6);
+        self.until = now + shut.hold_ms.clamp(0.0, 3.6e6);
     }
 
     fn holds(&self, now: f64) -> bool {
@@ -42,17 +42,17 @@
     }
 
     /// Whether all is to be turned away here.
-    pub fn away(&self, now: f64) -> bool {
+    pub fn is_fenced_off(&self, now: f64) -> bool {
         self.own.is_some() && self.holds(now)
     }
 
     /// When clients should come back; 0 where nothing is to be said.
-    pub fn pause(&self, now: f64) -> f64 {
-        if self.away(now) { self.own.unwrap_or(0.0) } else { 0.0 }
+    pub fn retry_after_ms(&self, now: f64) -> f64 {
+        if self.is_fenced_off(now) { self.own.unwrap_or(0.0) } else { 0.0 }
     }
 
     /// Whether notes of this one are taken.
-    pub fn hears(&self, now: f64, from: u32) -> bool {
+    pub fn accepts_messages_from(&self, now: f64, from: u32) -> bool {
         self.others.is_empty() || !self.holds(now) || !self.others.contains(&from)
     }
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,25 +1,25 @@
-//! Decisions of a gateway that holds customers to quotas before a shared back end.
+//! Decisions of a gatekeeper that holds customers to quotas before a shared back end.
 //!
-//! A [`Control`] is one gateway's mind: the host hands it [`Event`]s with the time
+//! A [`Control`] is one gatekeeper's mind: the host hands it [`Event`]s with the time
 //! they happened and carries out the [`Action`]s it answers with. It does no input or
 //! output, reads no clock and draws random numbers only from the seed it was given, so
 //! the same events always give the same actions.
 //!
 //! ```
-//! use frostvale::{Action, Class, Control, Effect, Event, Health, Listing, Plan, Request, Server, Settings};
+//! use frostvale::{Action, Class, Control, Effect, Event, Health, EndpointUpdateKind, Plan, Request, Server, Settings};
 //!
 //! let settings = Settings {
-//!     gateways: 1,
-//!     classes: vec![Class { effect: Effect::Safe, aim: 500.0, worth: 1.0, ..Class::default() }],
+//!     gatekeepers: 1,
+//!     classes: vec![Class { effect: Effect::Safe, target_ms: 500.0, worth: 1.0, ..Class::default() }],
 //!     plans: vec![Plan { rate: 10.0, burst: 20.0, price: 1.0, ..Plan::default() }],
 //!     ..Settings::default()
 //! };
-//! let mut gateway = Control::new(settings, 7)?;
-//! let server = Server { name: "s1".into(), zone: 0, cell: 0, kind: 0, size: 1.0, health: Health::Up, since: 0.0 };
-//! gateway.handle(0.0, Event::Servers { listing: Listing::Complete, servers: vec![server] });
-//! let actions = gateway.handle(1.0, Event::Request(Request {
+//! let mut gatekeeper = Control::new(settings, 7)?;
+//! let server = Server { name: "s1".into(), zone: 0, cell: 0, kind: 0, size: 1.0, health: Health::Up, started_at: 0.0 };
+//! gatekeeper.handle(0.0, Event::EndpointUpdate { kind: EndpointUpdateKind::Complete, servers: vec![server] });
+//! let actions = gatekeeper.handle(1.0, Event::Request(Request {
 //!     id: 1, customer: "acme".into(), class: 0, plan: 0, units: 1.0,
-//!     first: 0, spread: 1, give_up: 1000.0, repeat: false,
+//!     first: 0, spread: 1, deadline: 1000.0, is_retry: false,
 //! }));
 //! assert!(actions.iter().any(|a| matches!(a, Action::Send { id: 1, .. })));
 //! # Ok::<(), frostvale::SettingsError>(())
@@ -29,32 +29,32 @@
 #[doc = include_str!("../README.md")]
 struct Readme;
 
+mod accept_window;
+mod aggregate_limit;
 mod api;
-mod ceiling;
-mod conf;
 mod control;
 mod estimate;
-mod hands;
-mod live;
-mod lots;
-mod note;
-mod outs;
-mod post;
-mod questions;
-mod recent;
-mod roster;
-mod rumors;
+mod expiring_map;
+mod failure_gossip;
+mod fenced_off;
+mod in_flight;
+mod outbox;
+mod peer_message;
+mod quota_requests;
+mod random_draw;
+mod raw_settings;
+mod recent_map;
+mod server_index;
+mod server_state;
+mod slow_start;
 mod state;
-mod swept;
 mod tiers;
-mod warming;
-mod window;
 mod zones;
 
+pub use aggregate_limit::min_local_limit_share;
 pub use api::*;
-pub use ceiling::least_sliced;
-pub use conf::{Bounds, Conf, ConfClass, ConfPlan, EffectWord};
 pub use control::Control;
-pub use note::keeper_of;
-pub use outs::Shut;
-pub use zones::{Guide, Part, Sight};
+pub use fenced_off::FenceOffDecision;
+pub use peer_message::quota_owner_of;
+pub use raw_settings::{Bounds, RawClass, RawEffect, RawPlan, RawSettings};
+pub use zones::{RoutingSnapshot, ZoneObservation, ZoneShare};
--- a/src/post.rs
+++ b/src/outbox.rs
@@ -11,7 +11,7 @@
 
 /// Notes to be sent.
 #[derive(Default)]
-pub(crate) struct Post {
+pub(crate) struct Outbox {
     /// By peer.
     items: BTreeMap<u32, Letter>,
     /// What is to be said again in a note of its own, in the order of its times.
@@ -22,13 +22,13 @@
     left: f64,
     left_at: f64,
     /// When the host wakes us.
-    pub tick_at: Option<f64>,
+    pub wakeup_at: Option<f64>,
 }
 
-impl Post {
+impl Outbox {
     /// Puts an item into the next note to a peer, which is due at this time at the latest, and of use until `until`. Gives
     /// the note before it where that is full of what is still of use.
-    pub fn put(&mut self, now: f64, to: u32, (due, until): (f64, f64), item: String) -> Option<String> {
+    pub fn enqueue(&mut self, now: f64, to: u32, (due, until): (f64, f64), item: String) -> Option<String> {
         let (at, items) = self.items.entry(to).or_insert((due, Vec::new()));
         *at = at.min(due);
         if items.iter().map(|(_, text)| text.len()).sum::<usize>() + item.len() > NOTE_BYTES {
@@ -46,15 +46,15 @@
 
     /// Says an item once more at this time, which is none before those of earlier calls: in one note with the first it
     /// would be lost with it.
-    pub fn repeat(&mut self, to: u32, at: f64, item: String) {
+    pub fn schedule_repeat(&mut self, to: u32, at: f64, item: String) {
         self.again.push_back((at, to, item));
     }
 
     /// The next note that is due and may go, at `rate` a second, a tenth of a second's at one stroke.
-    pub fn next(&mut self, now: f64, rate: f64) -> Option<(u32, String)> {
+    pub fn next_message(&mut self, now: f64, rate: f64) -> Option<(u32, String)> {
         while self.again.front().is_some_and(|(at, ..)| *at <= now) {
             if let Some((at, to, item)) = self.again.pop_front()
-                && let Some(full) = self.put(now, to, (at, f64::INFINITY), item)
+                && let Some(full) = self.enqueue(now, to, (at, f64::INFINITY), item)
             {
                 return Some((to, full));
             }
@@ -81,13 +81,13 @@
     }
 
     /// In how many ms the host should wake us, unless it does so soon enough.
-    pub fn wake(&mut self, now: f64, rate: f64) -> Option<f64> {
+    pub fn next_wakeup_ms(&mut self, now: f64, rate: f64) -> Option<f64> {
         let first = self.items.values().map(|(at, _)| *at - now).fold(f64::INFINITY, f64::min);
         let first = self.again.front().map_or(first, |(at, ..)| first.min(*at - now));
         let after = first.max(1000.0 * (1.0 - self.left) / rate).max(1.0);
-        let wanted = first.is_finite() && self.tick_at.is_none_or(|at| now + after + 1.0 < at);
+        let wanted = first.is_finite() && self.wakeup_at.is_none_or(|at| now + after + 1.0 < at);
         wanted.then(|| {
-            self.tick_at = Some(now + after);
+            self.wakeup_at = Some(now + after);
             after
         })
     }
--- a/src/questions.rs
+++ b/src/quota_requests.rs
@@ -1,8 +1,8 @@
 //! Questions to keepers: their numbers, which of them may be put once more, and what was said of each, so that one that comes
 //! twice is charged once and answered alike. Whether and when one is put is decided elsewhere.
 
-use crate::recent::Recent;
-use crate::state::Word;
+use crate::recent_map::RecentMap;
+use crate::state::QuotaReply;
 
 /// Questions put once more that each question earns, and the most saved up: where notes are lost as the intakes are full,
 /// twice as many would lose all the more.
@@ -10,69 +10,69 @@
 const AGAIN_MOST: f64 = 5.0;
 
 /// A question at its keeper: the customer's key, who asks, and the asker's number for it.
-pub(crate) type Asked = (u64, u32, u64);
+pub(crate) type RequestKey = (u64, u32, u64);
 
-/// One gateway's questions, and those it was asked.
-pub(crate) struct Questions {
+/// One gatekeeper's questions, and those it was asked.
+pub(crate) struct QuotaRequests {
     last: u64,
     budget: f64,
     /// Those put once more, and whether the word that ends one has been heard.
-    twice: Recent<u64, bool>,
+    twice: RecentMap<u64, bool>,
     /// As a keeper: the word on each, and the units granted.
-    said: Recent<Asked, (Word, f64)>,
+    said: RecentMap<RequestKey, (QuotaReply, f64)>,
 }
 
-impl Questions {
+impl QuotaRequests {
     /// Numbers begin at a point of the life's own: a life that follows soon must not be taken for the one before it, whose
     /// answers may still be on their way.
-    pub fn new(seed: u64) -> Questions {
-        Questions {
+    pub fn new(seed: u64) -> QuotaRequests {
+        QuotaRequests {
             last: seed & 0xffff,
             budget: AGAIN_MOST,
-            twice: Recent::default(),
-            said: Recent::default(),
+            twice: RecentMap::default(),
+            said: RecentMap::default(),
         }
     }
 
     /// The number of the next one.
-    pub fn fresh(&mut self) -> u64 {
+    pub fn next_number(&mut self) -> u64 {
         self.last += 1;
         self.last
     }
 
     /// One has been put for the first time.
-    pub fn put(&mut self) {
+    pub fn record_sent(&mut self) {
         self.budget = (self.budget + AGAIN_PART).min(AGAIN_MOST);
     }
 
     /// Whether one may be put once more, which then counts.
-    pub fn again(&mut self, now: f64, number: u64) -> bool {
+    pub fn try_resend(&mut self, now: f64, number: u64) -> bool {
         let may = self.budget >= 1.0;
         if may {
             self.budget -= 1.0;
-            self.twice.put(now, number, false);
+            self.twice.insert(now, number, false);
         }
         may
     }
 
     /// Whether a word on one is news. Of one put twice the second answer says the same as the first, but for the word that
     /// ends a wait.
-    pub fn news(&mut self, now: f64, number: u64, word: Word) -> bool {
+    pub fn is_new_reply(&mut self, now: f64, number: u64, word: QuotaReply) -> bool {
         let heard = self.twice.get(now, number);
-        if heard == Some(false) && word != Word::Wait {
-            self.twice.put(now, number, true);
+        if heard == Some(false) && word != QuotaReply::Wait {
+            self.twice.insert(now, number, true);
         }
         heard != Some(true)
     }
 
     /// As a keeper: what was last said of this one.
-    pub fn said(&mut self, now: f64, asked: Asked) -> Option<(Word, f64)> {
+    pub fn recorded_reply(&mut self, now: f64, asked: RequestKey) -> Option<(QuotaReply, f64)> {
         self.said.get(now, asked)
     }
 
     /// As a keeper: this is said of one.
-    pub fn say(&mut self, now: f64, asked: Asked, word: Word, units: f64) {
-        self.said.put(now, asked, (word, units));
+    pub fn record_reply(&mut self, now: f64, asked: RequestKey, word: QuotaReply, units: f64) {
+        self.said.insert(now, asked, (word, units));
     }
 }
 
--- a/src/lots.rs
+++ b/src/random_draw.rs
@@ -5,25 +5,29 @@
 use rand::seq::index::{IndexVec, sample};
 
 /// Draws from `0..len`, at most `most` of them.
-pub(crate) enum Lots {
+pub(crate) enum RandomDraw {
     /// All, in a random order.
     All(IndexVec, usize),
     /// One by one: those drawn so far, how many there are, and how many more may be drawn.
     Some(Vec<usize>, usize, usize),
 }
 
-impl Lots {
-    pub fn new(len: usize, most: usize, rng: &mut impl Rng) -> Lots {
-        if len <= most { Lots::All(sample(rng, len, len), 0) } else { Lots::Some(Vec::new(), len, most) }
+impl RandomDraw {
+    pub fn new(len: usize, most: usize, rng: &mut impl Rng) -> RandomDraw {
+        if len <= most {
+            RandomDraw::All(sample(rng, len, len), 0)
+        } else {
+            RandomDraw::Some(Vec::new(), len, most)
+        }
     }
 
     pub fn next(&mut self, rng: &mut impl Rng) -> Option<usize> {
         match self {
-            Lots::All(all, next) => {
+            RandomDraw::All(all, next) => {
                 *next += 1;
                 (*next <= all.len()).then(|| all.index(*next - 1))
             }
-            Lots::Some(drawn, len, most) => {
+            RandomDraw::Some(drawn, len, most) => {
                 if drawn.len() >= *most {
                     return None;
                 }
--- a/src/lots/tests.rs
+++ b/src/random_draw/tests.rs
@@ -7,13 +7,13 @@
 fn each_is_drawn_once_and_evenly() {
     let mut rng = Pcg64Mcg::seed_from_u64(3);
     for (len, most, wanted) in [(0, 64, 0), (9, 64, 9), (64, 64, 64), (65, 64, 64), (5000, 64, 64)] {
-        let mut lots = Lots::new(len, most, &mut rng);
+        let mut lots = RandomDraw::new(len, most, &mut rng);
         let all: Vec<usize> = std::iter::from_fn(|| lots.next(&mut rng)).collect();
         assert_eq!((all.len(), all.iter().collect::<BTreeSet<_>>().len()), (wanted, wanted));
     }
     let mut first = [0u32; 100];
     for _ in 0..20_000 {
-        let mut lots = Lots::new(100, 64, &mut rng);
+        let mut lots = RandomDraw::new(100, 64, &mut rng);
         first[lots.next(&mut rng).expect("some")] += 1;
     }
     assert!(first.iter().all(|n| (120..=290).contains(n)), "{first:?}");
--- a/src/conf.rs
+++ b/src/raw_settings.rs
@@ -6,10 +6,10 @@
 use std::collections::BTreeSet;
 use std::fmt::Display;
 
-/// The object of settings that a gateway is given at its start.
+/// The object of settings that a gatekeeper is given at its start.
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "PascalCase")]
-pub struct Conf {
+pub struct RawSettings {
     balancers: u32,
     #[serde(default)]
     me: u32,
@@ -22,10 +22,10 @@
     #[serde(default)]
     pub kinds: Vec<String>,
     /// The classes, by number.
-    pub classes: Vec<ConfClass>,
+    pub classes: Vec<RawClass>,
     /// The plans, by number.
     #[serde(default)]
-    pub plans: Vec<ConfPlan>,
+    pub plans: Vec<RawPlan>,
     /// What the site permits.
     #[serde(default)]
     pub bounds: Bounds,
@@ -38,7 +38,7 @@
 /// A class of requests.
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "PascalCase")]
-pub struct ConfClass {
+pub struct RawClass {
     /// Its name.
     #[serde(default)]
     pub name: String,
@@ -51,9 +51,9 @@
     #[serde(default)]
     late_worth: f64,
     /// Whether it may be repeated.
-    pub effect: EffectWord,
+    pub effect: RawEffect,
     #[serde(default)]
-    group: Option<GroupWord>,
+    group: Option<RawGroup>,
     #[serde(default)]
     window: f64,
 }
@@ -61,7 +61,7 @@
 /// Whether a class may be repeated.
 #[derive(Debug, Deserialize, Clone, Copy, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
-pub enum EffectWord {
+pub enum RawEffect {
     /// At will.
     Repeatable,
     /// Within a group that drops repeats.
@@ -72,7 +72,7 @@
 
 #[derive(Debug, Deserialize, Clone, Copy)]
 #[serde(rename_all = "lowercase")]
-enum GroupWord {
+enum RawGroup {
     All,
     Zone,
     Cell,
@@ -81,7 +81,7 @@
 /// A plan.
 #[derive(Debug, Deserialize, Default)]
 #[serde(rename_all = "PascalCase", default)]
-pub struct ConfPlan {
+pub struct RawPlan {
     /// Its name.
     pub name: String,
     units_per_s: f64,
@@ -142,8 +142,8 @@
 const FIGURE_MOST: f64 = 1e12;
 /// The least of what can't be nothing.
 const LEAST: f64 = 0.001;
-/// The most gateways that are taken.
-const GATEWAYS_MOST: u32 = 65_536;
+/// The most gatekeepers that are taken.
+const GATEKEEPERS_MOST: u32 = 65_536;
 
 /// Whether a figure of the settings lies within its range, both ends included.
 fn within(field: impl Display, figure: f64, (least, most): (f64, f64)) -> Result<(), SettingsError> {
@@ -164,14 +164,14 @@
     Ok(())
 }
 
-impl Conf {
+impl RawSettings {
     /// Whether all figures are within what can be acted on.
     ///
     /// # Errors
     /// Names the first that is not, as the settings have it, and its range.
     pub fn check(&self) -> Result<(), SettingsError> {
         let (time, figure) = ((0.0, TIME_MOST), (0.0, FIGURE_MOST));
-        within("Balancers", f64::from(self.balancers), (1.0, f64::from(GATEWAYS_MOST)))?;
+        within("Balancers", f64::from(self.balancers), (1.0, f64::from(GATEKEEPERS_MOST)))?;
         within("Me", f64::from(self.me), (0.0, f64::from(self.balancers - 1)))?;
         if self.classes.is_empty() {
             return Err(SettingsError("Classes holds no class, and has to hold one at the least".into()));
@@ -184,7 +184,7 @@
             within(of("Deadline"), c.deadline, time)?;
             within(of("Worth"), c.worth, figure)?;
             within(of("LateWorth"), c.late_worth, figure)?;
-            let least = if c.effect == EffectWord::ByKey { LEAST } else { 0.0 };
+            let least = if c.effect == RawEffect::ByKey { LEAST } else { 0.0 };
             within(of("Window"), c.window, (least, TIME_MOST))?;
         }
         for (k, p) in self.plans.iter().enumerate() {
@@ -213,23 +213,23 @@
     /// What the module needs of them.
     #[must_use]
     pub fn settings(&self) -> Settings {
-        let class = |c: &ConfClass| Class {
+        let class = |c: &RawClass| Class {
             worth: c.worth,
-            aim: c.target,
+            target_ms: c.target,
             late_worth: c.late_worth,
             effect: match (c.effect, c.group) {
-                (EffectWord::Repeatable, _) => Effect::Safe,
-                (EffectWord::Once, _) => Effect::Unsafe,
-                (EffectWord::ByKey, Some(GroupWord::Zone)) => Effect::Keyed(Group::Zone),
-                (EffectWord::ByKey, Some(GroupWord::Cell)) => Effect::Keyed(Group::Cell),
-                (EffectWord::ByKey, _) => Effect::Keyed(Group::All),
+                (RawEffect::Repeatable, _) => Effect::Safe,
+                (RawEffect::Once, _) => Effect::Unsafe,
+                (RawEffect::ByKey, Some(RawGroup::Zone)) => Effect::Keyed(Group::Zone),
+                (RawEffect::ByKey, Some(RawGroup::Cell)) => Effect::Keyed(Group::Cell),
+                (RawEffect::ByKey, _) => Effect::Keyed(Group::All),
             },
-            window: c.window,
+            dedup_window_ms: c.window,
         };
-        let plan = |p: &ConfPlan| Plan {
+        let plan = |p: &RawPlan| Plan {
             rate: p.units_per_s,
             burst: p.peak_units,
-            open: p.max_out,
+            max_in_flight: p.max_out,
             price: p.value_factor,
             over_cost: p.over_cost,
             ceiling_rate: p.cap_rate,
@@ -237,18 +237,18 @@
             ceiling_slack: p.ceiling_slack,
         };
         Settings {
-            me: self.me,
-            gateways: self.balancers,
+            own_index: self.me,
+            gatekeepers: self.balancers,
             zone: self.zone,
             classes: self.classes.iter().map(class).collect(),
             plans: self.plans.iter().map(plan).collect(),
             max_attempts: self.bounds.try_limit,
-            notes: self.bounds.peers,
-            largest: self.domain.largest,
-            note_intake: self.domain.peer_intake,
-            cold_from: self.rules.cold_from,
-            warm_within: self.rules.warm_within,
-            fall_multiple: self.rules.fall_multiple,
+            peer_messages: self.bounds.peers,
+            max_request_units: self.domain.largest,
+            peer_intake_per_second: self.domain.peer_intake,
+            cold_capacity_share: self.rules.cold_from,
+            warm_up_ms: self.rules.warm_within,
+            cold_overload_factor: self.rules.fall_multiple,
         }
     }
 }
--- a/src/recent.rs
+++ b/src/recent_map.rs
@@ -10,18 +10,18 @@
 const MOST: usize = 4096;
 
 /// The table.
-pub(crate) struct Recent<K, V> {
+pub(crate) struct RecentMap<K, V> {
     known: HashMap<K, V>,
     order: VecDeque<(f64, K)>,
 }
 
-impl<K, V> Default for Recent<K, V> {
+impl<K, V> Default for RecentMap<K, V> {
     fn default() -> Self {
-        Recent { known: HashMap::new(), order: VecDeque::new() }
+        RecentMap { known: HashMap::new(), order: VecDeque::new() }
     }
 }
 
-impl<K: Copy + Eq + Hash, V: Copy> Recent<K, V> {
+impl<K: Copy + Eq + Hash, V: Copy> RecentMap<K, V> {
     /// Forgets what is too old.
     fn age(&mut self, now: f64) {
         while self.order.front().is_some_and(|(at, _)| now - at > LIFE_MS) || self.order.len() > MOST {
@@ -38,7 +38,7 @@
     }
 
     /// Keeps what is said of this for the rest of its life, which begins with the first word on it.
-    pub fn put(&mut self, now: f64, key: K, said: V) {
+    pub fn insert(&mut self, now: f64, key: K, said: V) {
         self.age(now);
         if self.known.insert(key, said).is_none() {
             self.order.push_back((now, key));
--- a/src/roster.rs
+++ b/src/server_index.rs
@@ -2,7 +2,7 @@
 //! that a choice need not look at the whole list. Kept up to date by events; nothing is decided here.
 
 use crate::api::{Group, Name};
-use crate::live::Live;
+use crate::server_state::ServerState;
 use std::collections::{BTreeMap, HashMap};
 
 /// A set that gives its members by number, in no order, in constant time each.
@@ -31,9 +31,9 @@
 
 /// The servers.
 #[derive(Default)]
-pub(crate) struct Roster {
+pub(crate) struct ServerIndex {
     by_name: HashMap<Name, u32>,
-    servers: Vec<Option<Live>>,
+    servers: Vec<Option<ServerState>>,
     free: Vec<u32>,
     all: Numbered,
     zones: BTreeMap<u32, Numbered>,
@@ -44,7 +44,7 @@
     where_at: HashMap<u32, (u32, u32)>,
 }
 
-impl Roster {
+impl ServerIndex {
     pub fn len(&self) -> usize {
         self.by_name.len()
     }
@@ -53,21 +53,21 @@
         self.by_name.get(name).copied()
     }
 
-    pub fn at(&self, number: u32) -> Option<&Live> {
+    pub fn by_number(&self, number: u32) -> Option<&ServerState> {
         self.servers.get(number as usize)?.as_ref()
     }
 
-    pub fn get(&self, name: &Name) -> Option<&Live> {
-        self.at(self.number(name)?)
+    pub fn get(&self, name: &Name) -> Option<&ServerState> {
+        self.by_number(self.number(name)?)
     }
 
-    pub fn get_mut(&mut self, name: &Name) -> Option<&mut Live> {
+    pub fn get_mut(&mut self, name: &Name) -> Option<&mut ServerState> {
         let number = self.number(name)?;
         self.servers.get_mut(number as usize)?.as_mut()
     }
 
     /// The server of this name and its number, made if it is not known.
-    pub fn entry(&mut self, name: &Name, make: impl FnOnce() -> Live) -> (u32, &mut Live) {
+    pub fn entry(&mut self, name: &Name, make: impl FnOnce() -> ServerState) -> (u32, &mut ServerState) {
         let number = self.number(name).unwrap_or_else(|| {
             let number = self.free.pop().unwrap_or_else(|| {
                 self.servers.push(None);
@@ -80,13 +80,13 @@
     }
 
     /// Every known server.
-    pub fn all_mut(&mut self) -> impl Iterator<Item = (u32, &mut Live)> {
+    pub fn all_mut(&mut self) -> impl Iterator<Item = (u32, &mut ServerState)> {
         self.servers.iter_mut().enumerate().filter_map(|(k, s)| Some((k as u32, s.as_mut()?)))
     }
 
     /// Forgets a server.
     pub fn remove(&mut self, number: u32) {
-        self.down(number);
+        self.mark_down(number);
         if let Some(s) = self.servers.get_mut(number as usize).and_then(Option::take) {
             self.by_name.remove(&s.name);
             self.free.push(number);
@@ -94,11 +94,11 @@
     }
 
     /// A server is up, in this zone and cell. One that stood elsewhere has moved.
-    pub fn up(&mut self, number: u32, zone: u32, cell: u32) {
+    pub fn mark_up(&mut self, number: u32, zone: u32, cell: u32) {
         if self.where_at.get(&number) == Some(&(zone, cell)) {
             return;
         }
-        self.down(number);
+        self.mark_down(number);
         self.where_at.insert(number, (zone, cell));
         self.all.insert(number);
         self.zones.entry(zone).or_default().insert(number);
@@ -106,7 +106,7 @@
     }
 
     /// A server is not to be sent to any more.
-    pub fn down(&mut self, number: u32) {
+    pub fn mark_down(&mut self, number: u32) {
         let Some((zone, cell)) = self.where_at.remove(&number) else { return };
         self.all.remove(number);
         self.at_rest.remove(number);
@@ -121,24 +121,24 @@
     }
 
     /// A connection to a server rests, if the server is up.
-    pub fn rests(&mut self, number: u32) {
+    pub fn mark_idle_connection(&mut self, number: u32) {
         if self.where_at.contains_key(&number) {
             self.at_rest.insert(number);
         }
     }
 
     /// No connection to a server rests any more.
-    pub fn rests_no_more(&mut self, number: u32) {
+    pub fn clear_idle_connection(&mut self, number: u32) {
         self.at_rest.remove(number);
     }
 
     /// Servers with a connection at rest.
-    pub fn at_rest(&self) -> &[u32] {
+    pub fn with_idle_connection(&self) -> &[u32] {
         &self.at_rest.members
     }
 
     /// The candidates of a group, or all of them.
-    pub fn of(&self, group: Option<(Group, u32, u32)>) -> &[u32] {
+    pub fn candidates(&self, group: Option<(Group, u32, u32)>) -> &[u32] {
         let group = match group {
             Some((Group::Zone, zone, _)) => self.zones.get(&zone),
             Some((Group::Cell, _, cell)) => self.cells.get(&cell),
