--- a/src/warming.rs
+++ b/src/slow_start.rs
@@ -9,7 +9,7 @@
 
 /// Servers that may be sent to and are not known to be warm, by when they started.
 #[derive(Default)]
-pub(crate) struct Warming {
+pub(crate) struct SlowStartServers {
     /// Start in microseconds, and number.
     by_start: BTreeSet<(i64, u32)>,
     starts: HashMap<u32, i64>,
@@ -20,10 +20,10 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) struct ColdServers {
     pub count: f64,
-    pub warmth: f64,
+    pub capacity_share: f64,
 }
 
-impl Warming {
+impl SlowStartServers {
     /// A server may be sent to. `since_ms` is when it started; 0 means long ago.
     pub fn insert(&mut self, number: u32, since_ms: f64) {
         self.remove(number);
@@ -43,18 +43,18 @@
         }
     }
 
-    /// The servers that are cold now, where a server begins with `cold_from` of its capacity and is warm after
-    /// `warm_within_ms`.
-    pub fn cold(&mut self, now_ms: f64, cold_from: f64, warm_within_ms: f64) -> ColdServers {
+    /// The servers that are cold now, where a server begins with `cold_capacity_share` of its capacity and is warm after
+    /// `warm_up_ms`.
+    pub fn cold_servers(&mut self, now_ms: f64, cold_capacity_share: f64, warm_up_ms: f64) -> ColdServers {
         let now = (now_ms * MICROS_PER_MS) as i64;
-        let within = (warm_within_ms * MICROS_PER_MS) as i64;
+        let within = (warm_up_ms * MICROS_PER_MS) as i64;
         while let Some((_, number)) =
             self.by_start.first().copied().filter(|(start, _)| now.saturating_sub(*start) >= within)
         {
             self.remove(number);
         }
-        if cold_from >= 1.0 {
-            return ColdServers { count: 0.0, warmth: 0.0 };
+        if cold_capacity_share >= 1.0 {
+            return ColdServers { count: 0.0, capacity_share: 0.0 };
         }
         let count = self.starts.len() as f64;
         // A server that starts in the future by this clock is as cold as one that starts now.
@@ -65,7 +65,10 @@
             .sum();
         let ages = self.starts.len() as i128 * i128::from(now) - self.sum_us + ahead;
         let grown = if within > 0 { ages as f64 / within as f64 } else { 0.0 };
-        ColdServers { count, warmth: cold_from * count + (1.0 - cold_from) * grown }
+        ColdServers {
+            count,
+            capacity_share: cold_capacity_share * count + (1.0 - cold_capacity_share) * grown,
+        }
     }
 }
 
--- a/src/zones.rs
+++ b/src/zones.rs
@@ -1,8 +1,8 @@
 //! The seam for zones: which zones may take a request, by a guide that was decided in common, and what is seen of each zone.
 //!
 //! Without a guide nothing here draws, counts or decides. One that is not renewed holds for its stated time and then fades:
-//! by lot, more and more requests are decided as without. What may go where is dealt by credits that this gateway's own
-//! requests earn, so that shares hold whatever each gateway's traffic is.
+//! by lot, more and more requests are decided as without. What may go where is dealt by credits that this gatekeeper's own
+//! requests earn, so that shares hold whatever each gatekeeper's traffic is.
 
 use crate::api::*;
 use rand::Rng;
@@ -24,7 +24,7 @@
 const LEARN_FAILS: f64 = 0.1;
 const FORGET_FAILS_MS: f64 = 2000.0;
 const FAILS_LEAST: f64 = 0.2;
-/// Up to this part a zone is only tried: by first attempts alone, and not all gateways at once.
+/// Up to this part a zone is only tried: by first attempts alone, and not all gatekeepers at once.
 const TRIAL: f64 = 0.04;
 /// What a request of a class takes at a warm server is the lower tenth of what answers take: queues and busy hosts make
 /// answers late, and must not make a fault look as if more were needed than is. How far one answer moves it.
@@ -33,45 +33,45 @@
 /// Zones that are told apart in what was seen.
 const ZONES_MOST: usize = 64;
 
-/// A part of a gateway's requests that moves from one value to another.
+/// A part of a gatekeeper's requests that moves from one value to another.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
-pub struct Part {
+pub struct ZoneShare {
     /// At first.
     pub start: f64,
     /// At the end.
     pub end: f64,
 }
 
-/// What was decided for the gateways of this one's zone.
+/// What was decided for the gatekeepers of this one's zone.
 #[derive(Debug, Clone, PartialEq, Default)]
-pub struct Guide {
-    /// What may stay in this gateway's zone; 1 for all there is room for.
-    pub near: Part,
+pub struct RoutingSnapshot {
+    /// What may stay in this gatekeeper's zone; 1 for all there is room for.
+    pub local: ZoneShare,
     /// What may go to other zones.
-    pub spill: Vec<(u32, Part)>,
+    pub spill: Vec<(u32, ZoneShare)>,
     /// How long parts take from their first value to the last, and how much of that has passed, in ms.
-    pub ramp: f64,
-    /// See `ramp`.
-    pub age: f64,
+    pub ramp_ms: f64,
+    /// See `ramp_ms`.
+    pub age_ms: f64,
     /// For how long it holds when it is not renewed, and then how long it takes to fade, in ms.
-    pub hold: f64,
-    /// See `hold`.
-    pub fade: f64,
+    pub hold_ms: f64,
+    /// See `hold_ms`.
+    pub fade_ms: f64,
 }
 
-impl Guide {
+impl RoutingSnapshot {
     /// Whether it can be acted on.
     ///
     /// # Errors
     /// With what can't.
     pub fn check(&self) -> Result<(), SettingsError> {
         let bad = |what: &str| Err(SettingsError(what.to_string()));
-        let part = |p: &Part| [p.start, p.end].iter().all(|x| (0.0..=1.0).contains(x));
+        let part = |p: &ZoneShare| [p.start, p.end].iter().all(|x| (0.0..=1.0).contains(x));
         let time = |x: f64| x.is_finite() && (0.0..=3.6e6).contains(&x);
-        if !part(&self.near) || !self.spill.iter().all(|(_, p)| part(p)) {
+        if !part(&self.local) || !self.spill.iter().all(|(_, p)| part(p)) {
             return bad("a part of a guide is not from 0 to 1");
         }
-        if ![self.ramp, self.age, self.hold, self.fade].into_iter().all(time) {
+        if ![self.ramp_ms, self.age_ms, self.hold_ms, self.fade_ms].into_iter().all(time) {
             return bad("a time of a guide is not from 0 to 3,600,000 ms");
         }
         let mut zones: Vec<u32> = self.spill.iter().map(|(z, _)| *z).collect();
@@ -86,17 +86,17 @@
 
 /// What was seen since the last look.
 #[derive(Debug, Clone, PartialEq, Default)]
-pub struct Sight {
+pub struct ZoneObservation {
     /// What requests needed, whether or not they were sent on: requests worked on at once, on average.
-    pub need: f64,
+    pub required_concurrency: f64,
     /// By zone and class: attempts that ended, those that failed, those that came late.
-    pub lines: Vec<(u32, usize, [u32; 3])>,
+    pub attempt_counts: Vec<(u32, usize, [u32; 3])>,
     /// By zone: servers that may be sent to, their size, and their size as warm as they are.
-    pub places: Vec<(u32, u32, f64, f64)>,
+    pub capacity: Vec<(u32, u32, f64, f64)>,
 }
 
 struct Held {
-    guide: Guide,
+    guide: RoutingSnapshot,
     /// When its ramp began and when it was last heard.
     since: f64,
     heard: f64,
@@ -108,21 +108,24 @@
 
 impl Held {
     fn strength(&self, now: f64) -> f64 {
-        let over = now - self.heard - self.guide.hold;
-        if over <= 0.0 { 1.0 } else { (1.0 - over / self.guide.fade.max(1.0)).max(0.0) }
+        let over = now - self.heard - self.guide.hold_ms;
+        if over <= 0.0 { 1.0 } else { (1.0 - over / self.guide.fade_ms.max(1.0)).max(0.0) }
     }
 
     fn parts(&self, now: f64) -> impl Iterator<Item = f64> {
-        let gone =
-            if self.guide.ramp > 0.0 { ((now - self.since) / self.guide.ramp).clamp(0.0, 1.0) } else { 1.0 };
-        let all = std::iter::once(&self.guide.near).chain(self.guide.spill.iter().map(|(_, p)| p));
+        let gone = if self.guide.ramp_ms > 0.0 {
+            ((now - self.since) / self.guide.ramp_ms).clamp(0.0, 1.0)
+        } else {
+            1.0
+        };
+        let all = std::iter::once(&self.guide.local).chain(self.guide.spill.iter().map(|(_, p)| p));
         all.map(move |p| p.start + (p.end - p.start) * gone)
     }
 }
 
-/// What one gateway knows of zones.
+/// What one gatekeeper knows of zones.
 #[derive(Default)]
-pub(crate) struct Zones {
+pub(crate) struct ZoneRouting {
     home: u32,
     watches: bool,
     held: Option<Held>,
@@ -137,19 +140,21 @@
     paces: Vec<f64>,
 }
 
-impl Zones {
-    pub fn new(home: u32, tiers: usize) -> Zones {
-        Zones { home, tiers: vec![0.0; tiers], ..Zones::default() }
+impl ZoneRouting {
+    pub fn new(home: u32, tiers: usize) -> ZoneRouting {
+        ZoneRouting { home, tiers: vec![0.0; tiers], ..ZoneRouting::default() }
     }
 
     /// Takes a guide in; one that can't be acted on changes nothing. The same one again renews it.
-    pub fn heard(&mut self, now: f64, guide: Guide) {
+    pub fn apply_snapshot(&mut self, now: f64, guide: RoutingSnapshot) {
         if guide.check().is_err() || guide.spill.iter().any(|(zone, _)| *zone == self.home) {
             return;
         }
-        let since = now - guide.age;
+        let since = now - guide.age_ms;
         match &mut self.held {
-            Some(held) if held.guide == (Guide { age: held.guide.age, ..guide.clone() }) => held.heard = now,
+            Some(held) if held.guide == (RoutingSnapshot { age_ms: held.guide.age_ms, ..guide.clone() }) => {
+                held.heard = now
+            }
             held => {
                 let credit = vec![1.0; guide.spill.len() + 1];
                 *held = Some(Held { guide, since, heard: now, credit, drawn: false });
@@ -159,7 +164,7 @@
 
     /// A request wants a server. True if it is to be turned away, as all zones together can't bear what is asked and it is
     /// among what is worth least.
-    pub fn wants(
+    pub fn should_refuse(
         &mut self,
         now: f64,
         (tier, class): (usize, usize),
@@ -178,7 +183,7 @@
         let parts: Vec<f64> = held.parts(now).collect();
         if !held.drawn {
             held.drawn = true;
-            // Hundreds of gateways that hear at once that a zone is out don't all try it with their next request.
+            // Hundreds of gatekeepers that hear at once that a zone is out don't all try it with their next request.
             if parts[0] <= TRIAL {
                 held.credit[0] = lots.random();
             }
@@ -201,14 +206,19 @@
 
     /// The zones that may take a request, in the order in which they are to be tried; none where nothing was decided. After
     /// an attempt that failed in a zone the others come first.
-    pub fn order(&mut self, now: f64, failed: Option<u32>, lots: &mut Pcg64Mcg) -> Option<Vec<u32>> {
+    pub fn candidate_zones(
+        &mut self,
+        now: f64,
+        failed: Option<u32>,
+        lots: &mut Pcg64Mcg,
+    ) -> Option<Vec<u32>> {
         let held = self.held.as_ref()?;
         let strength = held.strength(now);
         if strength <= 0.0 || strength < 1.0 && lots.random::<f64>() >= strength {
             return None;
         }
         let parts: Vec<f64> = held.parts(now).collect();
-        // A decision may be older than what this gateway sees: it goes by its own eyes then, as without.
+        // A decision may be older than what this gatekeeper sees: it goes by its own eyes then, as without.
         let fails = self.fails.0 * (-(now - self.fails.1) / FORGET_FAILS_MS).exp();
         if parts[0] > TRIAL && fails > FAILS_LEAST && lots.random::<f64>() < fails {
             return None;
@@ -235,7 +245,7 @@
     }
 
     /// An attempt goes to a zone.
-    pub fn sent(&mut self, zone: u32) {
+    pub fn record_sent(&mut self, zone: u32) {
         let Some(held) = &mut self.held else { return };
         let at = if zone == self.home {
             Some(0)
@@ -248,26 +258,30 @@
     }
 
     /// An attempt at a server of a zone, as warm as it is, has ended; `alone` is what its class takes with nothing else to do.
-    pub fn ended(
+    pub fn record_result(
         &mut self,
         now: f64,
-        (zone, class, warmth): (u32, usize, f64),
-        o: &Outcome,
+        (zone, class, capacity_share): (u32, usize, f64),
+        o: &AttemptResult,
         (alone, aim): (f64, f64),
     ) {
-        if matches!(o.ending, Ending::Cancelled | Ending::Moot) || self.held.is_none() && !self.watches {
+        if matches!(o.outcome, AttemptOutcome::Cancelled | AttemptOutcome::Moot)
+            || self.held.is_none() && !self.watches
+        {
             return;
         }
         if self.seen.len() >= ZONES_MOST * 64 && !self.seen.contains_key(&(zone, class)) {
             return;
         }
         // A cold one takes its time and is not ill.
-        let long = o.latency > LATE_TIMES * alone / warmth.max(0.01);
-        let bad = match o.ending {
-            Ending::Timeout => warmth >= WARM || long,
-            ending => matches!(ending, Ending::Error | Ending::Unreachable | Ending::Reset),
+        let long = o.latency > LATE_TIMES * alone / capacity_share.max(0.01);
+        let bad = match o.outcome {
+            AttemptOutcome::Timeout => capacity_share >= WARM || long,
+            outcome => {
+                matches!(outcome, AttemptOutcome::Error | AttemptOutcome::Unreachable | AttemptOutcome::Reset)
+            }
         };
-        let late = o.ending == Ending::Ok && alone > 0.0 && long && o.latency > LATE_PART * aim;
+        let late = o.outcome == AttemptOutcome::Ok && alone > 0.0 && long && o.latency > LATE_PART * aim;
         if zone == self.home {
             let known = self.fails.0 * (-(now - self.fails.1).max(0.0) / FORGET_FAILS_MS).exp();
             self.fails = (known + LEARN_FAILS * (f64::from(u8::from(bad)) - known), now);
@@ -275,7 +289,7 @@
         if !self.watches {
             return;
         }
-        if o.ending == Ending::Ok && warmth >= WARM && o.latency > 0.0 {
+        if o.outcome == AttemptOutcome::Ok && capacity_share >= WARM && o.latency > 0.0 {
             if self.paces.len() <= class {
                 self.paces.resize(class + 1, 0.0);
             }
@@ -291,21 +305,21 @@
     }
 
     /// From now on what is seen is counted, or not any more.
-    pub fn watch(&mut self, now: f64, on: bool) {
+    pub fn set_observing(&mut self, now: f64, on: bool) {
         (self.watches, self.since, self.wanted) = (on, now, 0.0);
         self.seen.clear();
     }
 
     /// What was seen since the last look.
-    pub fn look(&mut self, now: f64) -> Sight {
+    pub fn take_observation(&mut self, now: f64) -> ZoneObservation {
         let ms = (now - self.since).max(1.0);
-        let need = std::mem::take(&mut self.wanted) / ms;
+        let required_concurrency = std::mem::take(&mut self.wanted) / ms;
         self.since = now;
-        let lines = std::mem::take(&mut self.seen)
+        let attempt_counts = std::mem::take(&mut self.seen)
             .into_iter()
             .map(|((zone, class), sums)| (zone, class, sums))
             .collect();
-        Sight { need, lines, places: Vec::new() }
+        ZoneObservation { required_concurrency, attempt_counts, capacity: Vec::new() }
     }
 }
 
--- a/tests/fair.rs
+++ b/tests/fair.rs
@@ -11,22 +11,22 @@
 const NOTE_MS: f64 = 0.5;
 const ANSWER_MS: f64 = 20.0;
 
-fn settings(gateways: u32, me: u32) -> Settings {
+fn settings(gatekeepers: u32, own_index: u32) -> Settings {
     let plan = |rate, burst| Plan { rate, burst, price: 1.0, ..Plan::default() };
     Settings {
-        gateways,
-        me,
-        classes: vec![Class { worth: 1.0, aim: 400.0, effect: Effect::Safe, ..Class::default() }],
+        gatekeepers,
+        own_index,
+        classes: vec![Class { worth: 1.0, target_ms: 400.0, effect: Effect::Safe, ..Class::default() }],
         plans: vec![
             plan(1.4, 6.0),
             plan(3.2, 12.0),
             Plan { ceiling_rate: 20.0, ceiling_burst: 30.0, ceiling_slack: 4.0, ..plan(10.0, 20.0) },
-            Plan { open: 6, ..plan(25.0, 55.0) },
+            Plan { max_in_flight: 6, ..plan(25.0, 55.0) },
         ],
         max_attempts: 3,
-        notes: true,
-        note_intake: 60.0,
-        largest: 4.0,
+        peer_messages: true,
+        peer_intake_per_second: 60.0,
+        max_request_units: 4.0,
         ..Settings::default()
     }
 }
@@ -52,9 +52,11 @@
 /// Plays so many times the plan's quota, half of it by each protocol, and gives the shares that passed.
 fn play(plan: usize, spread: u32, times: f64, away: bool, seconds: f64, seed: u64) -> Passed {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
-    let gateways = 3;
-    let mut all: Vec<Control> = (0..gateways)
-        .map(|me| Control::new(settings(gateways, me), seed + u64::from(me)).expect("sound"))
+    let gatekeepers = 3;
+    let mut all: Vec<Control> = (0..gatekeepers)
+        .map(|own_index| {
+            Control::new(settings(gatekeepers, own_index), seed + u64::from(own_index)).expect("sound")
+        })
         .collect();
     for g in &mut all {
         let server = |k: u32| Server {
@@ -64,11 +66,17 @@
             kind: 0,
             size: 1.0,
             health: Health::Up,
-            since: 0.0,
+            started_at: 0.0,
         };
-        g.handle(0.0, Event::Servers { listing: Listing::Complete, servers: (0..40).map(server).collect() });
+        g.handle(
+            0.0,
+            Event::EndpointUpdate {
+                kind: EndpointUpdateKind::Complete,
+                servers: (0..40).map(server).collect(),
+            },
+        );
     }
-    let rate = settings(gateways, 0).plans[plan].rate;
+    let rate = settings(gatekeepers, 0).plans[plan].rate;
     let end = seconds * 1000.0;
     let mut queue: BTreeMap<(u64, u64), What> = BTreeMap::new();
     let mut number = 0;
@@ -84,14 +92,14 @@
             at(&mut queue, ms, if check { What::Check } else { What::Request });
         }
     }
-    let keeper = keeper_of(SHOP, 0, spread, gateways);
+    let keeper = quota_owner_of(SHOP, 0, spread, gatekeepers);
     let (mut asked, mut passed) = ([0.0f64; 2], Passed::default());
     let (mut checks, mut sent) = (HashSet::new(), HashSet::new());
     let (mut next, mut turn) = (0, 0u32);
     while let Some(((micros, _), what)) = queue.pop_first() {
         let now = micros as f64 / 1000.0;
         let late = now > end / 4.0;
-        let mut request = |give_up: f64| {
+        let mut request = |deadline: f64| {
             next += 1;
             Request {
                 id: next,
@@ -101,8 +109,8 @@
                 units: 1.0,
                 first: 0,
                 spread,
-                give_up,
-                repeat: false,
+                deadline,
+                is_retry: false,
             }
         };
         let (who, event) = match what {
@@ -121,26 +129,26 @@
                 checks.insert(request.id);
                 (who as usize, Event::Check(request))
             }
-            What::Note { to, from, text } => (to, Event::Note { from, text }),
+            What::Note { to, from, text } => (to, Event::PeerMessage { from, text }),
             What::Timer { who, token } => (who, Event::Timer { token }),
             What::Answer { who, id, server } => {
-                let outcome = Outcome {
+                let result = AttemptResult {
                     id,
                     attempt: 0,
                     server: server.as_str().into(),
-                    ending: Ending::Ok,
+                    outcome: AttemptOutcome::Ok,
                     latency: ANSWER_MS,
-                    last: true,
+                    is_final: true,
                     metered: None,
                     units: None,
-                    report: None,
+                    load_report: None,
                 };
-                (who, Event::Outcome(outcome))
+                (who, Event::AttemptEnded(result))
             }
         };
         for action in all[who].handle(now, event) {
             match action {
-                Action::Tell { to, text } => {
+                Action::SendPeerMessage { to, text } => {
                     let from = u32::try_from(who).expect("few");
                     at(&mut queue, now + NOTE_MS, What::Note { to: to as usize, from, text });
                 }
@@ -151,7 +159,7 @@
                     passed.units += 1.0;
                     at(&mut queue, now + ANSWER_MS, What::Answer { who, id, server: server.to_string() });
                 }
-                Action::Verdict { id, granted, .. } => {
+                Action::CheckDecision { id, granted, .. } => {
                     assert!(checks.remove(&id), "decided twice");
                     passed.checks += f64::from(u8::from(granted && late));
                     passed.units += f64::from(u8::from(granted));
--- a/tests/zones.rs
+++ b/tests/zones.rs
@@ -14,20 +14,26 @@
     }
 }
 
-fn settings(gateways: u32, zone: u32) -> Settings {
-    let class = |effect, worth, aim| Class { worth, aim, late_worth: 0.0, effect, window: 3000.0 };
+fn settings(gatekeepers: u32, zone: u32) -> Settings {
+    let class = |effect, worth, target_ms| Class {
+        worth,
+        target_ms,
+        late_worth: 0.0,
+        effect,
+        dedup_window_ms: 3000.0,
+    };
     Settings {
-        gateways,
+        gatekeepers,
         zone,
         classes: vec![class(Effect::Safe, 1.0, 400.0), class(Effect::Keyed(Group::Cell), 3.0, 1000.0)],
         plans: vec![Plan { rate: 1e6, burst: 1e6, price: 1.0, ..Plan::default() }],
         max_attempts: 3,
-        notes: true,
-        largest: 1.0,
-        note_intake: 60.0,
-        cold_from: 0.2,
-        warm_within: 10_000.0,
-        fall_multiple: 2.0,
+        peer_messages: true,
+        max_request_units: 1.0,
+        peer_intake_per_second: 60.0,
+        cold_capacity_share: 0.2,
+        warm_up_ms: 10_000.0,
+        cold_overload_factor: 2.0,
         ..Settings::default()
     }
 }
@@ -41,7 +47,7 @@
         kind: 0,
         size: 2.0,
         health: Health::Up,
-        since: 0.0,
+        started_at: 0.0,
     }
 }
 
@@ -68,7 +74,7 @@
     seed: u64,
     requests: u64,
     others: &[(f64, Event)],
-    ends: impl Fn(f64, u32, u64) -> Ending,
+    ends: impl Fn(f64, u32, u64) -> AttemptOutcome,
 ) -> Day {
     let mut lots = Lots(seed);
     let mut day = Day { hash: 0xcbf2_9ce4_8422_2325, ..Day::default() };
@@ -96,8 +102,8 @@
             units: 1.0,
             first: 0,
             spread: 1,
-            give_up: at + 1500.0,
-            repeat: false,
+            deadline: at + 1500.0,
+            is_retry: false,
         };
         put(&mut due, at, Event::Request(request));
     }
@@ -116,24 +122,24 @@
                     }
                     let attempt = attempts.entry(id).or_default();
                     *attempt += 1;
-                    let ending = ends(now, place.zone, lots.below(1000));
-                    let latency = match ending {
-                        Ending::Timeout => 300.0,
-                        Ending::Error | Ending::Unreachable => 1.0,
+                    let outcome = ends(now, place.zone, lots.below(1000));
+                    let latency = match outcome {
+                        AttemptOutcome::Timeout => 300.0,
+                        AttemptOutcome::Error | AttemptOutcome::Unreachable => 1.0,
                         _ => 30.0 + lots.below(60) as f64,
                     };
-                    let outcome = Outcome {
+                    let result = AttemptResult {
                         id,
                         attempt: *attempt - 1,
                         server: name,
-                        ending,
+                        outcome,
                         latency,
-                        last: ending == Ending::Ok,
+                        is_final: outcome == AttemptOutcome::Ok,
                         metered: None,
                         units: None,
-                        report: None,
+                        load_report: None,
                     };
-                    put(&mut due, now + latency, Event::Outcome(outcome));
+                    put(&mut due, now + latency, Event::AttemptEnded(result));
                 }
                 Action::Refuse { .. } => day.refused += 1,
                 Action::SetTimer { token, after } => put(&mut due, now + after, Event::Timer { token }),
@@ -144,76 +150,81 @@
     day
 }
 
-/// As it was written when the days were recorded: until when an attempt may begin was not said yet.
+/// As it was written when the days were recorded: with the names of that time, and without until when an attempt may begin.
 fn as_recorded(action: &Action) -> String {
     match action {
-        Action::Send { id, server, not_past, .. } => {
-            format!("Send {{ id: {id}, server: {server:?}, not_past: {not_past:?} }}")
+        Action::Send { id, server, deadline, .. } => {
+            format!("Send {{ id: {id}, server: {server:?}, not_past: {deadline:?} }}")
+        }
+        Action::Refuse { id, retry_after_ms, reason } => {
+            format!("Refuse {{ id: {id}, pause: {retry_after_ms:?}, reason: {reason:?} }}")
         }
+        Action::SendPeerMessage { to, text } => format!("Tell {{ to: {to}, text: {text:?} }}"),
+        Action::BroadcastPeerMessage { text } => format!("TellAll {{ text: {text:?} }}"),
         other => format!("{other:?}"),
     }
 }
 
 fn all_servers() -> Event {
-    Event::Servers { listing: Listing::Complete, servers: (0..30).map(server).collect() }
+    Event::EndpointUpdate { kind: EndpointUpdateKind::Complete, servers: (0..30).map(server).collect() }
 }
 
-fn gateway(gateways: u32) -> Control {
-    let mut g = Control::new(settings(gateways, 0), 11).expect("sound settings");
+fn gatekeeper(gatekeepers: u32) -> Control {
+    let mut g = Control::new(settings(gatekeepers, 0), 11).expect("sound settings");
     g.handle(0.0, all_servers());
     g
 }
 
-fn well(_: f64, _: u32, lot: u64) -> Ending {
+fn well(_: f64, _: u32, lot: u64) -> AttemptOutcome {
     match lot {
-        0..20 => Ending::Error,
-        20..30 => Ending::Timeout,
-        30..35 => Ending::Unreachable,
-        _ => Ending::Ok,
+        0..20 => AttemptOutcome::Error,
+        20..30 => AttemptOutcome::Timeout,
+        30..35 => AttemptOutcome::Unreachable,
+        _ => AttemptOutcome::Ok,
     }
 }
 
 /// Recorded with the module as it was before it knew of zones.
 #[test]
 fn without_a_guide_it_decides_bit_by_bit_as_before() {
-    for (gateways, hash) in [(1, 0x2c52_91a6_ab32_f8ff), (40, 0x260a_72d3_d897_c3bf)] {
-        let day = play(&mut gateway(gateways), 5, 3000, &[], well);
-        assert_eq!(day.hash, hash, "{gateways} gateways: {:#x}", day.hash);
+    for (gatekeepers, hash) in [(1, 0x2c52_91a6_ab32_f8ff), (40, 0x260a_72d3_d897_c3bf)] {
+        let day = play(&mut gatekeeper(gatekeepers), 5, 3000, &[], well);
+        assert_eq!(day.hash, hash, "{gatekeepers} gatekeepers: {:#x}", day.hash);
     }
 }
 
-fn guide(near: f64, spill: &[(u32, f64)]) -> Guide {
-    let flat = |x: f64| Part { start: x, end: x };
-    Guide {
-        near: flat(near),
+fn guide(near: f64, spill: &[(u32, f64)]) -> RoutingSnapshot {
+    let flat = |x: f64| ZoneShare { start: x, end: x };
+    RoutingSnapshot {
+        local: flat(near),
         spill: spill.iter().map(|(z, p)| (*z, flat(*p))).collect(),
-        hold: 1e6,
-        fade: 1000.0,
-        ..Guide::default()
+        hold_ms: 1e6,
+        fade_ms: 1000.0,
+        ..RoutingSnapshot::default()
     }
 }
 
 #[test]
 fn with_room_at_home_nearly_all_stays_there() {
-    for gateways in [3, 40] {
-        let before = play(&mut gateway(gateways), 7, 4000, &[], well);
-        let others = [(1.0, Event::Guide(guide(1.0, &[(1, 0.3), (2, 0.3)])))];
-        let after = play(&mut gateway(gateways), 7, 4000, &others, well);
+    for gatekeepers in [3, 40] {
+        let before = play(&mut gatekeeper(gatekeepers), 7, 4000, &[], well);
+        let others = [(1.0, Event::RoutingSnapshot(guide(1.0, &[(1, 0.3), (2, 0.3)])))];
+        let after = play(&mut gatekeeper(gatekeepers), 7, 4000, &others, well);
         let far = |day: &Day| {
             let all: u64 = day.sent.values().sum();
             (all - day.sent.get(&0).unwrap_or(&0)) as f64 / all as f64
         };
-        assert!(far(&before) > 0.5, "{gateways}: {:?}", before.sent);
+        assert!(far(&before) > 0.5, "{gatekeepers}: {:?}", before.sent);
         // Further attempts go elsewhere: 35 in 1,000 fail.
-        assert!(far(&after) < 0.06, "{gateways}: {:?}", after.sent);
+        assert!(far(&after) < 0.06, "{gatekeepers}: {:?}", after.sent);
         assert!(after.refused <= before.refused + 20, "{} and {}", after.refused, before.refused);
     }
 }
 
 #[test]
 fn a_zone_that_is_out_gets_nothing_and_the_others_by_weight() {
-    let others = [(1.0, Event::Guide(guide(0.0, &[(1, 0.75), (2, 0.25)])))];
-    let day = play(&mut gateway(40), 9, 4000, &others, |_, _, _| Ending::Ok);
+    let others = [(1.0, Event::RoutingSnapshot(guide(0.0, &[(1, 0.75), (2, 0.25)])))];
+    let day = play(&mut gatekeeper(40), 9, 4000, &others, |_, _, _| AttemptOutcome::Ok);
     assert_eq!(day.sent.get(&0), None);
     let (one, two) = (day.sent[&1] as f64, day.sent[&2] as f64);
     assert!((2.5..3.6).contains(&(one / two)), "{:?}", day.sent);
@@ -228,12 +239,13 @@
     for k in 0..200 {
         let out = k % 2 == 0;
         let to = if out { guide(0.0, &[(1, 0.5), (2, 0.5)]) } else { guide(1.0, &[(1, 0.3), (2, 0.3)]) };
-        others.push((300.0 * f64::from(k), Event::Guide(to)));
+        others.push((300.0 * f64::from(k), Event::RoutingSnapshot(to)));
     }
-    for gateways in [3, 40] {
-        let failing =
-            |_: f64, zone: u32, lot: u64| if zone == 0 && lot < 400 { Ending::Reset } else { Ending::Ok };
-        let day = play(&mut gateway(gateways), 21, 4000, &others, failing);
+    for gatekeepers in [3, 40] {
+        let failing = |_: f64, zone: u32, lot: u64| {
+            if zone == 0 && lot < 400 { AttemptOutcome::Reset } else { AttemptOutcome::Ok }
+        };
+        let day = play(&mut gatekeeper(gatekeepers), 21, 4000, &others, failing);
         let again: Vec<&Vec<(u32, u32)>> = day.keyed.values().filter(|at| at.len() > 1).collect();
         assert!(again.len() > 50, "{}", again.len());
         assert!(again.iter().all(|at| at.iter().all(|place| *place == at[0])), "{again:?}");
@@ -243,21 +255,21 @@
 
 #[test]
 fn what_is_seen_is_counted_by_zone_and_class_and_only_when_asked_for() {
-    let mut g = gateway(3);
+    let mut g = gatekeeper(3);
     play(&mut g, 5, 500, &[], well);
-    assert_eq!(g.look_at_zones(60_000.0).lines, []);
+    assert_eq!(g.observe_zones(60_000.0).attempt_counts, []);
     g.watch_zones(true);
-    let bad = |_: f64, zone: u32, _: u64| if zone == 2 { Ending::Error } else { Ending::Ok };
+    let bad = |_: f64, zone: u32, _: u64| if zone == 2 { AttemptOutcome::Error } else { AttemptOutcome::Ok };
     let day = play(&mut g, 6, 2000, &[], bad);
-    let sight = g.look_at_zones(120_000.0);
+    let sight = g.observe_zones(120_000.0);
     let sum = |zone: u32, k: usize| -> u64 {
-        sight.lines.iter().filter(|l| l.0 == zone).map(|l| u64::from(l.2[k])).sum()
+        sight.attempt_counts.iter().filter(|l| l.0 == zone).map(|l| u64::from(l.2[k])).sum()
     };
     for zone in 0..3 {
         assert_eq!(sum(zone, 0), day.sent[&zone]);
         assert_eq!(sum(zone, 1), if zone == 2 { day.sent[&2] } else { 0 });
     }
-    assert!(sight.need > 0.0);
-    assert_eq!(sight.places, [(0, 10, 20.0, 20.0), (1, 10, 20.0, 20.0), (2, 10, 20.0, 20.0)]);
-    assert_eq!(g.look_at_zones(121_000.0).lines, [], "each is told once");
+    assert!(sight.required_concurrency > 0.0);
+    assert_eq!(sight.capacity, [(0, 10, 20.0, 20.0), (1, 10, 20.0, 20.0), (2, 10, 20.0, 20.0)]);
+    assert_eq!(g.observe_zones(121_000.0).attempt_counts, [], "each is told once");
 }
