--- a/crates/agent/benches/checks.rs
+++ b/crates/agent/benches/checks.rs
@@ -3,9 +3,9 @@
 //! `cargo bench -p frostvale-agent`. Only ratios of one run mean anything.
 
 use frostvale_proto::envoy::service::ratelimit::v3::rate_limit_response::Code;
-use frostvale_standin::load::{Pool, Shop, call, rls_client};
+use frostvale_standin::client::{ClientPool, Shop, rate_limit_call, rls_client};
+use frostvale_standin::local_cluster::{ClusterOptions, LocalCluster};
 use frostvale_standin::rls::Rls;
-use frostvale_standin::town::{Plan, Town};
 use serde_json::json;
 use std::net::SocketAddr;
 use std::process::Stdio;
@@ -27,7 +27,8 @@
                 let id = format!("{:016x}", (u64::from(c) * 31 + n) % 2000);
                 let shop = Shop { id, plan: "wide".into(), first: 0, spread: 3 };
                 let asked = Instant::now();
-                let answer = client.should_rate_limit(call(&shop, true, 1)).await.expect("an answer");
+                let answer =
+                    client.should_rate_limit(rate_limit_call(&shop, true, 1)).await.expect("an answer");
                 assert_eq!(answer.get_ref().overall_code(), Code::Ok);
                 times.push(asked.elapsed().as_micros() as u64);
             }
@@ -62,7 +63,9 @@
     let floor_at: SocketAddr = line.parse().expect("an address");
     let plans = json!([{"Name": "wide", "UnitsPerS": 1e6, "PeakUnits": 1e6, "ValueFactor": 1.0}]);
     let town =
-        Town::start(Plan { plans: Some(plans), servers: 3, ..Plan::default() }).await.expect("started");
+        LocalCluster::start(ClusterOptions { plans: Some(plans), servers: 3, ..ClusterOptions::default() })
+            .await
+            .expect("started");
     for callers in [1, 64] {
         let (floor, floor_p50, floor_p99) = measure(floor_at, callers).await;
         let before: u64 = town.gatekeepers.iter().map(|g| g.process.cpu_ms()).sum();
@@ -86,13 +89,13 @@
         for c in 0..conns {
             let at = town.gatekeepers[(c % 3) as usize].resp;
             tasks.push(tokio::spawn(async move {
-                let pool = Pool::new(at);
+                let pool = ClientPool::new(at);
                 let mut n = 0u64;
                 while begun.elapsed() < TIME {
                     n += 1;
                     let id = format!("{:016x}", (c * 31 + n) % 2000);
                     let shop = Shop { id, plan: "wide".into(), first: 0, spread: 3 };
-                    pool.ask(&shop, "formula-read", None, 1, Duration::from_millis(900))
+                    pool.send_request(&shop, "formula-read", None, 1, Duration::from_millis(900))
                         .await
                         .expect("an answer");
                 }
--- a/crates/agent/benches/record.rs
+++ b/crates/agent/benches/record.rs
@@ -3,14 +3,14 @@
 //! beside that of a sound one, in one run. `cargo build --release --workspace`, then
 //! `cargo bench -p frostvale-agent --bench record`.
 
-use frostvale_record::model::{Batch, Change, Level, Line, Plan as KeptPlan};
-use frostvale_record::{Backend, Op, Place};
+use frostvale_record::model::{Change, Plan as KeptPlan, TokenLevel, UsageBatch, UsageLine};
+use frostvale_record::{Backend, Op, RecordLocation};
+use frostvale_standin::client::{ClientPool, Shop};
 use frostvale_standin::clock::unix_ms;
-use frostvale_standin::formula::Options;
-use frostvale_standin::load::{Pool, Shop};
+use frostvale_standin::formula_server::ServerOptions;
+use frostvale_standin::local_cluster::{ClusterOptions, LocalCluster};
 use frostvale_standin::postgres::{Login, Postgres};
 use frostvale_standin::resp::Answer;
-use frostvale_standin::town::{Plan, Town};
 use serde_json::json;
 use std::net::Ipv4Addr;
 use std::path::Path;
@@ -20,8 +20,8 @@
 const SHOPS: i64 = 100_000;
 const TIME: Duration = Duration::from_secs(4);
 
-fn batch(seq: i64) -> Batch {
-    let line = |k: i64| Line {
+fn batch(seq: i64) -> UsageBatch {
+    let line = |k: i64| UsageLine {
         shop: format!("{:016x}", 7919 * k),
         plan: "tienda".into(),
         class: "formula-read".into(),
@@ -31,13 +31,13 @@
     };
     let (from_ms, to_ms) = (seq * 1000, seq * 1000 + 1000);
     let lines = (0..20).map(|k| line((seq * 20 + k) % 2000)).collect();
-    Batch { instance: "n1".into(), epoch_ms: 1, seq, from_ms, to_ms, last: false, revision: 0, lines }
+    UsageBatch { instance: "n1".into(), epoch_ms: 1, seq, from_ms, to_ms, last: false, revision: 0, lines }
 }
 
 async fn batches(name: &str, backend: &dyn Backend) {
     let (begun, mut seq) = (Instant::now(), 0);
     while begun.elapsed() < TIME {
-        let batches: Vec<Batch> = (seq..seq + 64).map(batch).collect();
+        let batches: Vec<UsageBatch> = (seq..seq + 64).map(batch).collect();
         backend.run(Op::Append { batches, now_ms: seq }).await.expect("landed");
         seq += 64;
     }
@@ -45,29 +45,34 @@
     println!("{name}: {rate:.0} batches of 20 lines a second, 64 in a transaction");
 }
 
-fn place(server: &Postgres, folder: &Path) -> Place {
+fn place(server: &Postgres, folder: &Path) -> RecordLocation {
     let password = folder.join("password");
     std::fs::write(&password, "bench").expect("written");
-    Place {
+    RecordLocation {
         password_file: Some(password),
-        ..Place::new(&format!("postgres://agent@{}/frostvale", server.at))
+        ..RecordLocation::new(&format!("postgres://agent@{}/frostvale", server.at))
     }
 }
 
-fn town(place: &Place, folder: &Path, gatekeepers: usize) -> Plan {
+fn town(place: &RecordLocation, folder: &Path, gatekeepers: usize) -> ClusterOptions {
     let password = place.password_file.as_ref().map_or(String::new(), |p| format!("password_file = {p:?}\n"));
-    Plan {
+    ClusterOptions {
         gatekeepers,
         servers: 6,
-        formula: Options { cores: 8, work: Duration::from_millis(4), queue: 1000, ..Options::default() },
+        formula: ServerOptions {
+            cores: 8,
+            work: Duration::from_millis(4),
+            queue: 1000,
+            ..ServerOptions::default()
+        },
         plans: Some(json!([{"Name": "wide", "UnitsPerS": 1e5, "PeakUnits": 1e5, "ValueFactor": 1.0}])),
-        gatekeeper_extra: "[usage]\nreport_ms = 200\n".into(),
-        agent_extra: format!(
+        gatekeeper_settings: "[usage]\nreport_ms = 200\n".into(),
+        agent_settings: format!(
             "[record]\nurl = {:?}\n{password}spool = {:?}\npoll_ms = 200\n",
             place.url,
             folder.join("spool.db")
         ),
-        ..Plan::default()
+        ..ClusterOptions::default()
     }
 }
 
@@ -81,12 +86,12 @@
 
 /// Kills gatekeeper and perhaps agent, and gives the time until the gatekeeper runs the recorded plans and its stores
 /// are restored.
-async fn recovery(town: &mut Town, agent_too: bool) -> (f64, f64) {
+async fn recovery(town: &mut LocalCluster, agent_too: bool) -> (f64, f64) {
     if agent_too {
         town.agent.as_mut().expect("an agent").kill().await;
     }
-    let restored = |town: &Town| {
-        let log = town.agent.as_ref().map_or(Vec::new(), frostvale_standin::town::Process::log);
+    let restored = |town: &LocalCluster| {
+        let log = town.agent.as_ref().map_or(Vec::new(), frostvale_standin::local_cluster::Process::log);
         log.iter().filter(|line| line.contains("stores are restored")).count()
     };
     let before = if agent_too { 0 } else { restored(town) };
@@ -96,7 +101,7 @@
     if agent_too {
         town.start_agent().await.expect("started");
     }
-    town.gatekeepers[0].process.says("are in effect").await.expect("plans");
+    town.gatekeepers[0].process.wait_for_log("are in effect").await.expect("plans");
     let plans = begun.elapsed().as_secs_f64();
     while restored(town) == before && begun.elapsed() < Duration::from_secs(10) {
         tokio::time::sleep(Duration::from_millis(2)).await;
@@ -106,11 +111,11 @@
 
 async fn many_shops() {
     let folder = tempfile::tempdir().expect("a folder");
-    let place = Place::new(&format!("sqlite:{}", folder.path().join("record.db").display()));
+    let place = RecordLocation::new(&format!("sqlite:{}", folder.path().join("record.db").display()));
     let backend = place.open().await.expect("opened");
     backend.migrate().await.expect("migrated");
     let now = i64::try_from(unix_ms()).expect("after 1970");
-    let level = |k| Level { key: 7919 * k, plan: 0, store_milli: 5000, ceiling_milli: 0, at_ms: now };
+    let level = |k| TokenLevel { key: 7919 * k, plan: 0, store_milli: 5000, ceiling_milli: 0, at_ms: now };
     for from in (0..SHOPS).step_by(10_000) {
         let levels = (from..from + 10_000).map(level).collect();
         backend.run(Op::SaveLevels { instance: "n1".into(), levels }).await.expect("kept");
@@ -135,13 +140,13 @@
     backend.run(Op::SetPlan(plan, change)).await.expect("set");
     drop(backend);
     let begun = Instant::now();
-    let mut town = Town::start(town(&place, folder.path(), 1)).await.expect("started");
+    let mut town = LocalCluster::start(town(&place, folder.path(), 1)).await.expect("started");
     let agent = town.agent.as_mut().expect("an agent");
-    agent.says("stores are restored").await.expect("restored");
+    agent.wait_for_log("stores are restored").await.expect("restored");
     println!(
         "{SHOPS} shops: town up and stores restored after {:.2} s; agent {:.0} MB, gatekeeper {:.0} MB",
         begun.elapsed().as_secs_f64(),
-        memory_mb(town.agent.as_ref().and_then(frostvale_standin::town::Process::pid)),
+        memory_mb(town.agent.as_ref().and_then(frostvale_standin::local_cluster::Process::pid)),
         memory_mb(town.gatekeepers[0].process.pid()),
     );
     // The agent hears of all stores before any is lost with it.
@@ -156,11 +161,11 @@
 }
 
 /// p50 and p99 of RESP2 in ms, 16 clients that ask without a pause.
-async fn latency(town: &Town) -> (f64, f64, usize) {
+async fn latency(town: &LocalCluster) -> (f64, f64, usize) {
     let begun = Instant::now();
     let mut tasks = Vec::new();
     for c in 0..16u64 {
-        let pool = Pool::new(town.gatekeepers[c as usize % 2].resp);
+        let pool = ClientPool::new(town.gatekeepers[c as usize % 2].resp);
         tasks.push(tokio::spawn(async move {
             let mut times = Vec::new();
             while begun.elapsed() < TIME {
@@ -171,7 +176,7 @@
                     spread: 1,
                 };
                 let asked = Instant::now();
-                let answer = pool.ask(&shop, "formula-read", None, 1, Duration::from_secs(1)).await;
+                let answer = pool.send_request(&shop, "formula-read", None, 1, Duration::from_secs(1)).await;
                 assert!(matches!(answer, Ok(Answer::Served(_) | Answer::Busy(_))), "{answer:?}");
                 times.push(asked.elapsed().as_micros() as u64);
             }
@@ -193,7 +198,7 @@
     let server =
         Postgres::start(Ipv4Addr::LOCALHOST.into(), &file, "bench", Login::Scram).await.expect("started");
     let place = place(&server, folder.path());
-    let mut town = Town::start(town(&place, folder.path(), 2)).await.expect("started");
+    let mut town = LocalCluster::start(town(&place, folder.path(), 2)).await.expect("started");
     latency(&town).await;
     let mut base = 0.0;
     for what in ["sound", "slow: 2 s a statement", "sound again", "hung", "dead"] {
@@ -218,7 +223,7 @@
     let runtime = tokio::runtime::Runtime::new().expect("a runtime");
     runtime.block_on(async {
         let folder = tempfile::tempdir().expect("a folder");
-        let sqlite = Place::new(&format!("sqlite:{}", folder.path().join("record.db").display()));
+        let sqlite = RecordLocation::new(&format!("sqlite:{}", folder.path().join("record.db").display()));
         let backend = sqlite.open().await.expect("opened");
         backend.migrate().await.expect("migrated");
         batches("SQLite", &*backend).await;
--- a/crates/agent/src/audit.rs
+++ b/crates/agent/src/audit.rs
@@ -4,19 +4,21 @@
 
 use crate::clock::{Clock, unix_ms};
 use crate::config;
-use crate::council::{Seat, Ways};
-use crate::duties::{Done, Fail, Worker};
-use crate::record::Keeper;
-use crate::zones::ZONES;
-use frostvale_audit::acts::{EPOCH, PLANS};
-use frostvale_audit::book::Late;
-use frostvale_audit::chain::{Anchor, Row, link as chain};
-use frostvale_audit::ladder::{ByHand, Digest, Step, Want};
-use frostvale_audit::{Act, Acts, Book, Decision, Event, Ladder, Version};
-use frostvale_council::{Council, Whole};
+use crate::council::{CouncilSeat, MemberChannels};
+use crate::duties::{StepDone, StepError, Worker};
+use crate::record::RecordKeeper;
+use crate::zones::ZONES_DUTY;
+use frostvale_audit::applied_version_table::DelayTracker;
+use frostvale_audit::applied_versions::{KIND_EPOCH_PREFIX, KIND_PLANS};
+use frostvale_audit::escalation::{EscalationStep, ExpectedDigest, InstanceOverride, TargetRevision};
+use frostvale_audit::hash_chain::{ChainRow, Checkpoint, append as chain};
+use frostvale_audit::{
+    Action, AppliedVersionTable, AppliedVersions, Decision, Escalation, HistoryEvent, Version,
+};
+use frostvale_council::{AgreedState, Council};
 use frostvale_link::agent::Link;
 use frostvale_link::proto::{Acts as ActsWord, Fence, Shut, ShutOne};
-use frostvale_owner::registry::{Decided, Intent};
+use frostvale_owner::registry::{OperatorOverride, StandingDecision};
 use frostvale_owner::{Command, Lease, Outcome};
 use frostvale_proto::agent::audit_change::What;
 use frostvale_proto::agent::council_client::CouncilClient;
@@ -25,7 +27,7 @@
     HistoryRequest, HistoryResponse, Instance, RevisionUse, UseByRevisionResponse, Wanted,
 };
 use frostvale_record::model::HistoryRow;
-use frostvale_record::{Op, Reply, Work};
+use frostvale_record::{FleetWork, Op, Reply};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Arc, Mutex, MutexGuard, OnceLock, PoisonError, Weak};
@@ -33,7 +35,7 @@
 use tokio::time::{sleep, timeout};
 
 /// The duty.
-pub const AUDIT: &str = "audit";
+pub const AUDIT_DUTY: &str = "audit";
 /// The owner looks this often.
 const STEP: Duration = Duration::from_millis(200);
 /// The owner is asked, and told, within this time.
@@ -73,28 +75,28 @@
 /// What one host tells the owner.
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Told {
+struct EvidenceBody {
     agent: String,
     life: u64,
     /// What each gatekeeper acts on, and how long ago it told, in ms.
-    words: Vec<(Acts, u64)>,
+    words: Vec<(AppliedVersions, u64)>,
     sets: BTreeSet<(u32, u32)>,
 }
 
 /// What the owner of one epoch keeps.
-struct Bench {
+struct OwnerState {
     epoch: u64,
     owner: String,
     at: u64,
-    book: Book,
-    ladder: Ladder,
-    late: Late,
-    wanted: BTreeMap<String, Want>,
+    book: AppliedVersionTable,
+    ladder: Escalation,
+    late: DelayTracker,
+    wanted: BTreeMap<String, TargetRevision>,
     sets: BTreeMap<String, BTreeSet<(u32, u32)>>,
-    pending: Vec<Event>,
+    pending: Vec<HistoryEvent>,
     /// Where the history ends, once that was read; and rows that were sent and of which nothing was heard.
-    head: Option<Anchor>,
-    sent: Vec<Row>,
+    head: Option<Checkpoint>,
+    sent: Vec<ChainRow>,
     decision: Decision,
     anchored: u64,
     looked: u64,
@@ -106,20 +108,20 @@
     in_doubt: Option<usize>,
 }
 
-impl Bench {
-    fn new(s: frostvale_audit::Settings, lease: &Lease, stands: &str, now: u64) -> Bench {
+impl OwnerState {
+    fn new(s: frostvale_audit::Settings, lease: &Lease, stands: &str, now: u64) -> OwnerState {
         let decision: Decision = serde_json::from_str(stands).unwrap_or_default();
-        let mut book = Book::new(s);
+        let mut book = AppliedVersionTable::new(s);
         book.resume(now, &decision.roster);
         // Whether the one before could still enter it is not known: what stands is entered under this epoch too.
         let outs = decision.out.clone();
-        let mut bench = Bench {
+        let mut bench = OwnerState {
             epoch: lease.epoch(),
             owner: lease.owner().to_string(),
             at: now,
             book,
-            ladder: Ladder::new(s),
-            late: Late::default(),
+            ladder: Escalation::new(s),
+            late: DelayTracker::default(),
             wanted: BTreeMap::new(),
             sets: BTreeMap::new(),
             pending: Vec::new(),
@@ -158,8 +160,8 @@
     }
 
     fn note(&mut self, instance: &str, kind: &str, was: &str, now_is: &str) {
-        let life = self.book.get(instance).map_or(0, |k| k.acts.life);
-        self.pending.push(Event {
+        let life = self.book.get(instance).map_or(0, |k| k.applied.life);
+        self.pending.push(HistoryEvent {
             instance: instance.into(),
             life,
             kind: kind.into(),
@@ -171,17 +173,17 @@
     }
 
     /// What each should act on now.
-    fn want(&mut self, now: u64, plans: Option<u64>, whole: &Whole) {
+    fn want(&mut self, now: u64, plans: Option<u64>, whole: &AgreedState) {
         let mut all = BTreeMap::new();
         if let Some(revision) = plans {
-            all.insert(PLANS.to_string(), revision);
+            all.insert(KIND_PLANS.to_string(), revision);
         }
-        if let Some(decided) = whole.owner.decisions.get(ZONES) {
-            all.insert(ZONES.to_string(), decided.version);
+        if let Some(decided) = whole.owner.decisions.get(ZONES_DUTY) {
+            all.insert(ZONES_DUTY.to_string(), decided.version);
         }
         for duty in crate::council::FOR_GATEKEEPERS {
             if let Some(duty_now) = whole.owner.duties.get(duty).filter(|d| d.epoch > 0) {
-                all.insert(format!("{EPOCH}{duty}"), duty_now.epoch);
+                all.insert(format!("{KIND_EPOCH_PREFIX}{duty}"), duty_now.epoch);
             }
         }
         for (kind, revision) in all {
@@ -189,11 +191,16 @@
             if was.is_none_or(|was| revision > was) {
                 let told = was.map_or(String::new(), |w| w.to_string());
                 self.note("", &format!("wanted.{kind}"), &told, &revision.to_string());
-                self.wanted.insert(kind, Want { revision, digest: Digest::NotCompared, since: now });
+                self.wanted.insert(
+                    kind,
+                    TargetRevision { revision, digest: ExpectedDigest::NotCompared, since: now },
+                );
             }
         }
-        if let Some(plans) = self.wanted.get_mut(PLANS) {
-            plans.digest = self.book.usual(PLANS, plans.revision, |name| self.decision.is_out(name));
+        if let Some(plans) = self.wanted.get_mut(KIND_PLANS) {
+            plans.digest = self
+                .book
+                .majority_digest(KIND_PLANS, plans.revision, |name| self.decision.is_fenced_off(name));
         }
     }
 
@@ -203,21 +210,22 @@
         now: u64,
         at_ms: u64,
         s: &frostvale_audit::Settings,
-        hands: &BTreeMap<String, ByHand>,
+        hands: &BTreeMap<String, InstanceOverride>,
     ) -> bool {
         let decision = std::mem::take(&mut self.decision);
-        let silent = self.book.turn(now, |name| decision.is_out(name));
+        let silent = self.book.tick(now, |name| decision.is_fenced_off(name));
         self.pending.extend(silent);
         self.decision = decision;
         let sets: BTreeSet<(u32, u32)> = self.sets.values().flatten().copied().collect();
-        let acts = self.ladder.turn(now, at_ms, &self.book, &self.wanted, (&sets, hands), &self.decision);
+        let acts = self.ladder.tick(now, at_ms, &self.book, &self.wanted, (&sets, hands), &self.decision);
         let before = (self.decision.out.clone(), self.decision.roster.clone(), self.decision.retry_ms);
-        self.alarms.retain(|name, _| self.ladder.all().any(|(n, _)| n == name) || hands.contains_key(name));
+        self.alarms
+            .retain(|name, _| self.ladder.stragglers().any(|(n, _)| n == name) || hands.contains_key(name));
         for act in acts {
             match act {
-                Act::Tell(name) => self.errand(&name, false),
-                Act::Snapshot(name) => self.errand(&name, true),
-                Act::ShutOut(out) => {
+                Action::Notify(name) => self.errand(&name, false),
+                Action::SendSnapshot(name) => self.errand(&name, true),
+                Action::FenceOff(out) => {
                     tracing::warn!(
                         instance = out.instance,
                         reason = out.why,
@@ -229,12 +237,12 @@
                     self.note(&out.instance.clone(), "out", "in", &out.why);
                     self.decision.out.push(out);
                 }
-                Act::LetIn(name) => {
+                Action::Readmit(name) => {
                     tracing::info!(instance = name, "{name} is let in again");
                     self.note(&name, "out", "out", "in");
                     self.decision.out.retain(|o| o.instance != name);
                 }
-                Act::Alarm(name, why) => {
+                Action::RaiseAlarm(name, why) => {
                     if self.alarms.get(&name) != Some(&why) && self.alarms.len() < ALARMS_MOST {
                         tracing::error!(
                             instance = name,
@@ -253,7 +261,7 @@
             && head.number > self.decision.anchors.last().map_or(0, |a| a.number)
         {
             self.anchored = now;
-            self.decision.anchor(head);
+            self.decision.add_checkpoint(head);
             return true;
         }
         before != (self.decision.out.clone(), self.decision.roster.clone(), self.decision.retry_ms)
@@ -293,12 +301,12 @@
     life: u64,
     clock: Clock,
     council: Arc<Council>,
-    ways: Arc<Ways>,
-    keeper: Option<Arc<Keeper>>,
-    own: Mutex<BTreeMap<String, (u64, Acts)>>,
+    ways: Arc<MemberChannels>,
+    keeper: Option<Arc<RecordKeeper>>,
+    own: Mutex<BTreeMap<String, (u64, AppliedVersions)>>,
     links: OnceLock<Vec<(String, Link)>>,
     sets: OnceLock<Box<Sets>>,
-    bench: Mutex<Option<Bench>>,
+    bench: Mutex<Option<OwnerState>>,
     pushed: Mutex<Pushed>,
 }
 
@@ -309,8 +317,8 @@
         fleet: &str,
         clock: Clock,
         council: Arc<Council>,
-        ways: Arc<Ways>,
-        keeper: Option<Arc<Keeper>>,
+        ways: Arc<MemberChannels>,
+        keeper: Option<Arc<RecordKeeper>>,
     ) -> Audit {
         Audit {
             config,
@@ -342,12 +350,12 @@
     // ---- evidence ----
 
     /// A gatekeeper of this host tells what it acts on.
-    pub(crate) fn acts(&self, gatekeeper: &str, word: ActsWord) {
+    pub(crate) fn record_applied_versions(&self, gatekeeper: &str, word: ActsWord) {
         let welcome = self.link(gatekeeper).and_then(Link::welcome);
         let Some(welcome) = welcome else { return };
         let version =
             |a: frostvale_link::proto::Acting| (a.kind, Version { revision: a.revision, digest: a.digest });
-        let acts = Acts {
+        let acts = AppliedVersions {
             instance: gatekeeper.to_string(),
             life: welcome.started_ms,
             number: word.number,
@@ -370,32 +378,32 @@
     }
 
     /// The task that tells the owner of the duty, and does what it is asked to in return.
-    pub(crate) async fn report(self: Arc<Self>, seat: Weak<Seat>) {
+    pub(crate) async fn run_reporting(self: Arc<Self>, seat: Weak<CouncilSeat>) {
         loop {
             sleep(Duration::from_millis(self.config.report_ms)).await;
             let whole = self.council.watch().borrow().clone();
-            let owner = whole.owner.duties.get(AUDIT).and_then(|d| d.owner.clone());
+            let owner = whole.owner.duties.get(AUDIT_DUTY).and_then(|d| d.owner.clone());
             let Some(owner) = owner else { continue };
             let now = self.clock.now();
-            let words: Vec<(Acts, u64)> = {
+            let words: Vec<(AppliedVersions, u64)> = {
                 let mut own = lock(&self.own);
                 // What is old is no evidence, and one that is not linked says nothing.
                 own.retain(|_, (at, _)| now.saturating_sub(*at) <= self.config.ladder.stale_ms);
                 own.values().take(WORDS_MOST).map(|(at, a)| (a.clone(), now.saturating_sub(*at))).collect()
             };
             let sets = self.sets.get().map_or_else(BTreeSet::new, |sets| sets());
-            let told = Told { agent: self.name.clone(), life: self.life, words, sets };
+            let told = EvidenceBody { agent: self.name.clone(), life: self.life, words, sets };
             let Ok(body) = serde_json::to_vec(&told) else { continue };
             let message = EvidenceMessage {
                 fleet: self.fleet.clone(),
-                duty: AUDIT.into(),
+                duty: AUDIT_DUTY.into(),
                 owner: owner.to_string(),
                 sent_ms: now,
                 body,
                 acts: vec![],
             };
             if owner.agent == self.name {
-                if let Ok(taken) = self.evidence(message) {
+                if let Ok(taken) = self.receive_evidence(message) {
                     self.run_errands(taken, &seat);
                 }
                 continue;
@@ -417,18 +425,18 @@
     }
 
     /// Tells gatekeepers again what stands, or all anew as if they had just come.
-    fn run_errands(&self, taken: EvidenceTaken, seat: &Weak<Seat>) {
+    fn run_errands(&self, taken: EvidenceTaken, seat: &Weak<CouncilSeat>) {
         for name in &taken.tell {
             let Some(link) = self.link(name) else { continue };
-            if let Some(plans) = self.keeper.as_ref().and_then(|k| k.plans()) {
-                link.plans(plans);
+            if let Some(plans) = self.keeper.as_ref().and_then(|k| k.current_plans()) {
+                link.send_plans(plans);
             }
-            self.again();
+            self.force_push();
         }
         let Some(seat) = seat.upgrade() else { return };
         for name in &taken.snapshot {
             if let Some((link, welcome)) = self.link(name).and_then(|l| Some((l.clone(), l.welcome()?))) {
-                tokio::spawn(seat.clone().welcomed(link, welcome, self.keeper.clone()));
+                tokio::spawn(seat.clone().gatekeeper_connected(link, welcome, self.keeper.clone()));
             }
         }
     }
@@ -437,7 +445,7 @@
     ///
     /// # Errors
     /// When this agent is not the one that it is for, or it can't be read.
-    pub fn evidence(&self, message: EvidenceMessage) -> Result<EvidenceTaken, String> {
+    pub fn receive_evidence(&self, message: EvidenceMessage) -> Result<EvidenceTaken, String> {
         let EvidenceMessage { fleet, owner, sent_ms, body, .. } = message;
         if fleet != self.fleet {
             return Err("fleet: not this one's".into());
@@ -454,17 +462,17 @@
         if owner != bench.owner {
             return Err("owner: another".into());
         }
-        let told: Told = serde_json::from_slice(&body).map_err(|e| format!("body: {e}"))?;
+        let told: EvidenceBody = serde_json::from_slice(&body).map_err(|e| format!("body: {e}"))?;
         if told.words.len() > WORDS_MOST
             || told.sets.len() > SETS_MOST
-            || !frostvale_audit::acts::is_name(&told.agent)
+            || !frostvale_audit::applied_versions::is_name(&told.agent)
         {
             return Err(format!("body: a name, {WORDS_MOST} gatekeepers and {SETS_MOST} sets at the most"));
         }
-        let late = bench.late.of(now, &told.agent, told.life, sent_ms);
+        let late = bench.late.delay_ms(now, &told.agent, told.life, sent_ms);
         let mut refused = String::new();
         for (acts, age) in told.words {
-            match bench.book.heard(now, &told.agent, acts, age.saturating_add(late)) {
+            match bench.book.record_report(now, &told.agent, acts, age.saturating_add(late)) {
                 Ok(events) => bench.pending.extend(events),
                 Err(why) => refused = why.0,
             }
@@ -481,20 +489,20 @@
     // ---- the duty ----
 
     /// One look of the owner's: the history goes on, and what is new is decided.
-    pub(crate) async fn step(&self, lease: &Lease, worker: &Worker) -> Result<Done, Fail> {
+    pub(crate) async fn step(&self, lease: &Lease, worker: &Worker) -> Result<StepDone, StepError> {
         let now = self.clock.now();
         let at_ms = unsigned(unix_ms());
         let whole = self.council.watch().borrow().clone();
-        let stands = whole.owner.decisions.get(AUDIT).cloned().unwrap_or_default();
+        let stands = whole.owner.decisions.get(AUDIT_DUTY).cloned().unwrap_or_default();
         self.expire(&whole).await;
         let hands = by_hand(&whole);
-        let plans = self.keeper.as_ref().and_then(|k| k.plans()).map(|p| p.revision);
+        let plans = self.keeper.as_ref().and_then(|k| k.current_plans()).map(|p| p.revision);
         let body = {
             let mut bench = lock(&self.bench);
             if bench.as_ref().is_none_or(|b| b.epoch != lease.epoch()) {
-                *bench = Some(Bench::new(self.config.ladder, lease, &stands.body, now));
+                *bench = Some(OwnerState::new(self.config.ladder, lease, &stands.body, now));
             }
-            let Some(bench) = bench.as_mut() else { return Err(Fail::Lapsed) };
+            let Some(bench) = bench.as_mut() else { return Err(StepError::LeaseExpired) };
             bench.at = now;
             bench.settle_doubt(&stands.body);
             let pending = bench.pending.len();
@@ -506,10 +514,10 @@
             decides.then(|| serde_json::to_string(&bench.decision))
         };
         if let Some(body) = body {
-            let body = body.map_err(|e| Fail::Failed(e.to_string()))?;
+            let body = body.map_err(|e| StepError::Failed(e.to_string()))?;
             lease.fence(now)?;
             let (owner, epoch) = (lease.owner().clone(), lease.epoch());
-            let duty = AUDIT.to_string();
+            let duty = AUDIT_DUTY.to_string();
             let decide = Command::Decide { duty, owner, epoch, seen: stands.version, body, at_ms };
             match self.council.propose(decide, ASK).await {
                 Ok(Outcome::Decided(version)) => {
@@ -517,22 +525,23 @@
                         bench.in_doubt = None;
                     }
                     let mut seen = self.council.watch();
-                    let there =
-                        |w: &Arc<Whole>| w.owner.decisions.get(AUDIT).is_some_and(|d| d.version >= version);
+                    let there = |w: &Arc<AgreedState>| {
+                        w.owner.decisions.get(AUDIT_DUTY).is_some_and(|d| d.version >= version)
+                    };
                     let _ = timeout(ASK, seen.wait_for(there)).await;
                 }
                 other => {
-                    return Err(Fail::Failed(format!("the decision was not entered: {other:?}")));
+                    return Err(StepError::Failed(format!("the decision was not entered: {other:?}")));
                 }
             }
         }
         let entered = self.enter(lease, worker).await?;
         self.retain(now, lease, worker).await?;
-        Ok(Done { note: format!("{entered} rows"), again: STEP })
+        Ok(StepDone { note: format!("{entered} rows"), again: STEP })
     }
 
     /// Enters what has happened into the history, where there is a record.
-    async fn enter(&self, lease: &Lease, worker: &Worker) -> Result<u64, Fail> {
+    async fn enter(&self, lease: &Lease, worker: &Worker) -> Result<u64, StepError> {
         let Some(keeper) = &self.keeper else {
             // Without a record there is no history: only what stands.
             if let Some(bench) = lock(&self.bench).as_mut() {
@@ -551,7 +560,7 @@
             let Reply::HistoryEnds(_, (number, hash)) = keeper.backend().run(Op::HistoryEnds).await? else {
                 return Ok(0);
             };
-            let head = Anchor { number: unsigned(number), hash };
+            let head = Checkpoint { number: unsigned(number), hash };
             let mut bench = lock(&self.bench);
             let Some(bench) = bench.as_mut() else { return Ok(0) };
             // Rows whose answer was lost have landed, or not.
@@ -586,12 +595,12 @@
                 );
             }
             let Some(head) = bench.head.clone().filter(|_| !bench.pending.is_empty()) else { return Ok(0) };
-            let some: Vec<Event> = bench.pending.iter().take(ROWS_AT_ONCE).cloned().collect();
+            let some: Vec<HistoryEvent> = bench.pending.iter().take(ROWS_AT_ONCE).cloned().collect();
             let rows = chain(&head, unsigned(unix_ms()), lease.epoch(), some);
             bench.sent.clone_from(&rows);
             (head, rows)
         };
-        let word = |r: &Row| HistoryRow {
+        let word = |r: &ChainRow| HistoryRow {
             number: signed(r.number),
             at_ms: signed(r.at_ms),
             epoch: signed(r.epoch),
@@ -606,12 +615,12 @@
             hash: r.hash.clone(),
         };
         let (after, words) = ((signed(after.number), after.hash), rows.iter().map(word).collect());
-        let done = worker.effect(lease, Work::AppendHistory { after, rows: words }).await;
+        let done = worker.effect(lease, FleetWork::AppendHistory { after, rows: words }).await;
         let mut bench = lock(&self.bench);
         let Some(bench) = bench.as_mut().filter(|b| b.epoch == lease.epoch()) else { return Ok(0) };
         match done {
             Ok(_) => {
-                bench.head = rows.last().map(|r| Anchor { number: r.number, hash: r.hash.clone() });
+                bench.head = rows.last().map(|r| Checkpoint { number: r.number, hash: r.hash.clone() });
                 bench.pending.drain(..rows.len().min(bench.pending.len()));
                 bench.sent.clear();
                 Ok(rows.len() as u64)
@@ -624,13 +633,13 @@
         }
     }
 
-    async fn retain(&self, now: u64, lease: &Lease, worker: &Worker) -> Result<(), Fail> {
+    async fn retain(&self, now: u64, lease: &Lease, worker: &Worker) -> Result<(), StepError> {
         let due = lock(&self.bench).as_ref().is_some_and(|b| now >= b.retained + RETAIN_MS);
         if !due || self.keeper.is_none() {
             return Ok(());
         }
         let before_ms = unix_ms() - i64::from(self.config.keep_days) * frostvale_record::fleet::DAY_MS;
-        worker.effect(lease, Work::RetainHistory { before_ms }).await?;
+        worker.effect(lease, FleetWork::RetainHistory { before_ms }).await?;
         if let Some(bench) = lock(&self.bench).as_mut() {
             bench.retained = now;
         }
@@ -638,11 +647,12 @@
     }
 
     /// Ends operators' words whose time is over.
-    async fn expire(&self, whole: &Whole) {
+    async fn expire(&self, whole: &AgreedState) {
         let at_ms = unsigned(unix_ms());
-        let over = whole.owner.intents.get(AUDIT).into_iter().flatten().filter(|(_, i)| i.until_ms <= at_ms);
+        let over =
+            whole.owner.intents.get(AUDIT_DUTY).into_iter().flatten().filter(|(_, i)| i.until_ms <= at_ms);
         for (key, _) in over {
-            let (duty, key, by) = (AUDIT.to_string(), key.clone(), "its expiry".to_string());
+            let (duty, key, by) = (AUDIT_DUTY.to_string(), key.clone(), "its expiry".to_string());
             let _ = self.council.propose(Command::Withdraw { duty, key, by, at_ms }, ASK).await;
         }
     }
@@ -650,13 +660,13 @@
     // ---- to gatekeepers ----
 
     /// Gatekeepers are told at once, as one of them is new or behind.
-    pub(crate) fn again(&self) {
+    pub(crate) fn force_push(&self) {
         lock(&self.pushed).last = None;
     }
 
     /// Tells gatekeepers what stands, or that it still does; only while this agent's own word holds.
-    pub(crate) fn push(&self, whole: &Whole, holds: bool, links: &[Link]) {
-        let Some(decided) = whole.owner.decisions.get(AUDIT).filter(|_| holds) else { return };
+    pub(crate) fn push_to_gatekeepers(&self, whole: &AgreedState, holds: bool, links: &[Link]) {
+        let Some(decided) = whole.owner.decisions.get(AUDIT_DUTY).filter(|_| holds) else { return };
         let now = self.clock.now();
         let mut pushed = lock(&self.pushed);
         if (pushed.version, pushed.epoch) != (decided.version, decided.epoch) {
@@ -668,20 +678,24 @@
         }
         pushed.last = Some(now);
         if let Some(word) = &pushed.word {
-            links.iter().for_each(|link| link.shut(word.clone()));
+            links.iter().for_each(|link| link.send_fenced_off(word.clone()));
         }
     }
 
-    fn word(&self, decided: &Decided) -> Option<Shut> {
+    fn word(&self, decided: &StandingDecision) -> Option<Shut> {
         let decision: Decision = serde_json::from_str(&decided.body).ok()?;
         if let Err(why) = decision.check() {
             let version = decided.version;
             tracing::warn!(version, reason = why, "audit: version {version} can't be acted on: {why}");
             return None;
         }
-        let one = |o: frostvale_audit::Out| ShutOne { instance: o.instance, me: o.me };
+        let one = |o: frostvale_audit::FencedOffInstance| ShutOne { instance: o.instance, me: o.me };
         Some(Shut {
-            fence: Some(Fence { duty: AUDIT.into(), epoch: decided.epoch, owner: decided.owner.clone() }),
+            fence: Some(Fence {
+                duty: AUDIT_DUTY.into(),
+                epoch: decided.epoch,
+                owner: decided.owner.clone(),
+            }),
             version: decided.version,
             hold_ms: self.config.hold_ms,
             retry_ms: decision.retry_ms,
@@ -705,55 +719,55 @@
         let Some(bench) = bench.as_ref().filter(|b| now.saturating_sub(b.at) <= stale_ms) else {
             return Err("this agent does not own the audit".into());
         };
-        let stragglers: BTreeMap<&String, _> = bench.ladder.all().collect();
-        let instance = |(name, k): (&String, &frostvale_audit::book::Known)| {
+        let stragglers: BTreeMap<&String, _> = bench.ladder.stragglers().collect();
+        let instance = |(name, k): (&String, &frostvale_audit::applied_version_table::InstanceStatus)| {
             let straggler = stragglers.get(name);
             let acting = |(kind, v): (&String, &Version)| Acting {
                 kind: kind.clone(),
                 revision: v.revision,
                 digest: v.digest.clone(),
             };
-            let step = |s: Step| match s {
-                Step::Waits => "waits",
-                Step::Told => "told",
-                Step::Sent => "sent",
-                Step::Over => "over",
+            let step = |s: EscalationStep| match s {
+                EscalationStep::Waiting => "waits",
+                EscalationStep::Notified => "told",
+                EscalationStep::SnapshotSent => "sent",
+                EscalationStep::FenceOff => "over",
             };
             Instance {
                 name: name.clone(),
                 agent: k.agent.clone(),
-                zone: k.acts.zone.clone(),
-                life: k.acts.life,
-                me: k.acts.me,
-                age_ms: now.saturating_sub(k.heard),
-                heard: !k.silent,
-                versions: k.acts.versions.iter().map(acting).collect(),
+                zone: k.applied.zone.clone(),
+                life: k.applied.life,
+                me: k.applied.me,
+                age_ms: now.saturating_sub(k.last_report_at),
+                heard: !k.is_silent,
+                versions: k.applied.versions.iter().map(acting).collect(),
                 behind: straggler.map_or_else(|| bench.not_judged(name), |s| s.why.clone()),
                 step: straggler.map_or(String::new(), |s| step(s.step).to_string()),
-                out: bench.decision.is_out(name),
+                out: bench.decision.is_fenced_off(name),
             }
         };
-        let wanted = |(kind, w): (&String, &Want)| Wanted {
+        let wanted = |(kind, w): (&String, &TargetRevision)| Wanted {
             kind: kind.clone(),
             revision: w.revision,
             digest: match &w.digest {
-                Digest::Usual(digest) => digest.clone(),
-                Digest::NotCompared | Digest::Undecided => String::new(),
+                ExpectedDigest::Majority(digest) => digest.clone(),
+                ExpectedDigest::NotCompared | ExpectedDigest::Undecided => String::new(),
             },
             age_ms: now.saturating_sub(w.since),
         };
         Ok(AuditView {
-            instances: bench.book.all().map(instance).collect(),
-            heard: bench.book.counts().heard,
-            refused: bench.book.counts().refused,
+            instances: bench.book.instances().map(instance).collect(),
+            heard: bench.book.counts().accepted,
+            refused: bench.book.counts().rejected,
             alarms: bench.alarms.iter().map(|(name, why)| format!("{name}: {why}")).collect(),
             wanted: bench.wanted.iter().map(wanted).collect(),
         })
     }
 
-    async fn look(&self, whole: &Whole) -> Result<AuditView, String> {
+    async fn look(&self, whole: &AgreedState) -> Result<AuditView, String> {
         let look = AuditLook { fleet: self.fleet.clone() };
-        let owner = whole.owner.duties.get(AUDIT).and_then(|d| d.owner.clone());
+        let owner = whole.owner.duties.get(AUDIT_DUTY).and_then(|d| d.owner.clone());
         let owner = owner.ok_or("nobody owns the audit at present")?;
         if owner.agent == self.name {
             return self.view(&look);
@@ -765,9 +779,9 @@
     }
 
     /// All that operators see.
-    pub async fn told(&self, whole: &Whole, current: bool) -> AuditResponse {
-        let stands = whole.owner.decisions.get(AUDIT).cloned().unwrap_or_default();
-        let intent = |(instance, i): (&String, &Intent)| AuditIntent {
+    pub async fn response(&self, whole: &AgreedState, current: bool) -> AuditResponse {
+        let stands = whole.owner.decisions.get(AUDIT_DUTY).cloned().unwrap_or_default();
+        let intent = |(instance, i): (&String, &OperatorOverride)| AuditIntent {
             instance: instance.clone(),
             what: i.body.clone(),
             by: i.by.clone(),
@@ -782,7 +796,7 @@
             current,
             decision: stands.body,
             view: self.look(whole).await.ok(),
-            intents: whole.owner.intents.get(AUDIT).into_iter().flatten().map(intent).collect(),
+            intents: whole.owner.intents.get(AUDIT_DUTY).into_iter().flatten().map(intent).collect(),
         }
     }
 
@@ -790,11 +804,11 @@
     ///
     /// # Errors
     /// With why it is refused.
-    pub async fn wish(&self, asked: AuditChange) -> Result<(Command, String), String> {
+    pub async fn operator_change(&self, asked: AuditChange) -> Result<(Command, String), String> {
         let at_ms = unsigned(unix_ms());
         let what = asked.what();
         let AuditChange { instance, by, why, until_ms, .. } = asked;
-        let (duty, key) = (AUDIT.to_string(), instance.clone());
+        let (duty, key) = (AUDIT_DUTY.to_string(), instance.clone());
         let body = match what {
             What::Clear => {
                 let text = format!("nothing is said of {instance} by hand any more");
@@ -818,7 +832,7 @@
             ),
             _ => format!("{instance} is kept in, whatever it acts on"),
         };
-        let intent = Intent { body: body.into(), by, why, until_ms, at_ms };
+        let intent = OperatorOverride { body: body.into(), by, why, until_ms, at_ms };
         Ok((Command::Intend { duty, key, intent }, text))
     }
 
@@ -834,7 +848,7 @@
         let Reply::History(rows, (number, hash)) = reply else {
             return Err("the record answered something else".into());
         };
-        let row = |r: HistoryRow| Row {
+        let row = |r: HistoryRow| ChainRow {
             number: unsigned(r.number),
             at_ms: unsigned(r.at_ms),
             epoch: unsigned(r.epoch),
@@ -849,7 +863,7 @@
             hash: r.hash,
         };
         let rows = rows.into_iter().map(|r| serde_json::to_string(&row(r)).unwrap_or_default()).collect();
-        let base = serde_json::to_string(&Anchor { number: unsigned(number), hash }).unwrap_or_default();
+        let base = serde_json::to_string(&Checkpoint { number: unsigned(number), hash }).unwrap_or_default();
         Ok(HistoryResponse { rows, base })
     }
 
@@ -874,13 +888,13 @@
     }
 }
 
-fn by_hand(whole: &Whole) -> BTreeMap<String, ByHand> {
-    let of = |(instance, i): (&String, &Intent)| {
+fn by_hand(whole: &AgreedState) -> BTreeMap<String, InstanceOverride> {
+    let of = |(instance, i): (&String, &OperatorOverride)| {
         let hand = match i.body.as_str() {
-            OUT => ByHand::Out { why: format!("by {}: {}", i.by, i.why) },
-            _ => ByHand::In,
+            OUT => InstanceOverride::FenceOff { why: format!("by {}: {}", i.by, i.why) },
+            _ => InstanceOverride::KeepInService,
         };
         (instance.clone(), hand)
     };
-    whole.owner.intents.get(AUDIT).into_iter().flatten().map(of).collect()
+    whole.owner.intents.get(AUDIT_DUTY).into_iter().flatten().map(of).collect()
 }
--- a/crates/agent/src/config.rs
+++ b/crates/agent/src/config.rs
@@ -4,8 +4,8 @@
 
 pub use council::{Audit, Council, Drill, Duties, Voter, Zones};
 
-use frostvale_checks::Mode;
-use frostvale_checks::read::Names;
+use frostvale_checks::FailureMode;
+use frostvale_checks::read::EntryKeys;
 use serde::Deserialize;
 use std::collections::{BTreeMap, HashSet};
 use std::net::SocketAddr;
@@ -98,13 +98,13 @@
 impl Record {
     /// The place of the database.
     #[must_use]
-    pub fn place(&self) -> frostvale_record::Place {
-        frostvale_record::Place {
+    pub fn location(&self) -> frostvale_record::RecordLocation {
+        frostvale_record::RecordLocation {
             password_file: self.password_file.clone(),
             ca: self.ca.clone(),
-            connect: Duration::from_millis(self.connect_ms),
-            statement: Duration::from_millis(self.statement_ms),
-            ..frostvale_record::Place::new(&self.url)
+            connect_timeout: Duration::from_millis(self.connect_ms),
+            statement_timeout: Duration::from_millis(self.statement_ms),
+            ..frostvale_record::RecordLocation::new(&self.url)
         }
     }
 }
@@ -142,9 +142,9 @@
     /// Checks in hand at once at one gatekeeper.
     pub in_hand: usize,
     /// What is answered without a decision, by plan.
-    pub on_failure: BTreeMap<String, Word>,
+    pub on_failure: BTreeMap<String, FailureModeSetting>,
     /// The same for plans not named.
-    pub on_failure_default: Word,
+    pub on_failure_default: FailureModeSetting,
 }
 
 impl Default for Rls {
@@ -152,13 +152,13 @@
         Rls {
             listen: SocketAddr::from(([127, 0, 0, 1], 8081)),
             tls: None,
-            domains: Names::default().domains,
+            domains: EntryKeys::default().domains,
             keys: Keys::default(),
             default_set: Set::default(),
             decide_within_ms: 250,
             in_hand: 16_384,
             on_failure: BTreeMap::new(),
-            on_failure_default: Word::Deny,
+            on_failure_default: FailureModeSetting::Deny,
         }
     }
 }
@@ -176,7 +176,7 @@
 
 impl Default for Keys {
     fn default() -> Self {
-        let Names { shop, plan, class, first, spread, .. } = Names::default();
+        let EntryKeys { shop, plan, class, first, spread, .. } = EntryKeys::default();
         Keys { shop, plan, class, first, spread }
     }
 }
@@ -194,18 +194,18 @@
 /// A failure mode.
 #[derive(Debug, Clone, Copy, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Word {
+pub enum FailureModeSetting {
     /// OK.
     Allow,
     /// Over the limit.
     Deny,
 }
 
-impl From<Word> for Mode {
-    fn from(word: Word) -> Mode {
+impl From<FailureModeSetting> for FailureMode {
+    fn from(word: FailureModeSetting) -> FailureMode {
         match word {
-            Word::Allow => Mode::Allow,
-            Word::Deny => Mode::Deny,
+            FailureModeSetting::Allow => FailureMode::Allow,
+            FailureModeSetting::Deny => FailureMode::Deny,
         }
     }
 }
@@ -267,14 +267,14 @@
         let said = |e: String| format!("{}: {e}", path.display());
         let text =
             std::fs::read_to_string(path).map_err(|e| format!("cannot read {}: {e}", path.display()))?;
-        Config::of(&text).map_err(said)
+        Config::parse(&text).map_err(said)
     }
 
     /// Checks a text.
     ///
     /// # Errors
     /// One line with the field and what it may be.
-    pub fn of(text: &str) -> Result<Config, String> {
+    pub fn parse(text: &str) -> Result<Config, String> {
         let one_line = |e: toml::de::Error| e.to_string().lines().collect::<Vec<_>>().join(" ");
         let config: Config = toml::from_str(text).map_err(one_line)?;
         config.check()?;
@@ -339,7 +339,7 @@
             if !(10..=600_000).contains(&record.poll_ms) {
                 return bad("record.poll_ms: 10 to 600000");
             }
-            record.place().check()?;
+            record.location().check()?;
         }
         if let Some(council) = &self.council {
             council.check(&self.name, self.rls.is_some())?;
@@ -374,9 +374,9 @@
 
     /// With the domains, as the reader of calls wants them.
     #[must_use]
-    pub fn names(&self, domains: &[String]) -> Names {
+    pub fn entry_keys(&self, domains: &[String]) -> EntryKeys {
         let Keys { shop, plan, class, first, spread } = self.clone();
-        Names { domains: domains.to_vec(), shop, plan, class, first, spread }
+        EntryKeys { domains: domains.to_vec(), shop, plan, class, first, spread }
     }
 }
 
@@ -389,7 +389,7 @@
 
     /// What is configured for a plan.
     #[must_use]
-    pub fn mode(&self, plan: &str) -> Mode {
+    pub fn mode(&self, plan: &str) -> FailureMode {
         self.on_failure.get(plan).copied().unwrap_or(self.on_failure_default).into()
     }
 }
@@ -401,7 +401,7 @@
     #[test]
     fn the_sample_is_sound() {
         let sample = include_str!("../../../deploy/frostagent.toml");
-        let config = Config::of(sample).expect("sound");
+        let config = Config::parse(sample).expect("sound");
         assert!(config.rls.is_some() && config.control.is_some());
     }
 
@@ -481,7 +481,7 @@
             (&format!("{one}[outside]\nendpoint = \"https://10.0.0.1:80\""), "outside.ca"),
         ];
         for (text, word) in bad {
-            let said = Config::of(text).err().unwrap_or_else(|| panic!("{text:?} was taken"));
+            let said = Config::parse(text).err().unwrap_or_else(|| panic!("{text:?} was taken"));
             assert!(said.contains(word) && !said.contains('\n'), "{text:?}: {said}");
         }
     }
--- a/crates/agent/src/council.rs
+++ b/crates/agent/src/council.rs
@@ -1,20 +1,20 @@
 //! This agent's seat in the council: the way to other members, its session and its duties, and what gatekeepers are told
 //! of epochs. What is decided, `frostvale-owner` decides; what is agreed on, `frostvale-council`.
 
-use crate::audit::{AUDIT, Audit};
+use crate::audit::{AUDIT_DUTY, Audit};
 use crate::clock::{Clock, unix_ms};
 use crate::config::{self, Tls};
 use crate::duties::{self, Worker};
-use crate::hand::Hand;
-use crate::record::Keeper;
-use crate::zones::{ZONES, Zones};
-use frostvale_council::wire::{BODY_MOST, KINDS};
-use frostvale_council::{Council, Envelope, Refused, Transport, Whole};
+use crate::record::RecordKeeper;
+use crate::step_markers::StepMarkers;
+use crate::zones::{ZONES_DUTY, Zones};
+use frostvale_council::wire::{MAX_BODY_BYTES, MESSAGE_KINDS};
+use frostvale_council::{AgreedState, Council, Envelope, Rejection, Transport};
 use frostvale_link::agent::Link;
 use frostvale_link::proto::{Epochs, Fence, Welcome};
-use frostvale_owner::host::Tell;
+use frostvale_owner::host::Notice;
 use frostvale_owner::registry::Step;
-use frostvale_owner::{Action, Command, Host, Lease, Outcome};
+use frostvale_owner::{Action, Command, DutyController, Lease, Outcome};
 use frostvale_proto::agent::council_client::CouncilClient;
 use frostvale_proto::agent::council_server;
 use frostvale_proto::agent::{
@@ -40,22 +40,22 @@
 /// A gatekeeper that started is told what is current; while nobody can say so, it is tried again this often.
 const CONFIRM: Duration = Duration::from_millis(200);
 /// Duties whose decisions gatekeepers take.
-pub(crate) const FOR_GATEKEEPERS: [&str; 3] = [duties::PUBLISH, ZONES, AUDIT];
+pub(crate) const FOR_GATEKEEPERS: [&str; 3] = [duties::PUBLISH_DUTY, ZONES_DUTY, AUDIT_DUTY];
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 /// The way to other members: gRPC, at the agents' own listeners.
-pub(crate) struct Ways {
+pub(crate) struct MemberChannels {
     tls: Option<ClientTlsConfig>,
     /// By the member's own address: where this agent reaches it.
     via: BTreeMap<String, String>,
     channels: Mutex<HashMap<String, Channel>>,
 }
 
-impl Ways {
-    fn new(config: &config::Council, tls: Option<&Tls>) -> Result<Ways, String> {
+impl MemberChannels {
+    fn new(config: &config::Council, tls: Option<&Tls>) -> Result<MemberChannels, String> {
         let read = |field: &str, path: &std::path::Path| {
             std::fs::read(path).map_err(|e| format!("rls.tls.{field}: cannot read {}: {e}", path.display()))
         };
@@ -66,7 +66,7 @@
         });
         let at = |name: &String| config.voters.iter().find(|v| v.name == *name).map(|v| v.at.clone());
         let via = config.via.iter().map(|(name, to)| (at(name).unwrap_or_else(|| name.clone()), to.clone()));
-        Ok(Ways { tls: tls.transpose()?, via: via.collect(), channels: Mutex::default() })
+        Ok(MemberChannels { tls: tls.transpose()?, via: via.collect(), channels: Mutex::default() })
     }
 
     pub(crate) fn channel(&self, at: &str) -> Result<Channel, String> {
@@ -96,64 +96,64 @@
 
 fn message(envelope: Envelope) -> CouncilMessage {
     let Envelope { version, fleet, generation, from, to, writes, heard, kind, body } = envelope;
-    let kind = KINDS.iter().position(|k| *k == kind).map_or(0, |k| k as u32 + 1);
+    let kind = MESSAGE_KINDS.iter().position(|k| *k == kind).map_or(0, |k| k as u32 + 1);
     CouncilMessage { version, fleet, generation, from, to, writes, heard, kind, body }
 }
 
-fn envelope(message: CouncilMessage) -> Result<Envelope, Refused> {
+fn envelope(message: CouncilMessage) -> Result<Envelope, Rejection> {
     let CouncilMessage { version, fleet, generation, from, to, writes, heard, kind, body } = message;
-    let known = usize::try_from(kind).ok().and_then(|k| KINDS.get(k.wrapping_sub(1)).copied());
-    let kind = known.ok_or_else(|| Refused::Unreadable(format!("kind {kind}")))?;
+    let known = usize::try_from(kind).ok().and_then(|k| MESSAGE_KINDS.get(k.wrapping_sub(1)).copied());
+    let kind = known.ok_or_else(|| Rejection::Unreadable(format!("kind {kind}")))?;
     Ok(Envelope { version, fleet, generation, from, to, writes, heard, kind, body })
 }
 
 #[tonic::async_trait]
-impl Transport for Ways {
+impl Transport for MemberChannels {
     async fn call(&self, at: &str, asked: Envelope) -> Result<Envelope, String> {
         let mut client = CouncilClient::new(self.channel(at)?)
-            .max_decoding_message_size(BODY_MOST + AROUND)
-            .max_encoding_message_size(BODY_MOST + AROUND);
+            .max_decoding_message_size(MAX_BODY_BYTES + AROUND)
+            .max_encoding_message_size(MAX_BODY_BYTES + AROUND);
         let answer = client.tell(message(asked)).await.map_err(|e| e.message().to_string())?;
         envelope(answer.into_inner()).map_err(|e| e.to_string())
     }
 }
 
 /// What other members ask.
-pub struct Door(pub Arc<Seat>);
+pub struct CouncilService(pub Arc<CouncilSeat>);
 
-impl Door {
+impl CouncilService {
     /// The service, with its bounds.
     #[must_use]
-    pub fn service(self) -> council_server::CouncilServer<Door> {
+    pub fn service(self) -> council_server::CouncilServer<CouncilService> {
         council_server::CouncilServer::new(self)
-            .max_decoding_message_size(BODY_MOST + AROUND)
-            .max_encoding_message_size(BODY_MOST + AROUND)
+            .max_decoding_message_size(MAX_BODY_BYTES + AROUND)
+            .max_encoding_message_size(MAX_BODY_BYTES + AROUND)
     }
 }
 
 #[tonic::async_trait]
-impl council_server::Council for Door {
+impl council_server::Council for CouncilService {
     async fn tell(&self, asked: Request<CouncilMessage>) -> Result<Response<CouncilMessage>, Status> {
         let answer = match envelope(asked.into_inner()) {
-            Ok(asked) => self.0.council.serve(asked).await,
+            Ok(asked) => self.0.council.handle_message(asked).await,
             Err(e) => {
-                self.0.council.refused(&e);
+                self.0.council.count_rejected(&e);
                 Err(e)
             }
         };
         match answer {
             Ok(answer) => Ok(Response::new(message(answer))),
-            Err(e @ Refused::Stopped(_)) => Err(Status::unavailable(e.to_string())),
+            Err(e @ Rejection::Stopped(_)) => Err(Status::unavailable(e.to_string())),
             Err(e) => Err(Status::failed_precondition(e.to_string())),
         }
     }
 
     async fn evidence(&self, asked: Request<EvidenceMessage>) -> Result<Response<EvidenceTaken>, Status> {
         let asked = asked.into_inner();
-        let taken = if asked.duty == AUDIT {
-            self.0.audit.as_ref().ok_or_else(no_audit)?.evidence(asked)
+        let taken = if asked.duty == AUDIT_DUTY {
+            self.0.audit.as_ref().ok_or_else(no_audit)?.receive_evidence(asked)
         } else {
-            self.0.zones.as_ref().ok_or_else(no_zones)?.evidence(asked)
+            self.0.zones.as_ref().ok_or_else(no_zones)?.receive_evidence(asked)
         };
         taken.map(Response::new).map_err(Status::failed_precondition)
     }
@@ -182,15 +182,15 @@
 type Ending = watch::Sender<bool>;
 
 /// This agent's seat.
-pub struct Seat {
+pub struct CouncilSeat {
     /// The council.
     pub council: Arc<Council>,
-    host: Mutex<Host>,
+    host: Mutex<DutyController>,
     clock: Clock,
     patience: Duration,
     runners: Mutex<HashMap<(String, u64), Ending>>,
     worker: Arc<Worker>,
-    hand: Hand,
+    hand: StepMarkers,
     wake: Notify,
     links: OnceLock<Vec<Link>>,
     /// Where zones are decided on in common.
@@ -199,7 +199,7 @@
     pub audit: Option<Arc<Audit>>,
 }
 
-impl Seat {
+impl CouncilSeat {
     /// Takes part, and does what duties come to it.
     ///
     /// # Errors
@@ -208,14 +208,14 @@
         config: &config::Config,
         part: &config::Council,
         at: &str,
-        keeper: Option<Arc<Keeper>>,
-    ) -> Result<Arc<Seat>, String> {
+        keeper: Option<Arc<RecordKeeper>>,
+    ) -> Result<Arc<CouncilSeat>, String> {
         let tls = config.rls.as_ref().and_then(|r| r.tls.as_ref());
-        let ways = Arc::new(Ways::new(part, tls)?);
+        let ways = Arc::new(MemberChannels::new(part, tls)?);
         let mut settings = part.member(&config.name, at);
         settings.read_only = config.drill.council_read_only;
         let council = Council::start(settings, ways.clone()).map_err(|e| format!("council: {e}"))?;
-        if config.drill.council_pages > 0 && council.limit_file(config.drill.council_pages).is_err() {
+        if config.drill.council_pages > 0 && council.limit_file_size(config.drill.council_pages).is_err() {
             tracing::warn!("drill.council_pages: the file can't be limited");
         }
         let clock = Clock::new(config.drill.clock_rate_milli);
@@ -229,8 +229,9 @@
         let worker = Worker::new(config, keeper, clock, zones.clone(), audit.clone());
         let drawn = RandomState::new();
         let (nonce, seed) = (drawn.hash_one(&config.name), drawn.hash_one((&config.name, 1)));
-        let mut host = Host::new(&config.name, &part.zone, &worker.duties(), part.settings(), nonce, seed);
-        let (hand, fell) = Hand::open(&part.file);
+        let mut host =
+            DutyController::new(&config.name, &part.zone, &worker.duties(), part.settings(), nonce, seed);
+        let (hand, fell) = StepMarkers::open(&part.file);
         for (duty, epoch) in &fell {
             tracing::warn!(
                 duty,
@@ -238,8 +239,8 @@
                 "the process before this one died in a step of duty {duty}, epoch {epoch}"
             );
         }
-        host.set_fell(fell);
-        let seat = Arc::new(Seat {
+        host.set_interrupted_steps(fell);
+        let seat = Arc::new(CouncilSeat {
             council,
             host: Mutex::new(host),
             clock,
@@ -253,10 +254,10 @@
             audit,
         });
         if let Some(audit) = &seat.audit {
-            tokio::spawn(audit.clone().report(Arc::downgrade(&seat)));
+            tokio::spawn(audit.clone().run_reporting(Arc::downgrade(&seat)));
         }
         if let Some(zones) = &seat.zones {
-            tokio::spawn(zones.clone().report());
+            tokio::spawn(zones.clone().run_reporting());
         }
         tokio::spawn(seat.clone().go_on());
         Ok(seat)
@@ -277,8 +278,8 @@
             let now = self.clock.now();
             let actions = {
                 let mut host = lock(&self.host);
-                host.set_wall(unix_ms().saturating_sub_unsigned(now));
-                host.turn(now, &whole.owner)
+                host.set_wall_offset_ms(unix_ms().saturating_sub_unsigned(now));
+                host.tick(now, &whole.owner)
             };
             self.act(actions);
             let given = given(&whole);
@@ -286,17 +287,17 @@
             if newest > told {
                 told = newest;
                 for link in self.links.get().into_iter().flatten() {
-                    link.epochs(Epochs { nonce: 0, given: given.clone() });
+                    link.send_epochs(Epochs { nonce: 0, given: given.clone() });
                 }
             }
             if let Some(links) = self.links.get() {
                 // While this agent's session holds, what it knows is what stands, or was a lease ago.
-                let holds = lock(&self.host).holds(self.clock.now());
+                let holds = lock(&self.host).holds_session(self.clock.now());
                 if let Some(zones) = &self.zones {
-                    zones.push(&whole, holds, links);
+                    zones.push_to_gatekeepers(&whole, holds, links);
                 }
                 if let Some(audit) = &self.audit {
-                    audit.push(&whole, holds, links);
+                    audit.push_to_gatekeepers(&whole, holds, links);
                 }
             }
         }
@@ -312,12 +313,12 @@
                     match ending {
                         Some(ending) => drop(ending.send(true)),
                         None => {
-                            let more = lock(&self.host).stopped(self.clock.now(), &duty, epoch);
+                            let more = lock(&self.host).step_stopped(self.clock.now(), &duty, epoch);
                             self.act(more);
                         }
                     }
                 }
-                Action::Tell(tell) => say(&tell),
+                Action::Notify(tell) => say(&tell),
             }
         }
     }
@@ -325,7 +326,7 @@
     async fn propose(self: Arc<Self>, command: Command) {
         let outcome = self.council.propose(command.clone(), self.patience).await.ok();
         let now = self.clock.now();
-        let more = lock(&self.host).answered(now, &command, outcome.as_ref());
+        let more = lock(&self.host).handle_outcome(now, &command, outcome.as_ref());
         self.act(more);
         self.wake.notify_one();
     }
@@ -346,37 +347,37 @@
         let mut count = 0;
         let mut failures = 0;
         let memory = Arc::default();
-        while !*ended.borrow() && lease.left(self.clock.now()).is_ok() {
-            self.hand.begin(&duty, epoch);
+        while !*ended.borrow() && lease.remaining_ms(self.clock.now()).is_ok() {
+            self.hand.mark(&duty, epoch);
             let step = tokio::spawn(self.worker.clone().step(lease.clone(), Arc::clone(&memory))).await;
-            self.hand.end(&duty);
+            self.hand.unmark(&duty);
             let pause = match step {
                 Ok(Ok(done)) => {
                     (count, failures) = (count + 1, 0);
                     let at_ms = u64::try_from(unix_ms()).unwrap_or(0);
                     let next_ms = at_ms + u64::try_from(done.again.as_millis()).unwrap_or(0);
                     let duty = duty.clone();
-                    lock(&self.host).done(Step { duty, epoch, count, at_ms, next_ms, note: done.note });
+                    lock(&self.host).step_done(Step { duty, epoch, count, at_ms, next_ms, note: done.note });
                     done.again
                 }
-                Ok(Err(duties::Fail::Lapsed)) => TURN,
-                Ok(Err(duties::Fail::Fenced { stands, by })) => {
+                Ok(Err(duties::StepError::LeaseExpired)) => TURN,
+                Ok(Err(duties::StepError::Fenced { stands, by })) => {
                     tracing::warn!(
                         duty,
                         epoch,
                         stands,
                         "duty {duty}: epoch {epoch} was refused, {stands} of {by} stands"
                     );
-                    let more = lock(&self.host).fenced(self.clock.now(), &duty, epoch, stands);
+                    let more = lock(&self.host).step_fenced(self.clock.now(), &duty, epoch, stands);
                     self.act(more);
                     self.patience
                 }
-                Ok(Err(duties::Fail::Failed(why))) => {
+                Ok(Err(duties::StepError::Failed(why))) => {
                     failures += 1;
                     // An owner that can say so has not died of the duty: a record that is away is not held against it.
                     let at_ms = u64::try_from(unix_ms()).unwrap_or(0);
                     let (of, note) = (duty.clone(), format!("failed: {why}"));
-                    lock(&self.host).done(Step { duty: of, epoch, count, at_ms, next_ms: at_ms, note });
+                    lock(&self.host).step_done(Step { duty: of, epoch, count, at_ms, next_ms: at_ms, note });
                     tracing::warn!(
                         duty,
                         epoch,
@@ -389,7 +390,7 @@
                     let said = what_panicked(crash);
                     tracing::error!(duty, epoch, reason = said, "duty {duty}: a step crashed: {said}");
                     self.over(&duty, epoch);
-                    let more = lock(&self.host).crashed(self.clock.now(), &duty, epoch, &said);
+                    let more = lock(&self.host).step_crashed(self.clock.now(), &duty, epoch, &said);
                     return self.act(more);
                 }
             };
@@ -399,7 +400,7 @@
             }
         }
         self.over(&duty, epoch);
-        let more = lock(&self.host).stopped(self.clock.now(), &duty, epoch);
+        let more = lock(&self.host).step_stopped(self.clock.now(), &duty, epoch);
         self.act(more);
         self.wake.notify_one();
     }
@@ -414,21 +415,26 @@
     }
 
     /// A gatekeeper is here: it is told what is current, as of now or later, and then what was decided.
-    pub async fn welcomed(self: Arc<Self>, link: Link, welcome: Arc<Welcome>, keeper: Option<Arc<Keeper>>) {
+    pub async fn gatekeeper_connected(
+        self: Arc<Self>,
+        link: Link,
+        welcome: Arc<Welcome>,
+        keeper: Option<Arc<RecordKeeper>>,
+    ) {
         loop {
             if link.welcome().is_none_or(|w| w.nonce != welcome.nonce) {
                 return;
             }
-            if let Ok(whole) = self.council.current(self.patience).await {
-                link.epochs(Epochs { nonce: welcome.nonce, given: given(&whole) });
-                if let Some(plans) = keeper.and_then(|k| k.plans()) {
-                    link.plans(plans);
+            if let Ok(whole) = self.council.read_current(self.patience).await {
+                link.send_epochs(Epochs { nonce: welcome.nonce, given: given(&whole) });
+                if let Some(plans) = keeper.and_then(|k| k.current_plans()) {
+                    link.send_plans(plans);
                 }
                 if let Some(zones) = &self.zones {
-                    zones.again();
+                    zones.force_push();
                 }
                 if let Some(audit) = &self.audit {
-                    audit.again();
+                    audit.force_push();
                 }
                 return;
             }
@@ -460,7 +466,7 @@
     ///
     /// # Errors
     /// With why it was not.
-    pub async fn wish(&self, command: Command) -> Result<(), String> {
+    pub async fn propose_change(&self, command: Command) -> Result<(), String> {
         match self.council.propose(command, self.patience).await.map_err(|e| e.to_string())? {
             Outcome::Refused(why) => Err(why.to_string()),
             _ => Ok(()),
@@ -468,8 +474,8 @@
     }
 
     /// All that is agreed on: as it is now, or as this agent last heard.
-    pub async fn known(&self) -> (Arc<Whole>, bool) {
-        match self.council.current(Duration::from_millis(800)).await {
+    pub async fn current_state(&self) -> (Arc<AgreedState>, bool) {
+        match self.council.read_current(Duration::from_millis(800)).await {
             Ok(whole) => (whole, true),
             Err(_) => (self.council.watch().borrow().clone(), false),
         }
@@ -477,7 +483,7 @@
 }
 
 /// What gatekeepers are told.
-fn given(whole: &Whole) -> Vec<Fence> {
+fn given(whole: &AgreedState) -> Vec<Fence> {
     let of = |name: &&str| {
         let duty = whole.owner.duties.get(*name).filter(|d| d.epoch > 0)?;
         let owner = duty.owner.as_ref().map_or(String::new(), ToString::to_string);
@@ -496,22 +502,22 @@
     }
 }
 
-fn say(tell: &Tell) {
+fn say(tell: &Notice) {
     match tell {
-        Tell::Owns { duty, epoch } => tracing::info!(duty, epoch, "owns duty {duty}, epoch {epoch}"),
-        Tell::Left { duty, epoch, why } => {
+        Notice::Acquired { duty, epoch } => tracing::info!(duty, epoch, "owns duty {duty}, epoch {epoch}"),
+        Notice::Released { duty, epoch, why } => {
             tracing::info!(duty, epoch, reason = why, "leaves duty {duty}, epoch {epoch}: {why}");
         }
-        Tell::Lapsed { duties } => tracing::warn!(
+        Notice::SessionExpired { duties } => tracing::warn!(
             duties,
             "this agent's lease ran out by its own clock: {duties} duties are stopped; was it stopped, or cut off from the \
              council?"
         ),
-        Tell::Ended => tracing::warn!("others have ended this agent's session: it begins another"),
-        Tell::Silent(owner) => {
+        Notice::SessionEnded => tracing::warn!("others have ended this agent's session: it begins another"),
+        Notice::PeerExpired(owner) => {
             tracing::warn!(agent = %owner, "{owner} was silent for too long: its session is ended")
         }
-        Tell::Aside { duty, said } => tracing::error!(
+        Notice::SetAside { duty, said } => tracing::error!(
             duty,
             reason = said,
             "duty {duty} is set aside ({said}): mend it, then frostctl duties resume {duty} --why ..."
--- a/crates/agent/src/duties.rs
+++ b/crates/agent/src/duties.rs
@@ -1,21 +1,21 @@
 //! What is done once for the whole fleet, in bounded steps that may be cut off between any two, and in them: the record
 //! takes each as a whole or not at all.
 
-use crate::audit::{AUDIT, Audit};
+use crate::audit::{AUDIT_DUTY, Audit};
 use crate::clock::{Clock, unix_ms};
 use crate::config::{Config, Drill, Duties};
-use crate::record::Keeper;
-use crate::zones::{ZONES, Zones};
-use frostvale_export::{Name, Row};
-use frostvale_owner::{Lapsed, Lease};
-use frostvale_record::{Backend, Error, Op, Reply, Work};
+use crate::record::RecordKeeper;
+use crate::zones::{ZONES_DUTY, Zones};
+use frostvale_export::{PartName, UsageRow};
+use frostvale_owner::{Lease, LeaseExpired};
+use frostvale_record::{Backend, Error, FleetWork, Op, Reply};
 use std::collections::HashMap;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 use tokio::sync::Mutex;
 
 /// Plans whose time has come take effect.
-pub const PUBLISH: &str = "publish";
+pub const PUBLISH_DUTY: &str = "publish";
 const ROLL_UP: &str = "roll-up";
 const GAPS: &str = "gaps";
 const RETENTION: &str = "retention";
@@ -32,7 +32,7 @@
 const SOON: Duration = Duration::from_millis(20);
 
 /// A step that is done.
-pub struct Done {
+pub struct StepDone {
     /// What it did, in a word or two.
     pub note: String,
     /// When the next one is due.
@@ -41,9 +41,9 @@
 
 /// A step that is not.
 #[derive(Debug)]
-pub enum Fail {
+pub enum StepError {
     /// The lease ran out before its effect.
-    Lapsed,
+    LeaseExpired,
     /// The effect was refused: a later owner has been there.
     Fenced {
         /// The epoch that stands.
@@ -55,24 +55,24 @@
     Failed(String),
 }
 
-impl From<Lapsed> for Fail {
-    fn from(_: Lapsed) -> Fail {
-        Fail::Lapsed
+impl From<LeaseExpired> for StepError {
+    fn from(_: LeaseExpired) -> StepError {
+        StepError::LeaseExpired
     }
 }
 
-impl From<Error> for Fail {
-    fn from(e: Error) -> Fail {
+impl From<Error> for StepError {
+    fn from(e: Error) -> StepError {
         match e {
-            Error::Fenced { stands, by, .. } => Fail::Fenced { stands, by },
-            e => Fail::Failed(e.to_string()),
+            Error::Fenced { stands, by, .. } => StepError::Fenced { stands, by },
+            e => StepError::Failed(e.to_string()),
         }
     }
 }
 
 /// What an owner remembers from step to step: the lives of gatekeepers, and since when they are as they are.
 #[derive(Default)]
-pub struct Memory {
+pub struct StepMemory {
     lives: HashMap<String, (i64, i64, Instant)>,
 }
 
@@ -89,7 +89,7 @@
 impl Worker {
     pub(crate) fn new(
         config: &Config,
-        keeper: Option<Arc<Keeper>>,
+        keeper: Option<Arc<RecordKeeper>>,
         clock: Clock,
         zones: Option<Arc<Zones>>,
         audit: Option<Arc<Audit>>,
@@ -103,13 +103,13 @@
     pub fn duties(&self) -> Vec<String> {
         let mut all: Vec<String> = (0..self.drill.duties).map(|k| format!("{DRILL}{k}")).collect();
         if self.zones.is_some() {
-            all.push(ZONES.into());
+            all.push(ZONES_DUTY.into());
         }
         if self.audit.is_some() {
-            all.push(AUDIT.into());
+            all.push(AUDIT_DUTY.into());
         }
         if self.backend.is_some() {
-            all.extend([ROLL_UP, GAPS, RETENTION, PUBLISH].map(String::from));
+            all.extend([ROLL_UP, GAPS, RETENTION, PUBLISH_DUTY].map(String::from));
             if self.duties.export.is_some() {
                 all.push(EXPORT.into());
             }
@@ -121,62 +121,62 @@
     pub(crate) async fn step(
         self: Arc<Self>,
         lease: Lease,
-        memory: Arc<Mutex<Memory>>,
-    ) -> Result<Done, Fail> {
+        memory: Arc<Mutex<StepMemory>>,
+    ) -> Result<StepDone, StepError> {
         let secs = Duration::from_secs;
         match lease.duty() {
             ROLL_UP => {
-                let done = self.did(&lease, Work::RollUp { most: ROLL_AT_ONCE }).await?;
+                let done = self.did(&lease, FleetWork::RollUp { most: ROLL_AT_ONCE }).await?;
                 let again = if done > 0 { SOON } else { Duration::from_millis(500) };
-                Ok(Done { note: format!("{done} batches"), again })
+                Ok(StepDone { note: format!("{done} batches"), again })
             }
             GAPS => {
                 let silent = self.silent(&mut *memory.lock().await).await?;
-                let done = self.did(&lease, Work::FindGaps { silent }).await?;
-                Ok(Done { note: format!("{done} gaps found"), again: secs(5) })
+                let done = self.did(&lease, FleetWork::FindGaps { silent }).await?;
+                Ok(StepDone { note: format!("{done} gaps found"), again: secs(5) })
             }
             RETENTION => {
                 let before_ms =
                     unix_ms() - i64::from(self.duties.keep_days) * frostvale_record::fleet::DAY_MS;
-                let done = self.did(&lease, Work::Retain { before_ms, most: RETAIN_AT_ONCE }).await?;
-                Ok(Done {
+                let done = self.did(&lease, FleetWork::Retain { before_ms, most: RETAIN_AT_ONCE }).await?;
+                Ok(StepDone {
                     note: format!("{done} rows let go"),
                     again: if done > 0 { SOON * 5 } else { secs(60) },
                 })
             }
-            PUBLISH => {
-                let done = self.did(&lease, Work::Publish).await?;
-                Ok(Done { note: format!("{done} plans published"), again: Duration::from_millis(200) })
+            PUBLISH_DUTY => {
+                let done = self.did(&lease, FleetWork::Publish).await?;
+                Ok(StepDone { note: format!("{done} plans published"), again: Duration::from_millis(200) })
             }
             EXPORT => self.export(&lease).await,
-            ZONES => match &self.zones {
+            ZONES_DUTY => match &self.zones {
                 Some(zones) => zones.step(&lease).await,
-                None => Ok(Done { note: "not here".into(), again: secs(1) }),
+                None => Ok(StepDone { note: "not here".into(), again: secs(1) }),
             },
-            AUDIT => match &self.audit {
+            AUDIT_DUTY => match &self.audit {
                 Some(audit) => audit.step(&lease, &self).await,
-                None => Ok(Done { note: "not here".into(), again: secs(1) }),
+                None => Ok(StepDone { note: "not here".into(), again: secs(1) }),
             },
             drill => self.drill_step(&lease, drill).await,
         }
     }
 
     /// An effect in the record: there is no way to one but by a lease that holds now.
-    pub(crate) async fn effect(&self, lease: &Lease, work: Work) -> Result<Reply, Fail> {
+    pub(crate) async fn effect(&self, lease: &Lease, work: FleetWork) -> Result<Reply, StepError> {
         let Some(backend) = &self.backend else { return Ok(Reply::Done) };
         let fence = lease.fence(self.clock.now())?;
         Ok(backend.run(Op::ForFleet { fence, work, now_ms: unix_ms() }).await?)
     }
 
-    async fn did(&self, lease: &Lease, work: Work) -> Result<u64, Fail> {
+    async fn did(&self, lease: &Lease, work: FleetWork) -> Result<u64, StepError> {
         match self.effect(lease, work).await? {
-            Reply::Did(n) => Ok(n),
+            Reply::Affected(n) => Ok(n),
             _ => Ok(0),
         }
     }
 
     /// Lives of gatekeepers of which nothing was heard for long enough, by this agent's own clock.
-    async fn silent(&self, memory: &mut Memory) -> Result<Vec<(String, i64)>, Fail> {
+    async fn silent(&self, memory: &mut StepMemory) -> Result<Vec<(String, i64)>, StepError> {
         let Some(backend) = &self.backend else { return Ok(Vec::new()) };
         let Reply::Instances(all) = backend.run(Op::Instances).await? else { return Ok(Vec::new()) };
         let now = Instant::now();
@@ -196,21 +196,21 @@
 
     /// Writes the next part: begun in the record, written to the folder, finished in the record. Cut off anywhere, the next
     /// owner writes the same rows again, under its own epoch.
-    async fn export(&self, lease: &Lease) -> Result<Done, Fail> {
+    async fn export(&self, lease: &Lease) -> Result<StepDone, StepError> {
         let Some(folder) = self.duties.export.clone() else {
-            return Ok(Done { note: "no folder".into(), again: Duration::from_secs(60) });
+            return Ok(StepDone { note: "no folder".into(), again: Duration::from_secs(60) });
         };
         let before_ms = unix_ms() - i64::from(self.duties.export_after_s) * 1000;
-        let prepare = Work::PrepareExport { before_ms, most: EXPORT_AT_ONCE };
+        let prepare = FleetWork::PrepareExport { before_ms, most: EXPORT_AT_ONCE };
         let Reply::Export(Some(part)) = self.effect(lease, prepare).await? else {
-            return Ok(Done { note: "nothing new".into(), again: Duration::from_secs(2) });
+            return Ok(StepDone { note: "nothing new".into(), again: Duration::from_secs(2) });
         };
-        let name = Name { number: u64::try_from(part.number).unwrap_or(0), epoch: lease.epoch() };
+        let name = PartName { number: u64::try_from(part.number).unwrap_or(0), epoch: lease.epoch() };
         let count = part.rows.len();
-        let rows: Vec<Row> = part
+        let rows: Vec<UsageRow> = part
             .rows
             .into_iter()
-            .map(|r| Row {
+            .map(|r| UsageRow {
                 day_ms: r.day_ms,
                 shop: r.shop,
                 plan: r.plan,
@@ -225,13 +225,13 @@
             let may = || held.fence(clock.now()).map(drop).map_err(|e| e.to_string());
             frostvale_export::write(&folder, name, &rows, csv, may)
         });
-        let digest = written.await.map_err(|e| Fail::Failed(e.to_string()))?;
-        let digest = digest.map_err(|e| Fail::Failed(e.to_string()))?;
-        self.effect(lease, Work::FinishExport { number: part.number, digest }).await?;
-        Ok(Done { note: format!("part {}, {count} rows", part.number), again: SOON })
+        let digest = written.await.map_err(|e| StepError::Failed(e.to_string()))?;
+        let digest = digest.map_err(|e| StepError::Failed(e.to_string()))?;
+        self.effect(lease, FleetWork::FinishExport { number: part.number, digest }).await?;
+        Ok(StepDone { note: format!("part {}, {count} rows", part.number), again: SOON })
     }
 
-    async fn drill_step(&self, lease: &Lease, name: &str) -> Result<Done, Fail> {
+    async fn drill_step(&self, lease: &Lease, name: &str) -> Result<StepDone, StepError> {
         tokio::time::sleep(Duration::from_millis(self.drill.step_ms)).await;
         if name.strip_prefix(DRILL) == Some(&self.drill.crashes.to_string()) {
             panic!("this duty crashes, for the drill");
@@ -239,7 +239,7 @@
         if name.strip_prefix(DRILL) == Some(&self.drill.aborts.to_string()) {
             std::process::abort();
         }
-        self.effect(lease, Work::Touch).await?;
-        Ok(Done { note: "drilled".into(), again: Duration::from_millis(self.drill.pause_ms) })
+        self.effect(lease, FleetWork::Touch).await?;
+        Ok(StepDone { note: "drilled".into(), again: Duration::from_millis(self.drill.pause_ms) })
     }
 }
--- a/crates/agent/src/fleet.rs
+++ b/crates/agent/src/fleet.rs
@@ -1,13 +1,13 @@
 //! The gatekeepers of this host: a link to each, what they say of the tier, and who is asked.
 
 use crate::config::Config;
-use crate::council::Seat;
+use crate::council::CouncilSeat;
 use crate::outside::Outside;
-use crate::record::{Came, Keeper};
-use frostvale_checks::read::Ask;
-use frostvale_checks::route::{Sets, order};
+use crate::record::{IncomingBatch, RecordKeeper};
+use frostvale_checks::read::CheckRequest;
+use frostvale_checks::route::{ShopSets, candidates};
 use frostvale_checks::{Plan, Tier};
-use frostvale_link::agent::{self, Link, Lost, News, Options};
+use frostvale_link::agent::{self, CheckError, Link, LinkEvent, LinkOptions};
 use frostvale_link::proto::decision::Code;
 use frostvale_link::proto::outside_state::Breaker;
 use frostvale_link::proto::{Check, OutsideState, Plan as PlanWord, Welcome};
@@ -36,7 +36,7 @@
 }
 
 /// What a gatekeeper decided.
-pub enum Decided {
+pub enum CheckOutcome {
     /// Granted; `held` settles it where the grant is to be held.
     Granted {
         /// In thousandths.
@@ -44,10 +44,10 @@
         /// Until the store is full.
         reset_ms: u64,
         /// To be settled.
-        held: Option<Held>,
+        held: Option<HeldGrant>,
     },
     /// Over.
-    Over {
+    OverLimit {
         /// In thousandths.
         remaining_milli: Option<u64>,
         /// Until the units fit.
@@ -56,18 +56,18 @@
     /// The gatekeeper can't read it: what it says of the field.
     Invalid(String),
     /// None could be asked; nothing is charged.
-    Nobody,
+    NoGatekeeper,
     /// One was asked and did not answer in time: it may have charged.
     InDoubt,
 }
 
 /// A grant that is not settled yet. Dropped without a word it counts as used.
-pub struct Held {
+pub struct HeldGrant {
     link: Link,
     id: u64,
 }
 
-impl Held {
+impl HeldGrant {
     /// Says whether the units are used.
     pub fn settle(self, keep: bool) {
         self.link.settle(self.id, keep);
@@ -78,7 +78,7 @@
 pub struct Fleet {
     members: Vec<Arc<Member>>,
     tier: RwLock<Arc<Tier>>,
-    sets: Mutex<Sets>,
+    sets: Mutex<ShopSets>,
     turn: AtomicU32,
     up: watch::Sender<usize>,
     default_set: (u32, u32),
@@ -89,21 +89,21 @@
     pub fn start(
         config: &Config,
         outside: Option<Arc<Outside>>,
-        record: Option<(Arc<Keeper>, mpsc::Receiver<Came>)>,
-        seat: Option<&Arc<Seat>>,
+        record: Option<(Arc<RecordKeeper>, mpsc::Receiver<IncomingBatch>)>,
+        seat: Option<&Arc<CouncilSeat>>,
     ) -> Arc<Fleet> {
         let rls = config.rls.clone().unwrap_or_default();
         let mut members = Vec::new();
         let mut heard = Vec::new();
         for g in &config.gatekeepers {
-            let options = Options {
+            let options = LinkOptions {
                 socket: g.socket.clone(),
                 peer: config.name.clone(),
                 outside: outside.is_some(),
                 record: record.is_some(),
                 zones: config.zones.is_some(),
                 audit: config.audit.is_some(),
-                in_hand: rls.in_hand,
+                max_in_flight: rls.in_hand,
             };
             let (tell, news) = mpsc::channel(NEWS);
             let (link, work) = agent::connect(options, tell);
@@ -150,31 +150,31 @@
     async fn hear(
         self: Arc<Self>,
         k: usize,
-        mut news: mpsc::Receiver<News>,
+        mut news: mpsc::Receiver<LinkEvent>,
         outside: Option<Arc<Outside>>,
-        keeper: Option<Arc<Keeper>>,
-        seat: Option<Arc<Seat>>,
+        keeper: Option<Arc<RecordKeeper>>,
+        seat: Option<Arc<CouncilSeat>>,
     ) {
         let member = self.members[k].clone();
         let name = &member.name;
         while let Some(news) = news.recv().await {
             match news {
-                News::Up(welcome) => {
+                LinkEvent::Connected(welcome) => {
                     lock(&member.state).0.clear();
                     self.welcomed(&welcome);
                     tracing::info!(instance = name, "gatekeeper {name} is linked, number {}", welcome.me);
                     self.count_up();
                     if let Some(keeper) = &keeper {
-                        keeper.up(k, &welcome).await;
+                        keeper.gatekeeper_connected(k, &welcome).await;
                     }
                     if let Some(seat) = &seat {
                         let (link, keeper) = (member.link.clone(), keeper.clone());
-                        tokio::spawn(seat.clone().welcomed(link, welcome, keeper));
+                        tokio::spawn(seat.clone().gatekeeper_connected(link, welcome, keeper));
                     }
                 }
-                News::Down(why) => {
+                LinkEvent::Disconnected(why) => {
                     if let Some(keeper) = &keeper {
-                        keeper.down(k).await;
+                        keeper.gatekeeper_disconnected(k).await;
                     }
                     tracing::warn!(
                         instance = name,
@@ -185,26 +185,26 @@
                     *lock(&member.state) = (why, None);
                     self.count_up();
                 }
-                News::Seen(seen) => {
+                LinkEvent::ShopSet(seen) => {
                     let gatekeepers = self.tier().gatekeepers;
-                    lock(&self.sets).seen(&seen.shop, seen.first, seen.spread, gatekeepers);
+                    lock(&self.sets).record(&seen.shop, seen.first, seen.spread, gatekeepers);
                 }
-                News::Use(batch) => {
+                LinkEvent::UsageBatch(batch) => {
                     if let Some(keeper) = &keeper {
-                        keeper.batch(k, batch);
+                        keeper.receive_batch(k, batch);
                     }
                 }
-                News::Reported(number) => {
+                LinkEvent::UsageReported(number) => {
                     if let Some(keeper) = &keeper {
-                        keeper.reported(k, number);
+                        keeper.usage_reported(k, number);
                     }
                 }
-                News::Levels(levels) => {
+                LinkEvent::TokenLevels(levels) => {
                     if let Some(keeper) = &keeper {
-                        keeper.levels(k, &levels);
+                        keeper.receive_levels(k, &levels);
                     }
                 }
-                News::Plans(taken) => {
+                LinkEvent::PlansTaken(taken) => {
                     if !taken.error.is_empty() {
                         tracing::warn!(
                             instance = name,
@@ -223,7 +223,7 @@
                         *self.tier.write().unwrap_or_else(PoisonError::into_inner) = Arc::new(tier);
                     }
                 }
-                News::Refused(refused) => tracing::warn!(
+                LinkEvent::FenceRefused(refused) => tracing::warn!(
                     instance = name,
                     duty = refused.duty,
                     epoch = refused.epoch,
@@ -234,23 +234,23 @@
                     refused.stands,
                     refused.owner
                 ),
-                News::Zones(seen) => {
+                LinkEvent::ZoneObservation(seen) => {
                     if let Some(zones) = seat.as_ref().and_then(|s| s.zones.as_ref()) {
-                        zones.seen(name, seen);
+                        zones.record_observation(name, seen);
                     }
                 }
-                News::Acts(acts) => {
+                LinkEvent::AppliedVersions(acts) => {
                     if let Some(audit) = seat.as_ref().and_then(|s| s.audit.as_ref()) {
-                        audit.acts(name, acts);
+                        audit.record_applied_versions(name, acts);
                     }
                 }
-                News::State(state) => {
+                LinkEvent::BreakerState(state) => {
                     tracing::info!("{name}: the breaker before the outside service is {}", word(&state));
                     lock(&member.state).1 = Some(state);
                 }
-                News::Outside(ask) => match &outside {
+                LinkEvent::OutsideRequest(ask) => match &outside {
                     Some(outside) => outside.clone().ask(ask, member.link.clone(), &self.tier()),
-                    None => member.link.verdict(crate::outside::failed(ask.id)),
+                    None => member.link.send_verdict(crate::outside::failed(ask.id)),
                 },
             }
         }
@@ -285,7 +285,7 @@
     }
 
     /// The set of a shop: as the descriptor says, else as a gatekeeper saw it, else the default.
-    fn set(&self, ask: &Ask, gatekeepers: u32) -> (u32, u32) {
+    fn set(&self, ask: &CheckRequest, gatekeepers: u32) -> (u32, u32) {
         let (first, spread) = self.default_set;
         ask.set.or_else(|| lock(&self.sets).get(&ask.shop)).unwrap_or((
             if first < gatekeepers { first } else { 0 },
@@ -294,20 +294,21 @@
     }
 
     /// Has one of the shop's set decide. One that did not get the check at all is passed over for the next.
-    pub async fn decide(&self, ask: &Ask, plan: &Plan, hold: bool, until: Instant) -> Decided {
+    pub async fn decide(&self, ask: &CheckRequest, plan: &Plan, hold: bool, until: Instant) -> CheckOutcome {
         let gatekeepers = self.tier().gatekeepers;
         let set = self.set(ask, gatekeepers);
         let turn = self.turn.fetch_add(1, Ordering::Relaxed);
         let of = |number: u32| {
             let here = |m: &&Arc<Member>| m.link.welcome().is_some_and(|w| w.me == number);
-            self.members.iter().find(|m| here(m) && m.link.usable())
+            self.members.iter().find(|m| here(m) && m.link.is_usable())
         };
-        let all = order(&ask.shop, set, gatekeepers, plan.ceiling_rate_milli > 0, turn, |n| of(n).is_some());
+        let all =
+            candidates(&ask.shop, set, gatekeepers, plan.ceiling_rate_milli > 0, turn, |n| of(n).is_some());
         for number in all {
             let Some(member) = of(number) else { continue };
             let left = until.saturating_duration_since(Instant::now());
             if left < Duration::from_millis(1) {
-                return Decided::Nobody;
+                return CheckOutcome::NoGatekeeper;
             }
             let check = Check {
                 id: 0,
@@ -321,25 +322,25 @@
                 hold,
             };
             match tokio::time::timeout(left, member.link.check(check)).await {
-                Err(_) => return Decided::InDoubt,
-                Ok(Err(Lost::InDoubt)) => return Decided::InDoubt,
-                Ok(Err(Lost::Unsent | Lost::Busy)) => {}
+                Err(_) => return CheckOutcome::InDoubt,
+                Ok(Err(CheckError::InDoubt)) => return CheckOutcome::InDoubt,
+                Ok(Err(CheckError::Unsent | CheckError::Busy)) => {}
                 Ok(Ok((id, decision))) => {
                     let (remaining_milli, reset_ms) = (decision.remaining_milli, decision.reset_ms);
                     match decision.code() {
                         Code::Granted => {
-                            let held = hold.then(|| Held { link: member.link.clone(), id });
-                            return Decided::Granted { remaining_milli, reset_ms, held };
+                            let held = hold.then(|| HeldGrant { link: member.link.clone(), id });
+                            return CheckOutcome::Granted { remaining_milli, reset_ms, held };
                         }
-                        Code::Over => return Decided::Over { remaining_milli, reset_ms },
-                        Code::Invalid => return Decided::Invalid(decision.error),
+                        Code::Over => return CheckOutcome::OverLimit { remaining_milli, reset_ms },
+                        Code::Invalid => return CheckOutcome::Invalid(decision.error),
                         Code::Busy => {}
-                        Code::Unknown => return Decided::InDoubt,
+                        Code::Unknown => return CheckOutcome::InDoubt,
                     }
                 }
             }
         }
-        Decided::Nobody
+        CheckOutcome::NoGatekeeper
     }
 
     /// Shops whose set is known.
@@ -354,7 +355,7 @@
         let one = |m: &Arc<Member>| {
             let welcome = m.link.welcome();
             let (problem, outside) = lock(&m.state).clone();
-            let state = match (&welcome, m.link.usable()) {
+            let state = match (&welcome, m.link.is_usable()) {
                 (None, _) => "down",
                 (Some(_), true) => "linked",
                 (Some(_), false) => "silent",
@@ -364,7 +365,7 @@
                 socket: m.socket.clone(),
                 state: state.into(),
                 problem: if welcome.is_none() { problem } else { String::new() },
-                in_hand: m.link.in_hand() as u64,
+                in_hand: m.link.in_flight() as u64,
                 number: welcome.as_ref().map_or(0, |w| w.me),
                 started_ms: welcome.as_ref().map_or(0, |w| w.started_ms),
                 breaker: outside.as_ref().map_or_else(String::new, |s| word(s).to_string()),
--- a/crates/agent/src/main.rs
+++ b/crates/agent/src/main.rs
@@ -45,7 +45,7 @@
         Err(e) => return failed(&format!("cannot start the runtime: {e}")),
     };
     let ended = runtime.block_on(run(config));
-    frostvale_log::end();
+    frostvale_log::finish();
     match ended {
         Ok(()) => ExitCode::SUCCESS,
         Err(what) => failed(&what),
@@ -69,7 +69,7 @@
     tokio::spawn(async {
         loop {
             tokio::time::sleep(std::time::Duration::from_secs(1)).await;
-            frostvale_log::turn();
+            frostvale_log::flush_summaries();
         }
     });
     let served = serve::run(config, stopped, ready);
--- a/crates/agent/src/operators.rs
+++ b/crates/agent/src/operators.rs
@@ -1,13 +1,13 @@
 //! What operators ask over the control socket.
 
 use crate::clock::unix_ms;
-use crate::council::Seat;
+use crate::council::CouncilSeat;
 use crate::fleet::Fleet;
 use crate::outside::Outside;
-use crate::record::Keeper;
+use crate::record::RecordKeeper;
 use crate::rls::Counts;
-use frostvale_council::Admin;
-use frostvale_council::member::ADMIN;
+use frostvale_council::MembershipChange;
+use frostvale_council::member::MEMBERSHIP_CHANGE_TIMEOUT;
 use frostvale_owner::Command;
 use frostvale_owner::registry::Duty;
 use frostvale_proto::agent::agent_server::Agent;
@@ -33,15 +33,15 @@
     /// Its calls.
     pub counts: Arc<Counts>,
     /// The record.
-    pub keeper: Option<Arc<Keeper>>,
+    pub keeper: Option<Arc<RecordKeeper>>,
     /// The outside service.
     pub outside: Option<Arc<Outside>>,
     /// The council.
-    pub seat: Option<Arc<Seat>>,
+    pub seat: Option<Arc<CouncilSeat>>,
 }
 
 impl Operators {
-    fn seat(&self) -> Result<&Arc<Seat>, Status> {
+    fn seat(&self) -> Result<&Arc<CouncilSeat>, Status> {
         self.seat.as_ref().ok_or_else(|| {
             Status::failed_precondition("this agent is of no council: its file has no [council] section")
         })
@@ -98,7 +98,7 @@
 
     async fn duties(&self, asked: Request<DutiesRequest>) -> Result<Response<DutiesResponse>, Status> {
         let DutiesRequest { duty: only, history } = asked.into_inner();
-        let (whole, current) = self.seat()?.known().await;
+        let (whole, current) = self.seat()?.current_state().await;
         let state = &whole.owner;
         if !only.is_empty() && !state.duties.contains_key(&only) {
             return Err(Status::not_found(format!("there is no duty {only:?}")));
@@ -106,7 +106,7 @@
         let fits = |name: &str| only.is_empty() || only == name;
         let beat = |d: &Duty| d.owner.as_ref().and_then(|o| state.sessions.get(o)).map_or(0, |s| s.number);
         let duties = state.duties.iter().filter(|(n, _)| fits(n)).map(|(n, d)| duty(n, d, beat(d))).collect();
-        let change = |c: &frostvale_owner::registry::Change| OwnerChange {
+        let change = |c: &frostvale_owner::registry::OwnershipChange| OwnerChange {
             duty: c.duty.clone(),
             epoch: c.epoch,
             who: c.who.clone(),
@@ -122,7 +122,7 @@
                 owner: owner.to_string(),
                 zone: s.zone.clone(),
                 beat: s.number,
-                duties: state.load(owner) as u64,
+                duties: state.owned_duties(owner) as u64,
             };
         let sessions = state.sessions.iter().map(session).collect();
         Ok(Response::new(DutiesResponse { duties, history, sessions, current }))
@@ -148,18 +148,18 @@
             }
             What::None => return Err(Status::invalid_argument("what: move, pause or resume")),
         };
-        self.seat()?.wish(command).await.map_err(Status::failed_precondition)?;
+        self.seat()?.propose_change(command).await.map_err(Status::failed_precondition)?;
         Ok(Response::new(Said { text }))
     }
 
     async fn council(&self, _: Request<CouncilRequest>) -> Result<Response<CouncilResponse>, Status> {
         let s = self.seat()?.council.status();
-        let member = |m: frostvale_council::member::Seen| Member {
+        let member = |m: frostvale_council::member::MemberStatus| Member {
             id: m.id,
             name: m.name,
             at: m.at,
-            votes: m.votes,
-            matched: m.matched,
+            votes: m.is_voter,
+            matched: m.matched_index,
         };
         Ok(Response::new(CouncilResponse {
             id: s.id,
@@ -167,12 +167,12 @@
             problem: s.problem,
             leader: s.leader,
             term: s.term,
-            last: s.last,
-            applied: s.applied,
+            last: s.last_index,
+            applied: s.applied_index,
             members: s.members.into_iter().map(member).collect(),
             file_bytes: s.file_bytes,
-            refused: s.refused,
-            refused_by: s.refused_by.into_iter().map(|(cause, n)| (cause.to_string(), n)).collect(),
+            refused: s.rejected,
+            refused_by: s.rejected_by.into_iter().map(|(cause, n)| (cause.to_string(), n)).collect(),
             generation: s.generation,
             fleet: self.fleet_name.clone(),
         }))
@@ -181,30 +181,32 @@
     async fn zones(&self, _: Request<ZonesRequest>) -> Result<Response<ZonesResponse>, Status> {
         let seat = self.seat()?;
         let zones = seat.zones.as_ref().ok_or_else(crate::council::no_zones)?;
-        let (whole, current) = seat.known().await;
-        Ok(Response::new(zones.told(&whole, current).await))
+        let (whole, current) = seat.current_state().await;
+        Ok(Response::new(zones.response(&whole, current).await))
     }
 
     async fn change_zones(&self, asked: Request<ZonesChange>) -> Result<Response<Said>, Status> {
         let seat = self.seat()?;
         let zones = seat.zones.as_ref().ok_or_else(crate::council::no_zones)?;
-        let (command, text) = zones.wish(asked.into_inner()).await.map_err(Status::failed_precondition)?;
-        seat.wish(command).await.map_err(Status::failed_precondition)?;
+        let (command, text) =
+            zones.operator_change(asked.into_inner()).await.map_err(Status::failed_precondition)?;
+        seat.propose_change(command).await.map_err(Status::failed_precondition)?;
         Ok(Response::new(Said { text }))
     }
 
     async fn audit(&self, _: Request<AuditRequest>) -> Result<Response<AuditResponse>, Status> {
         let seat = self.seat()?;
         let audit = seat.audit.as_ref().ok_or_else(crate::council::no_audit)?;
-        let (whole, current) = seat.known().await;
-        Ok(Response::new(audit.told(&whole, current).await))
+        let (whole, current) = seat.current_state().await;
+        Ok(Response::new(audit.response(&whole, current).await))
     }
 
     async fn change_audit(&self, asked: Request<AuditChange>) -> Result<Response<Said>, Status> {
         let seat = self.seat()?;
         let audit = seat.audit.as_ref().ok_or_else(crate::council::no_audit)?;
-        let (command, text) = audit.wish(asked.into_inner()).await.map_err(Status::failed_precondition)?;
-        seat.wish(command).await.map_err(Status::failed_precondition)?;
+        let (command, text) =
+            audit.operator_change(asked.into_inner()).await.map_err(Status::failed_precondition)?;
+        seat.propose_change(command).await.map_err(Status::failed_precondition)?;
         Ok(Response::new(Said { text }))
     }
 
@@ -224,11 +226,11 @@
     async fn change_council(&self, asked: Request<CouncilChange>) -> Result<Response<Said>, Status> {
         let CouncilChange { add, remove, at } = asked.into_inner();
         let admin = match (add.is_empty(), remove.is_empty()) {
-            (false, true) => Admin::Add { name: add, at },
-            (true, false) => Admin::Remove { name: remove },
+            (false, true) => MembershipChange::Add { name: add, at },
+            (true, false) => MembershipChange::Remove { name: remove },
             _ => return Err(Status::invalid_argument("add, remove: one of the two")),
         };
-        let done = self.seat()?.council.change(admin, ADMIN).await;
+        let done = self.seat()?.council.change_members(admin, MEMBERSHIP_CHANGE_TIMEOUT).await;
         done.map(|text| Response::new(Said { text })).map_err(|e| Status::failed_precondition(e.to_string()))
     }
 }
--- a/crates/agent/src/outside.rs
+++ b/crates/agent/src/outside.rs
@@ -99,9 +99,9 @@
         let named = tier.plans.iter().find(|(_, plan)| plan.number == ask.plan).map(|(name, _)| name.clone());
         let (Ok(place), Some(plan)) = (self.places.clone().try_acquire_owned(), named) else {
             self.counts.failed.fetch_add(1, Ordering::Relaxed);
-            return link.verdict(failed(ask.id));
+            return link.send_verdict(failed(ask.id));
         };
-        let names = self.keys.names(&[]);
+        let names = self.keys.entry_keys(&[]);
         let entry = |key: String, value: String| Entry { key, value };
         let mut entries = vec![entry(names.shop, ask.shop), entry(names.plan, plan)];
         if let Some(class) = tier.classes.get(ask.class as usize) {
@@ -123,7 +123,7 @@
                 _ => &self.counts.failed,
             };
             count.fetch_add(1, Ordering::Relaxed);
-            link.verdict(verdict.unwrap_or_else(|| failed(ask.id)));
+            link.send_verdict(verdict.unwrap_or_else(|| failed(ask.id)));
             drop(place);
         });
     }
--- a/crates/agent/src/record.rs
+++ b/crates/agent/src/record.rs
@@ -4,7 +4,7 @@
 //! which is a file of this host; it goes to the database when that can be reached. Decisions are `frostvale-record`'s:
 //! when to send (`upload`), and what a gatekeeper that comes back may be given (`restore`).
 
-mod ends;
+mod lifecycle;
 mod plans;
 
 use crate::clock::unix_ms;
@@ -14,10 +14,10 @@
 use frostvale_link::agent::Link;
 use frostvale_link::proto::{Level as LevelWord, UseBatch, Welcome};
 use frostvale_proto::agent::Record as Status;
-use frostvale_record::model::{Batch, Gap, Level, Line, Snapshot};
-use frostvale_record::restore::{End, Figures, restored};
+use frostvale_record::model::{Snapshot, TokenLevel, UsageBatch, UsageGap, UsageLine};
+use frostvale_record::restore::{IncarnationEnd, RefillRates, restored_levels};
 use frostvale_record::spool::Spool;
-use frostvale_record::upload::{Next, Settings, Tell, Upload};
+use frostvale_record::upload::{NextUpload, UploadNotice, UploadScheduler, UploadSettings};
 use frostvale_record::{Backend, Error, Op, Reply};
 use std::collections::{HashMap, HashSet};
 use std::path::PathBuf;
@@ -46,7 +46,7 @@
 
 /// One gatekeeper as the record sees it.
 #[derive(Default)]
-struct Life {
+struct Incarnation {
     /// 0 while none of its lives is known.
     epoch_ms: i64,
     /// Whether it spoke its last word.
@@ -57,7 +57,7 @@
     last_to_ms: i64,
     /// How far its batches went when it answered this agent's bye.
     reported: Option<i64>,
-    levels: HashMap<u64, Level>,
+    levels: HashMap<u64, TokenLevel>,
     dirty: HashSet<u64>,
 }
 
@@ -65,14 +65,14 @@
     name: String,
     socket: PathBuf,
     link: Link,
-    life: Mutex<Life>,
+    life: Mutex<Incarnation>,
     /// Lives whose last words were taken up from files, until the gatekeeper begins its next.
-    left: Mutex<Vec<Life>>,
+    left: Mutex<Vec<Incarnation>>,
 }
 
 /// A store's level as the record has it, heard at this time.
-fn level(l: &LevelWord, at_ms: i64) -> Level {
-    Level {
+fn level(l: &LevelWord, at_ms: i64) -> TokenLevel {
+    TokenLevel {
         key: i64::try_from(l.key).unwrap_or(i64::MAX),
         plan: i64::from(l.plan),
         store_milli: i64::try_from(l.store_milli).unwrap_or(i64::MAX),
@@ -82,25 +82,25 @@
 }
 
 /// A batch as it came: from which gatekeeper, and in which of its lives.
-pub struct Came {
+pub struct IncomingBatch {
     member: usize,
     epoch_ms: i64,
     batch: UseBatch,
 }
 
 /// The record of this host.
-pub struct Keeper {
+pub struct RecordKeeper {
     backend: Arc<dyn Backend>,
     spool: Spool,
-    upload: Mutex<Upload>,
+    upload: Mutex<UploadScheduler>,
     wake: Notify,
     begun: Instant,
     poll: Duration,
     host: String,
     members: OnceLock<Vec<Member>>,
-    intake: mpsc::Sender<Came>,
+    intake: mpsc::Sender<IncomingBatch>,
     snapshot: Mutex<Option<Snapshot>>,
-    gaps: Mutex<Vec<Gap>>,
+    gaps: Mutex<Vec<UsageGap>>,
     sound: AtomicBool,
     problem: Mutex<String>,
     landed: AtomicU64,
@@ -114,7 +114,7 @@
     said_left: Mutex<Option<Instant>>,
 }
 
-impl Keeper {
+impl RecordKeeper {
     /// Opens spool and database. A PostgreSQL that is not there is no hindrance.
     ///
     /// # Errors
@@ -122,24 +122,24 @@
     pub async fn open(
         config: &config::Record,
         host: &str,
-    ) -> Result<(Arc<Keeper>, mpsc::Receiver<Came>), String> {
-        let place = config.place();
+    ) -> Result<(Arc<RecordKeeper>, mpsc::Receiver<IncomingBatch>), String> {
+        let place = config.location();
         place.check()?;
         let (spool, waiting, bytes) =
             Spool::open(&config.spool).await.map_err(|e| format!("record.spool: {e}"))?;
         let backend = place.open().await.map_err(|e| e.to_string())?;
-        let first = timeout(place.connect + place.statement, backend.migrate()).await;
+        let first = timeout(place.connect_timeout + place.statement_timeout, backend.migrate()).await;
         if let Ok(Err(e)) = &first
-            && !e.passes()
+            && !e.is_transient()
         {
             return Err(e.to_string());
         }
-        let settings = Settings { spool_most: config.spool_mb << 20, ..Settings::default() };
+        let settings = UploadSettings { max_spool_bytes: config.spool_mb << 20, ..UploadSettings::default() };
         let (intake, taken) = mpsc::channel(INTAKE);
-        let keeper = Keeper {
+        let keeper = RecordKeeper {
             backend,
             spool,
-            upload: Mutex::new(Upload::new(settings, waiting, bytes)),
+            upload: Mutex::new(UploadScheduler::new(settings, waiting, bytes)),
             wake: Notify::new(),
             begun: Instant::now(),
             poll: Duration::from_millis(config.poll_ms),
@@ -165,7 +165,7 @@
     pub fn start(
         self: &Arc<Self>,
         members: Vec<(String, PathBuf, Link)>,
-        taken: mpsc::Receiver<Came>,
+        taken: mpsc::Receiver<IncomingBatch>,
         tier: impl Fn() -> Arc<Tier> + Send + Sync + 'static,
     ) {
         let member = |(name, socket, link)| {
@@ -180,7 +180,7 @@
         let keeper = self.clone();
         tokio::spawn(async move {
             for k in 0..keeper.members.get().map_or(0, Vec::len) {
-                keeper.take_left(k).await;
+                keeper.take_final_reports(k).await;
             }
         });
         tokio::spawn(self.clone().look());
@@ -195,28 +195,28 @@
     }
 
     /// Tells operators what has changed.
-    fn tell(&self, told: Vec<Tell>) {
+    fn tell(&self, told: Vec<UploadNotice>) {
         for tell in told {
             match tell {
-                Tell::Away { why } => tracing::warn!(
+                UploadNotice::Unavailable { why } => tracing::warn!(
                     reason = why,
                     "the record is away: {why}; gatekeepers go on with what they know, use waits in the \
                      spool; trying again"
                 ),
-                Tell::Back { after_ms } => {
+                UploadNotice::Recovered { after_ms } => {
                     tracing::info!("the record is back after {:.1} s", after_ms / 1000.0);
                 }
-                Tell::Fills { bytes } => tracing::warn!(
+                UploadNotice::SpoolFilling { bytes } => tracing::warn!(
                     "the spool holds {} KB and fills; once full, use stays in the gatekeepers, and one \
                      that is killed then loses its own: bring the record back or raise record.spool_mb",
                     bytes / 1024
                 ),
-                Tell::Full => tracing::warn!(
+                UploadNotice::SpoolFull => tracing::warn!(
                     "the spool is full: from now on use stays in the gatekeepers, and one that is killed \
                      loses what it holds; nothing is lost yet"
                 ),
-                Tell::Room => tracing::info!("the spool has room again"),
-                Tell::Stale { age_ms } => tracing::info!(
+                UploadNotice::SpoolHasRoom => tracing::info!("the spool has room again"),
+                UploadNotice::StaleData { age_ms } => tracing::info!(
                     "plans and overrides were last read {:.0} s ago; they stay in effect",
                     age_ms / 1000.0
                 ),
@@ -243,18 +243,22 @@
     // ---- use ----
 
     /// A batch came from a gatekeeper. Untaken it is not acknowledged, and comes again.
-    pub fn batch(&self, k: usize, batch: UseBatch) {
+    pub fn receive_batch(&self, k: usize, batch: UseBatch) {
         // Its life is that of the connection that it came on: by the time it is looked at there may be a new one.
         let Some(epoch_ms) = self.member(k).map(|m| lock(&m.life).epoch_ms).filter(|e| *e != 0) else {
             return;
         };
         self.taking.fetch_add(1, Ordering::AcqRel);
-        if self.intake.try_send(Came { member: k, epoch_ms, batch }).is_err() {
+        if self.intake.try_send(IncomingBatch { member: k, epoch_ms, batch }).is_err() {
             self.taking.fetch_sub(1, Ordering::AcqRel);
         }
     }
 
-    async fn take_in(self: Arc<Self>, mut taken: mpsc::Receiver<Came>, tier: Arc<impl Fn() -> Arc<Tier>>) {
+    async fn take_in(
+        self: Arc<Self>,
+        mut taken: mpsc::Receiver<IncomingBatch>,
+        tier: Arc<impl Fn() -> Arc<Tier>>,
+    ) {
         let mut all = Vec::with_capacity(AT_ONCE);
         loop {
             let came = taken.recv_many(&mut all, AT_ONCE).await;
@@ -268,31 +272,31 @@
     }
 
     /// Puts batches into the spool, and then acknowledges them.
-    async fn take_batches(&self, all: &mut Vec<Came>, tier: &Tier) {
+    async fn take_batches(&self, all: &mut Vec<IncomingBatch>, tier: &Tier) {
         let mut batches = Vec::new();
         let mut from = Vec::new();
         let mut size = 0;
-        for Came { member: k, epoch_ms, batch: word } in all.drain(..) {
+        for IncomingBatch { member: k, epoch_ms, batch: word } in all.drain(..) {
             let Some(batch) = self.read(k, epoch_ms, &word, tier) else { continue };
-            let bytes = Spool::size(&batch);
-            if !lock(&self.upload).may_spool(size + bytes) {
+            let bytes = Spool::size_bytes(&batch);
+            if !lock(&self.upload).can_spool(size + bytes) {
                 continue;
             }
             size += bytes;
             from.push((k, epoch_ms, word.seq, bytes, batch.to_ms, word.last));
             batches.push(batch);
         }
-        let told = lock(&self.upload).tell();
+        let told = lock(&self.upload).take_notices();
         self.tell(told);
         if batches.is_empty() {
             return;
         }
-        match self.spool.put(batches).await {
+        match self.spool.append(batches).await {
             Ok(new) => {
                 let mut kept: HashMap<(usize, i64), Vec<u64>> = HashMap::new();
                 for ((k, epoch_ms, seq, bytes, to_ms, last), new) in from.into_iter().zip(new) {
                     if new {
-                        lock(&self.upload).spooled(bytes);
+                        lock(&self.upload).batch_spooled(bytes);
                     }
                     kept.entry((k, epoch_ms)).or_default().push(seq);
                     if let Some(member) = self.member(k) {
@@ -307,10 +311,10 @@
                 }
                 for ((k, epoch_ms), numbers) in kept {
                     if let Some(member) = self.member(k) {
-                        member.link.use_kept(u64::try_from(epoch_ms).unwrap_or(0), numbers);
+                        member.link.acknowledge_usage(u64::try_from(epoch_ms).unwrap_or(0), numbers);
                     }
                 }
-                let told = lock(&self.upload).tell();
+                let told = lock(&self.upload).take_notices();
                 self.tell(told);
                 self.wake.notify_one();
             }
@@ -322,12 +326,12 @@
     }
 
     /// A batch in the record's words. One that names what there is not is no batch.
-    fn read(&self, k: usize, epoch_ms: i64, word: &UseBatch, tier: &Tier) -> Option<Batch> {
+    fn read(&self, k: usize, epoch_ms: i64, word: &UseBatch, tier: &Tier) -> Option<UsageBatch> {
         let member = self.member(k)?;
         let plan =
             |number: u32| tier.plans.iter().find(|(_, p)| p.number == number).map(|(name, _)| name.clone());
         let int = |n: u64| i64::try_from(n).unwrap_or(i64::MAX);
-        let line = |l: &frostvale_link::proto::UseLine| Line {
+        let line = |l: &frostvale_link::proto::UseLine| UsageLine {
             shop: l.shop.clone(),
             plan: plan(l.plan).unwrap_or_else(|| format!("plan {}", l.plan)),
             class: tier
@@ -339,7 +343,7 @@
             refused_milli: int(l.refused_milli),
             served_milli: int(l.served_milli),
         };
-        Some(Batch {
+        Some(UsageBatch {
             instance: member.name.clone(),
             epoch_ms,
             seq: int(word.seq),
@@ -353,22 +357,22 @@
 
     async fn send_on(self: Arc<Self>) {
         loop {
-            let next = lock(&self.upload).next(self.now());
+            let next = lock(&self.upload).next_upload(self.now());
             match next {
-                Next::Idle => self.wake.notified().await,
-                Next::Wait(at) => {
+                NextUpload::Idle => self.wake.notified().await,
+                NextUpload::Wait(at) => {
                     let ms = (at - self.now()).max(1.0);
                     sleep(Duration::from_secs_f64(ms / 1000.0)).await;
                 }
-                Next::Send(most) => {
+                NextUpload::Send(most) => {
                     let done = self.send(most).await;
                     let told = {
                         let mut upload = lock(&self.upload);
                         match done {
-                            Ok((count, bytes)) => upload.landed(self.now(), count, bytes),
-                            Err(e) => upload.failed(self.now(), &e.to_string()),
+                            Ok((count, bytes)) => upload.batches_stored(self.now(), count, bytes),
+                            Err(e) => upload.upload_failed(self.now(), &e.to_string()),
                         }
-                        upload.tell()
+                        upload.take_notices()
                     };
                     self.tell(told);
                 }
@@ -387,7 +391,7 @@
         }
         let reply = done?;
         self.sound.store(true, Ordering::Relaxed);
-        if let Reply::Landed(new) = &reply {
+        if let Reply::Stored(new) = &reply {
             self.landed.fetch_add(new.iter().filter(|new| **new).count() as u64, Ordering::Relaxed);
         }
         self.spool.remove(oldest.iter().map(|s| s.id).collect()).await?;
@@ -397,7 +401,7 @@
     // ---- lives of gatekeepers ----
 
     /// What stores hold, by a gatekeeper's word.
-    pub fn levels(&self, k: usize, levels: &[LevelWord]) {
+    pub fn receive_levels(&self, k: usize, levels: &[LevelWord]) {
         let Some(member) = self.member(k) else { return };
         let at_ms = unix_ms();
         let mut life = lock(&member.life);
@@ -411,21 +415,21 @@
     }
 
     /// A gatekeeper has gone. If it left its last word in a file, that is taken up now.
-    pub async fn down(&self, k: usize) {
+    pub async fn gatekeeper_disconnected(&self, k: usize) {
         if let Some(member) = self.member(k) {
             lock(&member.life).down_ms = unix_ms();
-            self.take_left(k).await;
+            self.take_final_reports(k).await;
         }
     }
 
     /// A gatekeeper is here. One that began a new life gets what may be used of the former one, and the plans.
-    pub async fn up(&self, k: usize, welcome: &Welcome) {
+    pub async fn gatekeeper_connected(&self, k: usize, welcome: &Welcome) {
         let Some(member) = self.member(k) else { return };
         let epoch_ms = i64::try_from(welcome.started_ms).unwrap_or(i64::MAX);
         if lock(&member.life).epoch_ms != epoch_ms {
-            self.take_left(k).await;
+            self.take_final_reports(k).await;
             // Database, spool and files may each know more of the former life than this agent.
-            let former = self.former_life(member, epoch_ms).await;
+            let former = self.previous_incarnation(member, epoch_ms).await;
             *lock(&member.life) = former;
         }
         let now_ms = unix_ms();
@@ -436,7 +440,8 @@
             let mut gap = None;
             if new && life.epoch_ms != 0 {
                 let seen_ms = if life.down_ms > 0 { life.down_ms } else { now_ms };
-                let end = if life.ended { End::Ordered } else { End::Killed { seen_ms } };
+                let end =
+                    if life.ended { IncarnationEnd::Graceful } else { IncarnationEnd::Killed { seen_ms } };
                 for (key, level) in &life.levels {
                     let Some(plan) = welcome.plans.get(usize::try_from(level.plan).unwrap_or(usize::MAX))
                     else {
@@ -448,13 +453,13 @@
                         min_local_limit_share(plan.rate_milli as f64, plan.ceiling_rate_milli as f64);
                     let part = sliced / f64::from(welcome.gateways.max(1));
                     let slice = |n: u64| (n as f64 * part) as i64;
-                    let figures = Figures {
+                    let figures = RefillRates {
                         rate_milli: int(plan.rate_milli),
                         burst_milli: int(plan.burst_milli),
                         ceiling_rate_milli: slice(plan.ceiling_rate_milli),
                         ceiling_burst_milli: slice(plan.ceiling_burst_milli),
                     };
-                    let (store, ceiling) = restored(level, &figures, end, now_ms);
+                    let (store, ceiling) = restored_levels(level, &figures, end, now_ms);
                     levels.push(LevelWord {
                         key: *key,
                         plan: u32::try_from(level.plan).unwrap_or(u32::MAX),
@@ -463,7 +468,7 @@
                     });
                 }
                 if !life.ended {
-                    gap = Some(Gap {
+                    gap = Some(UsageGap {
                         instance: member.name.clone(),
                         epoch_ms: life.epoch_ms,
                         after_seq: life.last_seq,
@@ -474,7 +479,7 @@
                 }
             }
             if new {
-                *life = Life { epoch_ms, ..Life::default() };
+                *life = Incarnation { epoch_ms, ..Incarnation::default() };
             }
             life.down_ms = 0;
             (levels, gap)
@@ -486,7 +491,7 @@
                 member.name,
                 levels.len()
             );
-            member.link.levels(&levels);
+            member.link.send_levels(&levels);
         }
         if let Some(gap) = gap {
             tracing::warn!(
@@ -500,14 +505,14 @@
             self.gap_count.fetch_add(1, Ordering::Relaxed);
             lock(&self.gaps).push(gap);
         }
-        if let Some(plans) = self.plans() {
-            member.link.plans(plans);
+        if let Some(plans) = self.current_plans() {
+            member.link.send_plans(plans);
         }
         self.wake.notify_one();
     }
 
     /// What the database knows of a gatekeeper's last life.
-    async fn former(&self, name: &str) -> Option<Life> {
+    async fn former(&self, name: &str) -> Option<Incarnation> {
         let Ok(Reply::Instances(all)) = self.backend.run(Op::Instances).await else { return None };
         let (_, _, epoch_ms, seen_ms, _) = all.into_iter().find(|(n, ..)| n == name)?;
         let mark = Op::Watermark { instance: name.into(), epoch_ms };
@@ -517,7 +522,7 @@
         let levels = Op::Levels { instance: name.into(), since_ms: old };
         let Ok(Reply::Levels(levels)) = self.backend.run(levels).await else { return None };
         let levels = levels.into_iter().map(|l| (u64::try_from(l.key).unwrap_or(0), l)).collect();
-        Some(Life { epoch_ms, ended, last_seq, last_to_ms, levels, ..Life::default() })
+        Some(Incarnation { epoch_ms, ended, last_seq, last_to_ms, levels, ..Incarnation::default() })
     }
 
     // ---- plans ----
@@ -539,24 +544,24 @@
             let told = {
                 let mut upload = lock(&self.upload);
                 match &loaded {
-                    Some(_) => upload.loaded(self.now()),
+                    Some(_) => upload.data_loaded(self.now()),
                     None => {
                         let why = lock(&self.problem).clone();
-                        upload.not_loaded(self.now(), &why);
+                        upload.load_failed(self.now(), &why);
                     }
                 }
-                upload.tell()
+                upload.take_notices()
             };
             self.tell(told);
             if let Some(Reply::Snapshot(snapshot)) = loaded {
                 *lock(&self.snapshot) = Some(snapshot);
-                let plans = self.plans();
+                let plans = self.current_plans();
                 if plans != sent {
                     sent.clone_from(&plans);
                     if let Some(plans) = plans {
                         self.pushed.store(i64::try_from(plans.revision).unwrap_or(0), Ordering::Relaxed);
                         for member in self.members.get().into_iter().flatten() {
-                            member.link.plans(plans.clone());
+                            member.link.send_plans(plans.clone());
                         }
                     }
                 }
@@ -575,7 +580,7 @@
             let (epoch_ms, levels) = {
                 let mut life = lock(&member.life);
                 let some: Vec<u64> = life.dirty.iter().copied().take(LEVELS_AT_ONCE).collect();
-                let levels: Vec<Level> =
+                let levels: Vec<TokenLevel> =
                     some.iter().filter_map(|key| life.levels.get(key).copied()).collect();
                 for key in &some {
                     life.dirty.remove(key);
@@ -620,10 +625,10 @@
             state: state.into(),
             problem: if state == "sound" { String::new() } else { problem },
             revision: u64::try_from(revision).unwrap_or(0),
-            age_ms: upload.age(now).map_or(u64::MAX, |age| age as u64),
+            age_ms: upload.data_age(now).map_or(u64::MAX, |age| age as u64),
             spool_batches: upload.waiting() as u64,
             spool_bytes: upload.bytes(),
-            away_ms: upload.away_since().map_or(0, |since| (now - since) as u64),
+            away_ms: upload.unavailable_since().map_or(0, |since| (now - since) as u64),
             landed: self.landed.load(Ordering::Relaxed),
             gaps: self.gap_count.load(Ordering::Relaxed),
         }
--- a/crates/agent/src/record/ends.rs
+++ b/crates/agent/src/record/lifecycle.rs
@@ -1,9 +1,12 @@
 //! Ends of lives: this agent's own, which takes the last words of its gatekeepers first, and words that gatekeepers
 //! left in files because no agent was there. Decisions: `frostvale-handover`.
 
-use super::{Keeper, Life, Member, lock};
-use frostvale_handover::{Found, LAND_MS, Mark, Seen, former, found, waits_for};
-use frostvale_link::left::{self, Left};
+use super::{Incarnation, Member, RecordKeeper, lock};
+use frostvale_handover::{
+    FinalReportAction, GatekeeperStatus, UPLOAD_TIMEOUT_MS, Watermark, classify_final_report,
+    previous_incarnation, should_wait_for,
+};
+use frostvale_link::final_report::{self, FinalReport};
 use frostvale_record::spool::Spool;
 use std::path::{Path, PathBuf};
 use std::sync::atomic::Ordering;
@@ -15,39 +18,46 @@
 /// The least time between two lines about the same file that can't be taken up.
 const SAY_AGAIN: Duration = Duration::from_secs(60);
 
-impl Life {
-    pub(super) fn mark(&self) -> Mark {
-        Mark { epoch_ms: self.epoch_ms, last_seq: self.last_seq, to_ms: self.last_to_ms, ended: self.ended }
+impl Incarnation {
+    pub(super) fn mark(&self) -> Watermark {
+        Watermark {
+            epoch_ms: self.epoch_ms,
+            last_seq: self.last_seq,
+            to_ms: self.last_to_ms,
+            ended: self.ended,
+        }
     }
 
-    fn set_mark(&mut self, mark: Mark) {
+    fn set_mark(&mut self, mark: Watermark) {
         (self.epoch_ms, self.last_seq, self.last_to_ms, self.ended) =
             (mark.epoch_ms, mark.last_seq, mark.to_ms, mark.ended);
     }
 }
 
-impl Keeper {
+impl RecordKeeper {
     /// This agent stops: takes what its gatekeepers have used so far, and the last words of those that stop too, then
-    /// lets the spool land. Bounded by `LAST_WORD_MS` and `LAND_MS`; what is late is taken up by the next agent.
+    /// lets the spool land. Bounded by `LAST_WORD_MS` and `UPLOAD_TIMEOUT_MS`; what is late is taken up by the next agent.
     pub async fn stop(&self) {
         let members = self.members.get().map(Vec::as_slice).unwrap_or_default();
-        members.iter().for_each(|m| m.link.bye());
+        members.iter().for_each(|m| m.link.announce_stop());
         let begun = Instant::now();
         let ms = || begun.elapsed().as_secs_f64() * 1000.0;
-        while self.taking.load(Ordering::Acquire) > 0 || members.iter().any(|m| waits_for(&m.seen(), ms())) {
-            if ms() > frostvale_handover::LAST_WORD_MS {
+        while self.taking.load(Ordering::Acquire) > 0
+            || members.iter().any(|m| should_wait_for(&m.seen(), ms()))
+        {
+            if ms() > frostvale_handover::FINAL_REPORT_TIMEOUT_MS {
                 break;
             }
             sleep(LOOK).await;
         }
         for k in 0..members.len() {
-            self.take_left(k).await;
+            self.take_final_reports(k).await;
         }
         let landing = Instant::now();
-        while landing.elapsed().as_secs_f64() * 1000.0 < LAND_MS {
+        while landing.elapsed().as_secs_f64() * 1000.0 < UPLOAD_TIMEOUT_MS {
             let (waiting, away) = {
                 let upload = lock(&self.upload);
-                (upload.waiting(), upload.away_since().is_some())
+                (upload.waiting(), upload.unavailable_since().is_some())
             };
             if waiting == 0 || away {
                 break;
@@ -65,7 +75,7 @@
     }
 
     /// A gatekeeper has reported what it used until it heard of this agent's stop.
-    pub fn reported(&self, k: usize, number: u64) {
+    pub fn usage_reported(&self, k: usize, number: u64) {
         if let Some(member) = self.member(k) {
             lock(&member.life).reported = Some(i64::try_from(number).unwrap_or(i64::MAX));
         }
@@ -73,11 +83,13 @@
 
     /// Takes up the words that a gatekeeper left. Each is gone once it is in the spool; what is found twice, as after
     /// a kill between the two, is the same batches of the same life, and counts once.
-    pub(super) async fn take_left(&self, k: usize) {
+    pub(super) async fn take_final_reports(&self, k: usize) {
         let Some(member) = self.member(k) else { return };
         let _one = self.taking_up.lock().await;
         let socket = member.socket.clone();
-        let Ok(Ok(paths)) = tokio::task::spawn_blocking(move || left::find(&socket)).await else { return };
+        let Ok(Ok(paths)) = tokio::task::spawn_blocking(move || final_report::find_all(&socket)).await else {
+            return;
+        };
         for path in paths {
             if let Err(why) = self.take_file(k, member, &path).await
                 && self.says_again()
@@ -103,7 +115,7 @@
 
     async fn take_file(&self, k: usize, member: &Member, path: &Path) -> Result<(), String> {
         let file = path.to_path_buf();
-        let read = tokio::task::spawn_blocking(move || left::read(&file)).await;
+        let read = tokio::task::spawn_blocking(move || final_report::read(&file)).await;
         let left = match read.map_err(|e| e.to_string())? {
             Ok(left) => left,
             Err(e) if e.kind() == std::io::ErrorKind::Other => {
@@ -114,14 +126,14 @@
             }
             Err(e) => return Err(e.to_string()),
         };
-        let what = found(left.whole, &left.welcome.name, &member.name);
-        if what == Found::Refuse {
+        let what = classify_final_report(left.is_complete, &left.welcome.name, &member.name);
+        if what == FinalReportAction::Reject {
             aside(path, "refused")?;
             return Err(format!("it is of {:?}; it is set aside", left.welcome.name));
         }
         let life = self.spool_left(k, &left).await?;
         let (batches, stores) = (left.batches.len(), life.levels.len());
-        if what == Found::Take {
+        if what == FinalReportAction::Accept {
             std::fs::remove_file(path).map_err(|e| format!("it is taken up, but can't be removed: {e}"))?;
             tracing::info!(
                 instance = member.name,
@@ -139,7 +151,7 @@
         }
         let mut current = lock(&member.life);
         if current.epoch_ms == life.epoch_ms {
-            let mark = former([current.mark(), life.mark()], 0).unwrap_or_default();
+            let mark = previous_incarnation([current.mark(), life.mark()], 0).unwrap_or_default();
             current.set_mark(mark);
             current.levels.extend(life.levels);
         } else {
@@ -150,23 +162,23 @@
     }
 
     /// Puts what a file says into the spool.
-    async fn spool_left(&self, k: usize, left: &Left) -> Result<Life, String> {
+    async fn spool_left(&self, k: usize, left: &FinalReport) -> Result<Incarnation, String> {
         let tier = crate::fleet::tier_of(&left.welcome);
         let epoch_ms = i64::try_from(left.welcome.started_ms).unwrap_or(i64::MAX);
         let batches: Vec<_> = left.batches.iter().filter_map(|b| self.read(k, epoch_ms, b, &tier)).collect();
-        let mut life = Life { epoch_ms, ..Life::default() };
+        let mut life = Incarnation { epoch_ms, ..Incarnation::default() };
         for batch in &batches {
             life.last_seq = life.last_seq.max(batch.seq);
             life.last_to_ms = life.last_to_ms.max(batch.to_ms);
             life.ended |= batch.last;
         }
-        let sizes: Vec<u64> = batches.iter().map(Spool::size).collect();
-        if !lock(&self.upload).may_spool(sizes.iter().sum()) {
+        let sizes: Vec<u64> = batches.iter().map(Spool::size_bytes).collect();
+        if !lock(&self.upload).can_spool(sizes.iter().sum()) {
             return Err("the spool is full".into());
         }
-        let new = self.spool.put(batches).await.map_err(|e| format!("the spool takes nothing: {e}"))?;
+        let new = self.spool.append(batches).await.map_err(|e| format!("the spool takes nothing: {e}"))?;
         for (size, _) in sizes.iter().zip(new).filter(|(_, new)| *new) {
-            lock(&self.upload).spooled(*size);
+            lock(&self.upload).batch_spooled(*size);
         }
         self.wake.notify_one();
         let at_ms = life.last_to_ms;
@@ -175,8 +187,8 @@
     }
 
     /// The latest life before the one that begins, from all who know of it.
-    pub(super) async fn former_life(&self, member: &Member, epoch_ms: i64) -> Life {
-        let mut lives: Vec<Life> = std::mem::take(&mut *lock(&member.left));
+    pub(super) async fn previous_incarnation(&self, member: &Member, epoch_ms: i64) -> Incarnation {
+        let mut lives: Vec<Incarnation> = std::mem::take(&mut *lock(&member.left));
         {
             let mut current = lock(&member.life);
             if current.epoch_ms != 0 {
@@ -189,16 +201,21 @@
             lives.push(former);
         }
         let spooled = self.spool.latest(&member.name).await.ok().flatten();
-        let spooled =
-            spooled.map(|b| Mark { epoch_ms: b.epoch_ms, last_seq: b.seq, to_ms: b.to_ms, ended: b.last });
-        let Some(mark) = former(lives.iter().map(Life::mark).chain(spooled), epoch_ms) else {
+        let spooled = spooled.map(|b| Watermark {
+            epoch_ms: b.epoch_ms,
+            last_seq: b.seq,
+            to_ms: b.to_ms,
+            ended: b.last,
+        });
+        let Some(mark) = previous_incarnation(lives.iter().map(Incarnation::mark).chain(spooled), epoch_ms)
+        else {
             // This very life, as after the loss of a link.
             return lives.into_iter().find(|l| l.epoch_ms == epoch_ms).unwrap_or_default();
         };
         if let Some(same) = lives.iter().position(|l| l.epoch_ms == epoch_ms) {
             return lives.swap_remove(same);
         }
-        let mut whole = Life::default();
+        let mut whole = Incarnation::default();
         for life in lives.into_iter().filter(|l| l.epoch_ms == mark.epoch_ms) {
             whole.down_ms = whole.down_ms.max(life.down_ms);
             for (key, level) in life.levels {
@@ -214,11 +231,11 @@
 }
 
 impl Member {
-    fn seen(&self) -> Seen {
+    fn seen(&self) -> GatekeeperStatus {
         let life = lock(&self.life);
-        Seen {
+        GatekeeperStatus {
             linked: self.link.welcome().is_some(),
-            stopping: self.link.stopping(),
+            stopping: self.link.is_stopping(),
             ended: life.ended,
             reported: life.reported,
             kept: life.last_seq,
--- a/crates/agent/src/record/plans.rs
+++ b/crates/agent/src/record/plans.rs
@@ -1,14 +1,14 @@
 //! Plans for gatekeepers: those in effect, and by whose decision.
 
-use super::{Keeper, lock};
+use super::{RecordKeeper, lock};
 use crate::clock::unix_ms;
-use crate::duties::PUBLISH;
+use crate::duties::PUBLISH_DUTY;
 use frostvale_link::proto::{Fence, Plan as PlanWord, Plans};
 use frostvale_record::{Backend, Error, Op, Reply};
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 
-impl Keeper {
+impl RecordKeeper {
     /// The database.
     #[must_use]
     pub fn backend(&self) -> Arc<dyn Backend> {
@@ -16,7 +16,7 @@
     }
 
     /// From now on a council says who has plans take effect.
-    pub fn govern(&self) {
+    pub fn set_council_governed(&self) {
         self.governed.store(true, Ordering::Relaxed);
     }
 
@@ -39,12 +39,12 @@
     }
 
     /// The plans that are in effect by now, and by whose decision where there is a council.
-    pub(crate) fn plans(&self) -> Option<Plans> {
+    pub(crate) fn current_plans(&self) -> Option<Plans> {
         let snapshot = lock(&self.snapshot);
         let snapshot = snapshot.as_ref()?;
         let governed = self.governed.load(Ordering::Relaxed);
         let fence = match governed {
-            true => Some(snapshot.fences.iter().find(|f| f.duty == PUBLISH)?),
+            true => Some(snapshot.fences.iter().find(|f| f.duty == PUBLISH_DUTY)?),
             false => None,
         };
         let fence = fence.map(|f| Fence {
--- a/crates/agent/src/rls.rs
+++ b/crates/agent/src/rls.rs
@@ -1,10 +1,10 @@
 //! The rate limit service: Envoy's `envoy.service.ratelimit.v3.RateLimitService`, as its public API defines it.
 
 use crate::config::Rls;
-use crate::fleet::{Decided, Fleet, Held};
-use frostvale_checks::answer::{Found, answer};
-use frostvale_checks::read::{Ask, Names, read};
-use frostvale_checks::{Mode, Plan};
+use crate::fleet::{CheckOutcome, Fleet, HeldGrant};
+use frostvale_checks::answer::{CheckResult, build_response};
+use frostvale_checks::read::{CheckRequest, EntryKeys, parse_request};
+use frostvale_checks::{FailureMode, Plan};
 use frostvale_proto::agent::Calls;
 use frostvale_proto::envoy::service::ratelimit::v3::rate_limit_service_server::RateLimitService;
 use frostvale_proto::envoy::service::ratelimit::v3::{RateLimitRequest, RateLimitResponse};
@@ -60,7 +60,7 @@
 pub struct Service {
     fleet: Arc<Fleet>,
     rls: Arc<Rls>,
-    names: Arc<Names>,
+    names: Arc<EntryKeys>,
     counts: Arc<Counts>,
 }
 
@@ -68,7 +68,7 @@
     /// Over these gatekeepers.
     #[must_use]
     pub fn new(fleet: Arc<Fleet>, rls: Rls) -> Service {
-        let names = Arc::new(rls.keys.names(&rls.domains));
+        let names = Arc::new(rls.keys.entry_keys(&rls.domains));
         Service { fleet, rls: Arc::new(rls), names, counts: Arc::default() }
     }
 
@@ -81,28 +81,28 @@
     /// What came of one descriptor.
     async fn one(
         &self,
-        ask: &Ask,
+        ask: &CheckRequest,
         plan: &Plan,
         hold: bool,
         until: Instant,
-    ) -> Result<(Found, Option<Held>), String> {
-        let mode = plan.mode(self.rls.mode(&ask.plan));
+    ) -> Result<(CheckResult, Option<HeldGrant>), String> {
+        let mode = plan.failure_mode(self.rls.mode(&ask.plan));
         let undecided = || {
-            up(if mode == Mode::Deny { &self.counts.denied } else { &self.counts.allowed });
-            Ok((Found::Undecided(mode), None))
+            up(if mode == FailureMode::Deny { &self.counts.denied } else { &self.counts.allowed });
+            Ok((CheckResult::Undecided(mode), None))
         };
         match self.fleet.decide(ask, plan, hold, until).await {
-            Decided::Granted { remaining_milli, reset_ms, held } => {
+            CheckOutcome::Granted { remaining_milli, reset_ms, held } => {
                 up(&self.counts.granted);
-                Ok((Found::Granted { remaining_milli, reset_ms }, held))
+                Ok((CheckResult::Granted { remaining_milli, reset_ms }, held))
             }
-            Decided::Over { remaining_milli, reset_ms } => {
+            CheckOutcome::OverLimit { remaining_milli, reset_ms } => {
                 up(&self.counts.over);
-                Ok((Found::Over { remaining_milli, reset_ms }, None))
+                Ok((CheckResult::OverLimit { remaining_milli, reset_ms }, None))
             }
-            Decided::Invalid(what) => Err(what),
-            Decided::Nobody => undecided(),
-            Decided::InDoubt => {
+            CheckOutcome::Invalid(what) => Err(what),
+            CheckOutcome::NoGatekeeper => undecided(),
+            CheckOutcome::InDoubt => {
                 up(&self.counts.in_doubt);
                 undecided()
             }
@@ -115,9 +115,9 @@
             up(&self.counts.invalid);
             Status::invalid_argument(what)
         };
-        let asks = read(call, &self.names, &tier).map_err(|e| invalid(e.0))?;
+        let asks = parse_request(call, &self.names, &tier).map_err(|e| invalid(e.0))?;
         let unknown = Plan::default();
-        let of = |ask: &Ask| tier.plans.get(&ask.plan).unwrap_or(&unknown).clone();
+        let of = |ask: &CheckRequest| tier.plans.get(&ask.plan).unwrap_or(&unknown).clone();
         let plans: Vec<Option<Plan>> = asks.iter().map(|ask| ask.as_ref().map(of)).collect();
         let matched = asks.iter().flatten().count();
         // One alone needs no second word; of several each is held until all are known.
@@ -130,16 +130,16 @@
         for (ask, plan) in asks.iter().zip(&plans) {
             let (Some(ask), Some(plan)) = (ask, plan) else {
                 up(&self.counts.unmatched);
-                found.push(Found::Unmatched);
+                found.push(CheckResult::Unmatched);
                 continue;
             };
             if over {
-                found.push(Found::NotAsked);
+                found.push(CheckResult::NotAsked);
                 continue;
             }
             match self.one(ask, plan, hold, until).await {
                 Ok((one, grant)) => {
-                    over |= one.over();
+                    over |= one.is_over_limit();
                     found.push(one);
                     held.extend(grant);
                 }
@@ -158,7 +158,7 @@
             return Err(invalid(what));
         }
         let of = asks.iter().zip(&plans).map(|(ask, plan)| ask.as_ref().zip(plan.as_ref()));
-        Ok(answer(found.into_iter().zip(of)))
+        Ok(build_response(found.into_iter().zip(of)))
     }
 }
 
--- a/crates/agent/src/serve.rs
+++ b/crates/agent/src/serve.rs
@@ -1,11 +1,11 @@
 //! Listeners: the rate limit service with gRPC health and reflection, and the control socket.
 
 use crate::config::{Config, Tls};
-use crate::council::{Door, Seat};
+use crate::council::{CouncilSeat, CouncilService};
 use crate::fleet::Fleet;
 use crate::operators::Operators;
 use crate::outside::Outside;
-use crate::record::Keeper;
+use crate::record::RecordKeeper;
 use crate::rls::Service;
 use frostvale_proto::agent::agent_server::AgentServer;
 use frostvale_proto::envoy::service::ratelimit::v3::rate_limit_service_server::RateLimitServiceServer;
@@ -51,7 +51,7 @@
     let tls = rls.as_ref().and_then(|rls| rls.tls.as_ref()).map(server_tls).transpose()?;
     let control = config.control.as_ref().map(|c| private_socket(&c.socket)).transpose()?;
     let record = match &config.record {
-        Some(record) => Some(Keeper::open(record, &config.name).await?),
+        Some(record) => Some(RecordKeeper::open(record, &config.name).await?),
         None => None,
     };
     let keeper = record.as_ref().map(|(keeper, _)| keeper.clone());
@@ -60,12 +60,12 @@
     let seat = match &config.council {
         Some(part) => {
             let at = at.map_or(String::new(), |at| at.to_string());
-            Some(Seat::start(&config, part, &at, keeper.clone())?)
+            Some(CouncilSeat::start(&config, part, &at, keeper.clone())?)
         }
         None => None,
     };
     if let Some(keeper) = keeper.as_ref().filter(|_| seat.is_some()) {
-        keeper.govern();
+        keeper.set_council_governed();
     }
     let fleet = Fleet::start(&config, outside.clone(), record, seat.as_ref());
     let service = Service::new(fleet.clone(), rls.clone().unwrap_or_default());
@@ -105,7 +105,7 @@
     let served = match (listener, rls) {
         (Some(listener), Some(_)) => {
             let mut stopped = stop.clone();
-            let door = seat.as_ref().map(|s| Door(s.clone()));
+            let door = seat.as_ref().map(|s| CouncilService(s.clone()));
             let served = serve_rls(listener, tls, service, door, fleet, stop);
             tokio::pin!(served);
             tokio::select! {
@@ -138,7 +138,7 @@
     listener: TcpListener,
     tls: Option<ServerTlsConfig>,
     service: Service,
-    door: Option<Door>,
+    door: Option<CouncilService>,
     fleet: Arc<Fleet>,
     mut stop: watch::Receiver<bool>,
 ) -> Result<(), String> {
@@ -173,7 +173,7 @@
         .add_service(RateLimitServiceServer::new(service).max_decoding_message_size(CALL_MOST))
         .add_service(health)
         .add_service(reflection)
-        .add_optional_service(door.map(Door::service))
+        .add_optional_service(door.map(CouncilService::service))
         .serve_with_incoming_shutdown(TcpIncoming::from(listener).with_nodelay(Some(true)), async move {
             let _ = stop.wait_for(|stop| *stop).await;
         })
--- a/crates/agent/src/hand.rs
+++ b/crates/agent/src/step_markers.rs
@@ -6,14 +6,14 @@
 use std::path::{Path, PathBuf};
 
 /// The folder of marks.
-pub struct Hand(PathBuf);
+pub struct StepMarkers(PathBuf);
 
-impl Hand {
+impl StepMarkers {
     /// Opens it, and gives what a former process left: duty and epoch of each step that it died in.
-    pub fn open(beside: &Path) -> (Hand, Vec<(String, u64)>) {
+    pub fn open(beside: &Path) -> (StepMarkers, Vec<(String, u64)>) {
         let mut name = beside.as_os_str().to_os_string();
         name.push(".hand");
-        let hand = Hand(name.into());
+        let hand = StepMarkers(name.into());
         let _ = fs::create_dir(&hand.0);
         let one = |entry: fs::DirEntry| {
             let duty = entry.file_name().into_string().ok().filter(|n| is_name(n))?;
@@ -28,12 +28,12 @@
     }
 
     /// A step begins.
-    pub fn begin(&self, duty: &str, epoch: u64) {
+    pub fn mark(&self, duty: &str, epoch: u64) {
         let _ = fs::write(self.0.join(duty), format!("{epoch}\n"));
     }
 
     /// It is over, however it ended.
-    pub fn end(&self, duty: &str) {
+    pub fn unmark(&self, duty: &str) {
         let _ = fs::remove_file(self.0.join(duty));
     }
 
@@ -53,13 +53,13 @@
     fn what_a_process_died_in_is_found_by_the_next_and_only_once() {
         let folder = tempfile::tempdir().expect("a folder");
         let file = folder.path().join("council.db");
-        let (hand, fell) = Hand::open(&file);
+        let (hand, fell) = StepMarkers::open(&file);
         assert_eq!(fell, []);
-        hand.begin("roll-up", 7);
-        hand.begin("gaps", 9);
-        hand.end("gaps");
+        hand.mark("roll-up", 7);
+        hand.mark("gaps", 9);
+        hand.unmark("gaps");
         fs::write(folder.path().join("council.db.hand").join("odd"), "no number").expect("written");
-        assert_eq!(Hand::open(&file).1, [("roll-up".to_string(), 7)]);
-        assert_eq!(Hand::open(&file).1, []);
+        assert_eq!(StepMarkers::open(&file).1, [("roll-up".to_string(), 7)]);
+        assert_eq!(StepMarkers::open(&file).1, []);
     }
 }
--- a/crates/agent/src/zones.rs
+++ b/crates/agent/src/zones.rs
@@ -4,26 +4,26 @@
 
 use crate::clock::{Clock, unix_ms};
 use crate::config;
-use crate::council::Ways;
-use crate::duties::{Done, Fail};
-use frostvale_council::{Council, Whole};
+use crate::council::MemberChannels;
+use crate::duties::{StepDone, StepError};
+use frostvale_council::{AgreedState, Council};
 use frostvale_link::agent::Link;
 use frostvale_link::proto::{Fence, ZoneRow, ZoneSpill, ZonesGuide, ZonesSeen};
-use frostvale_owner::registry::{Decided, Intent};
+use frostvale_owner::registry::{OperatorOverride, StandingDecision};
 use frostvale_owner::{Command, Lease, Outcome};
 use frostvale_proto::agent::council_client::CouncilClient;
 use frostvale_proto::agent::{
     EvidenceMessage, EvidenceTaken, OwnerChange, ZoneActs, ZoneAgent, ZoneIntent, ZonesChange, ZonesLook,
     ZonesResponse, ZonesView,
 };
-use frostvale_zones::{Decision, Drain, Judge, Line, Place, Report, Share};
+use frostvale_zones::{AttemptCounts, Decision, Drain, FailoverController, Report, Share, ZoneCapacity};
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 use tokio::time::{sleep, timeout};
 
 /// The duty.
-pub const ZONES: &str = "zones";
+pub const ZONES_DUTY: &str = "zones";
 /// The judge looks this often.
 const STEP: Duration = Duration::from_millis(100);
 /// The owner is asked for its view, and told evidence, within this time.
@@ -56,10 +56,10 @@
 }
 
 /// The judge of one epoch, whose it is, and when it last had its turn.
-struct Bench {
+struct OwnerState {
     epoch: u64,
     owner: String,
-    judge: Judge,
+    judge: FailoverController,
     at: u64,
 }
 
@@ -84,9 +84,9 @@
     life: u64,
     clock: Clock,
     council: Arc<Council>,
-    ways: Arc<Ways>,
+    ways: Arc<MemberChannels>,
     own: Mutex<Own>,
-    bench: Mutex<Option<Bench>>,
+    bench: Mutex<Option<OwnerState>>,
     acts: Mutex<BTreeMap<String, Acts>>,
     told: Mutex<Told>,
 }
@@ -98,7 +98,7 @@
         fleet: &str,
         clock: Clock,
         council: Arc<Council>,
-        ways: Arc<Ways>,
+        ways: Arc<MemberChannels>,
     ) -> Zones {
         Zones {
             config,
@@ -118,7 +118,7 @@
     // ---- evidence ----
 
     /// A gatekeeper of this host tells what it saw.
-    pub fn seen(&self, gatekeeper: &str, seen: ZonesSeen) {
+    pub fn record_observation(&self, gatekeeper: &str, seen: ZonesSeen) {
         let now = self.clock.now();
         let mut own = lock(&self.own);
         for line in &seen.lines {
@@ -163,7 +163,7 @@
             report.need += seen.need_milli as f64 / 1000.0;
             // All are told of the same servers: the one that was told last of the most is as good as any.
             if seen.places.len() >= report.places.len() {
-                let place = |p: &frostvale_link::proto::ZonePlace| Place {
+                let place = |p: &frostvale_link::proto::ZonePlace| ZoneCapacity {
                     zone: p.zone.clone(),
                     servers: p.servers,
                     size: p.size_milli as f64 / 1000.0,
@@ -183,33 +183,33 @@
         for ((from, to, class), [attempts, bad, late]) in sums {
             let Some(report) = by.get_mut(&from) else { continue };
             if !report.places.iter().any(|p| p.zone == to) {
-                report.places.push(Place { zone: to.clone(), servers: 0, size: 0.0, warm: 0.0 });
+                report.places.push(ZoneCapacity { zone: to.clone(), servers: 0, size: 0.0, warm: 0.0 });
             }
-            report.lines.push(Line { to, class, attempts, bad, late });
+            report.lines.push(AttemptCounts { to, class, attempts, bad, late });
         }
         acts.truncate(ACTS_MOST);
         (by.into_values().collect(), acts)
     }
 
     /// The task that reports to whoever owns the duty.
-    pub(crate) async fn report(self: Arc<Self>) {
+    pub(crate) async fn run_reporting(self: Arc<Self>) {
         loop {
             sleep(Duration::from_millis(self.config.report_ms)).await;
             let (reports, acts) = self.reports();
             let whole = self.council.watch().borrow().clone();
-            let owner = whole.owner.duties.get(ZONES).and_then(|d| d.owner.clone());
+            let owner = whole.owner.duties.get(ZONES_DUTY).and_then(|d| d.owner.clone());
             let Some(owner) = owner.filter(|_| !reports.is_empty()) else { continue };
             let Ok(body) = serde_json::to_vec(&reports) else { continue };
             let message = EvidenceMessage {
                 fleet: self.fleet.clone(),
-                duty: ZONES.into(),
+                duty: ZONES_DUTY.into(),
                 owner: owner.to_string(),
                 sent_ms: self.clock.now(),
                 body,
                 acts,
             };
             if owner.agent == self.name {
-                let _ = self.evidence(message);
+                let _ = self.receive_evidence(message);
                 continue;
             }
             // What can't be told now is old by the next time: it is not kept, and the next one does not wait for it.
@@ -234,9 +234,9 @@
     ///
     /// # Errors
     /// When this agent is not the one that it is for.
-    pub fn evidence(&self, message: EvidenceMessage) -> Result<EvidenceTaken, String> {
+    pub fn receive_evidence(&self, message: EvidenceMessage) -> Result<EvidenceTaken, String> {
         let EvidenceMessage { fleet, duty, owner, sent_ms, body, acts } = message;
-        if fleet != self.fleet || duty != ZONES {
+        if fleet != self.fleet || duty != ZONES_DUTY {
             return Err("fleet, duty: not this one's".into());
         }
         if body.len() > EVIDENCE_MOST || acts.len() > ACTS_MOST {
@@ -252,12 +252,12 @@
             return Err("owner: another".into());
         }
         let reports: Vec<Report> = serde_json::from_slice(&body).map_err(|e| format!("body: {e}"))?;
-        if reports.len() > frostvale_zones::ZONES_MOST {
+        if reports.len() > frostvale_zones::MAX_ZONES {
             return Err("body: too many reports".into());
         }
         let mut refused = String::new();
         for report in reports {
-            if let Err(why) = bench.judge.heard(now, sent_ms, report) {
+            if let Err(why) = bench.judge.record_report(now, sent_ms, report) {
                 refused = why.0;
             }
         }
@@ -273,61 +273,69 @@
     // ---- the duty ----
 
     /// One look of the owner's, and what comes of it.
-    pub(crate) async fn step(&self, lease: &Lease) -> Result<Done, Fail> {
+    pub(crate) async fn step(&self, lease: &Lease) -> Result<StepDone, StepError> {
         let now = self.clock.now();
         let whole = self.council.watch().borrow().clone();
-        let stands = whole.owner.decisions.get(ZONES).cloned().unwrap_or_default();
+        let stands = whole.owner.decisions.get(ZONES_DUTY).cloned().unwrap_or_default();
         self.expire(&whole).await;
         let decision = {
             let mut bench = lock(&self.bench);
             if bench.as_ref().is_none_or(|b| b.epoch != lease.epoch()) {
                 let judge = match serde_json::from_str::<Decision>(&stands.body) {
-                    Ok(decision) => Judge::resume(self.config.judge, decision, now),
-                    Err(_) => Judge::new(self.config.judge),
+                    Ok(decision) => FailoverController::resume(self.config.judge, decision, now),
+                    Err(_) => FailoverController::new(self.config.judge),
                 };
-                *bench =
-                    Some(Bench { epoch: lease.epoch(), owner: lease.owner().to_string(), judge, at: now });
+                *bench = Some(OwnerState {
+                    epoch: lease.epoch(),
+                    owner: lease.owner().to_string(),
+                    judge,
+                    at: now,
+                });
             }
-            let Some(bench) = bench.as_mut() else { return Err(Fail::Lapsed) };
+            let Some(bench) = bench.as_mut() else { return Err(StepError::LeaseExpired) };
             bench.at = now;
-            bench.judge.intends(now, &drains(&whole));
-            bench.judge.turn(now)
+            bench.judge.set_drains(now, &drains(&whole));
+            bench.judge.tick(now)
         };
         let body = match decision {
-            Some(decision) => serde_json::to_string(&decision).map_err(|e| Fail::Failed(e.to_string()))?,
+            Some(decision) => {
+                serde_json::to_string(&decision).map_err(|e| StepError::Failed(e.to_string()))?
+            }
             // What a former owner decided stands on, under this epoch: gatekeepers refuse the former one's from here on.
             None if stands.version > 0 && stands.epoch < lease.epoch() => stands.body.clone(),
-            None => return Ok(Done { note: format!("version {} stands", stands.version), again: STEP }),
+            None => return Ok(StepDone { note: format!("version {} stands", stands.version), again: STEP }),
         };
         lease.fence(now)?;
         let owner = lease.owner().clone();
         let at_ms = u64::try_from(unix_ms()).unwrap_or(0);
-        let (duty, epoch, seen) = (ZONES.to_string(), lease.epoch(), stands.version);
+        let (duty, epoch, seen) = (ZONES_DUTY.to_string(), lease.epoch(), stands.version);
         let decide = Command::Decide { duty, owner, epoch, seen, body, at_ms };
         match self.council.propose(decide, ASK).await {
             Ok(Outcome::Decided(version)) => {
                 tracing::info!(version, epoch, "zones: version {version} is decided");
                 // The next look begins from it.
                 let mut seen = self.council.watch();
-                let there =
-                    |w: &Arc<Whole>| w.owner.decisions.get(ZONES).is_some_and(|d| d.version >= version);
+                let there = |w: &Arc<AgreedState>| {
+                    w.owner.decisions.get(ZONES_DUTY).is_some_and(|d| d.version >= version)
+                };
                 let _ = timeout(ASK, seen.wait_for(there)).await;
-                Ok(Done { note: format!("decided version {version}"), again: STEP })
+                Ok(StepDone { note: format!("decided version {version}"), again: STEP })
             }
             other => {
                 // It is decided anew from what stands then.
                 *lock(&self.bench) = None;
-                Err(Fail::Failed(format!("the decision was not entered: {other:?}")))
+                Err(StepError::Failed(format!("the decision was not entered: {other:?}")))
             }
         }
     }
 
     /// Ends drains whose time is over.
-    async fn expire(&self, whole: &Whole) {
+    async fn expire(&self, whole: &AgreedState) {
         let now_ms = u64::try_from(unix_ms()).unwrap_or(0);
-        let over = whole.owner.intents.get(ZONES).into_iter().flatten().filter(|(_, i)| i.until_ms <= now_ms);
+        let over =
+            whole.owner.intents.get(ZONES_DUTY).into_iter().flatten().filter(|(_, i)| i.until_ms <= now_ms);
         for (key, _) in over {
-            let (duty, key, by) = (ZONES.to_string(), key.clone(), "its expiry".to_string());
+            let (duty, key, by) = (ZONES_DUTY.to_string(), key.clone(), "its expiry".to_string());
             let _ = self.council.propose(Command::Withdraw { duty, key, by, at_ms: now_ms }, ASK).await;
         }
     }
@@ -335,13 +343,13 @@
     // ---- to gatekeepers ----
 
     /// Gatekeepers are told at once, as one of them is new.
-    pub(crate) fn again(&self) {
+    pub(crate) fn force_push(&self) {
         lock(&self.told).last = None;
     }
 
     /// Tells gatekeepers what stands, or that it still does; only while this agent's own word holds.
-    pub(crate) fn push(&self, whole: &Whole, holds: bool, links: &[Link]) {
-        let Some(decided) = whole.owner.decisions.get(ZONES).filter(|_| holds) else { return };
+    pub(crate) fn push_to_gatekeepers(&self, whole: &AgreedState, holds: bool, links: &[Link]) {
+        let Some(decided) = whole.owner.decisions.get(ZONES_DUTY).filter(|_| holds) else { return };
         let now = self.clock.now();
         let mut told = lock(&self.told);
         if (told.version, told.epoch) != (decided.version, decided.epoch) {
@@ -354,11 +362,11 @@
         told.last = Some(now);
         if let Some(guide) = &told.guide {
             let guide = ZonesGuide { age_ms: now.saturating_sub(told.since), ..guide.clone() };
-            links.iter().for_each(|link| link.zones(guide.clone()));
+            links.iter().for_each(|link| link.send_zone_decision(guide.clone()));
         }
     }
 
-    fn guide(&self, decided: &Decided) -> Option<ZonesGuide> {
+    fn guide(&self, decided: &StandingDecision) -> Option<ZonesGuide> {
         let decision: Decision = serde_json::from_str(&decided.body).ok()?;
         if let Err(why) = decision.check() {
             let version = decided.version;
@@ -366,14 +374,18 @@
             return None;
         }
         let spill = |to: &str, s: Share| ZoneSpill { to: to.into(), start_milli: s.start, end_milli: s.end };
-        let row = |r: &frostvale_zones::Row| ZoneRow {
+        let row = |r: &frostvale_zones::RoutingRow| ZoneRow {
             from: r.from.clone(),
             near_start_milli: r.near.start,
             near_end_milli: r.near.end,
             spill: r.spill.iter().map(|s| spill(&s.to, s.share)).collect(),
         };
         Some(ZonesGuide {
-            fence: Some(Fence { duty: ZONES.into(), epoch: decided.epoch, owner: decided.owner.clone() }),
+            fence: Some(Fence {
+                duty: ZONES_DUTY.into(),
+                epoch: decided.epoch,
+                owner: decided.owner.clone(),
+            }),
             version: decided.version,
             age_ms: 0,
             ramp_ms: decision.ramp_ms,
@@ -420,23 +432,23 @@
             Ok(()) => String::new(),
             Err(s) => format!(
                 "all requests need {:.1} worked on at once, the zones that are left bear {:.1}: {:.1} would be refused",
-                s.needs, s.bears, s.left
+                s.demand, s.capacity, s.shortfall
             ),
         };
         Ok(ZonesView {
             agents,
             acts: acts.values().flat_map(old).collect(),
-            heard: view.counts.heard,
-            refused: view.counts.refused,
-            old: view.counts.old,
+            heard: view.counts.accepted,
+            refused: view.counts.rejected,
+            old: view.counts.outdated,
             short,
-            known: bench.judge.knows(now, &look.drain),
+            known: bench.judge.knows_zone(now, &look.drain),
         })
     }
 
-    async fn look(&self, whole: &Whole, drain: &str) -> Result<ZonesView, String> {
+    async fn look(&self, whole: &AgreedState, drain: &str) -> Result<ZonesView, String> {
         let look = ZonesLook { fleet: self.fleet.clone(), drain: drain.to_string() };
-        let owner = whole.owner.duties.get(ZONES).and_then(|d| d.owner.clone());
+        let owner = whole.owner.duties.get(ZONES_DUTY).and_then(|d| d.owner.clone());
         let owner = owner.ok_or("nobody owns zones at present")?;
         if owner.agent == self.name {
             return self.view(&look);
@@ -448,9 +460,9 @@
     }
 
     /// All that operators see.
-    pub async fn told(&self, whole: &Whole, current: bool) -> ZonesResponse {
-        let stands = whole.owner.decisions.get(ZONES).cloned().unwrap_or_default();
-        let intent = |(zone, i): (&String, &Intent)| ZoneIntent {
+    pub async fn response(&self, whole: &AgreedState, current: bool) -> ZonesResponse {
+        let stands = whole.owner.decisions.get(ZONES_DUTY).cloned().unwrap_or_default();
+        let intent = |(zone, i): (&String, &OperatorOverride)| ZoneIntent {
             zone: zone.clone(),
             force: i.body == FORCE,
             by: i.by.clone(),
@@ -458,7 +470,7 @@
             until_ms: i.until_ms,
             at_ms: i.at_ms,
         };
-        let change = |c: &frostvale_owner::registry::Change| OwnerChange {
+        let change = |c: &frostvale_owner::registry::OwnershipChange| OwnerChange {
             duty: c.duty.clone(),
             epoch: c.epoch,
             who: c.who.clone(),
@@ -472,9 +484,9 @@
             at_ms: stands.at_ms,
             current,
             decision: stands.body,
-            intents: whole.owner.intents.get(ZONES).into_iter().flatten().map(intent).collect(),
+            intents: whole.owner.intents.get(ZONES_DUTY).into_iter().flatten().map(intent).collect(),
             view: self.look(whole, "").await.ok(),
-            history: whole.owner.history_of(ZONES).map(change).collect(),
+            history: whole.owner.history_of(ZONES_DUTY).map(change).collect(),
         }
     }
 
@@ -482,10 +494,10 @@
     ///
     /// # Errors
     /// With why it is refused, and with the figures where the others can't bear a drain.
-    pub async fn wish(&self, asked: ZonesChange) -> Result<(Command, String), String> {
+    pub async fn operator_change(&self, asked: ZonesChange) -> Result<(Command, String), String> {
         let at_ms = u64::try_from(unix_ms()).unwrap_or(0);
         let ZonesChange { drain, restore, by, why, until_ms, force } = asked;
-        let duty = ZONES.to_string();
+        let duty = ZONES_DUTY.to_string();
         match (drain.is_empty(), restore.is_empty()) {
             (false, true) => {
                 if until_ms <= at_ms || until_ms > at_ms + DRAIN_MOST_MS {
@@ -505,7 +517,7 @@
                 let cost = if view.short.is_empty() { String::new() } else { format!("; {}", view.short) };
                 let text = format!("{drain} is drained{cost}");
                 let body = if force { FORCE.to_string() } else { String::new() };
-                let intent = Intent { body, by, why, until_ms, at_ms };
+                let intent = OperatorOverride { body, by, why, until_ms, at_ms };
                 Ok((Command::Intend { duty, key: drain, intent }, text))
             }
             (true, false) => {
@@ -522,7 +534,7 @@
 /// The body of a drain that holds even where the others can't bear it.
 const FORCE: &str = "force";
 
-fn drains(whole: &Whole) -> Vec<Drain> {
-    let of = |(zone, i): (&String, &Intent)| Drain { zone: zone.clone(), force: i.body == FORCE };
-    whole.owner.intents.get(ZONES).into_iter().flatten().map(of).collect()
+fn drains(whole: &AgreedState) -> Vec<Drain> {
+    let of = |(zone, i): (&String, &OperatorOverride)| Drain { zone: zone.clone(), force: i.body == FORCE };
+    whole.owner.intents.get(ZONES_DUTY).into_iter().flatten().map(of).collect()
 }
--- a/crates/agent/tests/audit.rs
+++ b/crates/agent/tests/audit.rs
@@ -1,29 +1,29 @@
 //! The audit of a fleet over real agents, gatekeepers and a database, with faults between them: what each acts on, who is shut
 //! out and comes back, and a history that gives away whoever touches it.
 
-mod kept;
-mod rig;
+mod fleet_harness;
+mod record_harness;
 
+use fleet_harness::{LEASE, fleet};
 use frostvale_agent::serve::control;
-use frostvale_audit::chain::{Broken, Verify};
+use frostvale_audit::hash_chain::{ChainError, ChainVerifier};
 use frostvale_audit::replay::Replay;
-use frostvale_audit::{Anchor, Decision, Row};
+use frostvale_audit::{ChainRow, Checkpoint, Decision};
 use frostvale_proto::agent::audit_change::What;
 use frostvale_proto::agent::council_client::CouncilClient;
 use frostvale_proto::agent::{
     AuditChange, AuditRequest, AuditResponse, EvidenceMessage, HistoryRequest, Instance, UseByRevisionRequest,
 };
 use frostvale_record::model::{Change, Plan as KeptPlan};
-use frostvale_record::{Backend, Op, Place};
+use frostvale_record::{Backend, Op, RecordLocation};
+use frostvale_standin::client::{ClientPool, Shop};
 use frostvale_standin::clock::unix_ms;
-use frostvale_standin::fleet::faults::{Fault, play, schedule};
-use frostvale_standin::fleet::{Fleet, Plan};
-use frostvale_standin::gate::Way;
-use frostvale_standin::load::{Pool, Shop};
+use frostvale_standin::fleet::faults::{Fault, apply, schedule};
+use frostvale_standin::fleet::{Fleet, FleetOptions};
+use frostvale_standin::local_cluster;
+use frostvale_standin::proxy::ProxyMode;
 use frostvale_standin::resp::Answer;
-use frostvale_standin::town;
-use kept::{Load, WAIT, booked, ledger, until};
-use rig::{LEASE, fleet};
+use record_harness::{Load, WAIT, ledger, units_by_shop, until};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -33,13 +33,13 @@
 const AUDIT: &str = "[audit]\nreport_ms = 100\nrenew_ms = 200\nhold_ms = 3000\n[audit.ladder]\nstale_ms = 800\ntell_ms = 500\n\
     snapshot_ms = 500\nout_ms = 1000\nunknown_ms = 2000\nback_ms = 300\nanchor_ms = 400\nretry_ms = 700\n";
 
-fn plan(agents: usize, gatekeepers: usize) -> Plan {
-    let base = rig::plan(agents, gatekeepers);
-    let town = town::Plan {
-        gatekeeper_extra: "[audit]\nreport_ms = 100\n[usage]\nreport_ms = 50\n".into(),
-        ..base.town.clone()
+fn plan(agents: usize, gatekeepers: usize) -> FleetOptions {
+    let base = fleet_harness::plan(agents, gatekeepers);
+    let cluster = local_cluster::ClusterOptions {
+        gatekeeper_settings: "[audit]\nreport_ms = 100\n[usage]\nreport_ms = 50\n".into(),
+        ..base.cluster.clone()
     };
-    Plan { town, voters: agents.min(3), drills: 0, agent_extra: AUDIT.into(), ..base }
+    FleetOptions { cluster, voters: agents.min(3), drills: 0, agent_settings: AUDIT.into(), ..base }
 }
 
 async fn told(fleet: &Fleet, agent: usize) -> Option<AuditResponse> {
@@ -88,7 +88,7 @@
 
 /// All that are expected are heard and none is behind.
 async fn settled(fleet: &Fleet, agent: usize) -> AuditResponse {
-    let many = fleet.town.gatekeepers.len();
+    let many = fleet.cluster.gatekeepers.len();
     let well = |t: &AuditResponse| {
         let decided = decision(t);
         all(t).len() == many
@@ -102,7 +102,10 @@
 async fn backend(fleet: &Fleet) -> Arc<dyn Backend> {
     let (at, password) = fleet.record().expect("a record");
     let url = format!("postgres://agent@{at}/frostvale");
-    Place { password_file: Some(password), ..Place::new(&url) }.open().await.expect("opened")
+    RecordLocation { password_file: Some(password), ..RecordLocation::new(&url) }
+        .open()
+        .await
+        .expect("opened")
 }
 
 /// A plan with other figures, on top of a revision.
@@ -115,24 +118,24 @@
     until("set", async || record.run(Op::SetPlan(plan.clone(), change.clone())).await.ok()).await;
 }
 
-async fn history(fleet: &Fleet, agent: usize) -> (Vec<Row>, Anchor) {
+async fn history(fleet: &Fleet, agent: usize) -> (Vec<ChainRow>, Checkpoint) {
     let mut client = control(&fleet.agents[agent].control).await.expect("an agent");
     let said = client.history(HistoryRequest { after: 0, most: 2000 }).await.expect("read").into_inner();
     let rows = said.rows.iter().map(|r| serde_json::from_str(r).expect("a row")).collect();
     (rows, serde_json::from_str(&said.base).expect("a base"))
 }
 
-async fn verify(fleet: &Fleet, agent: usize) -> Vec<Broken> {
+async fn verify(fleet: &Fleet, agent: usize) -> Vec<ChainError> {
     let anchors = decision(&told(fleet, agent).await.expect("told")).anchors;
     let (rows, base) = history(fleet, agent).await;
-    let mut verify = Verify::new(base, anchors);
-    rows.iter().for_each(|r| verify.row(r));
-    verify.end().0
+    let mut verify = ChainVerifier::new(base, anchors);
+    rows.iter().for_each(|r| verify.check_row(r));
+    verify.finish().0
 }
 
 /// The operators' command line: its exit code and what it prints.
 async fn frostctl(fleet: &Fleet, args: &[&str]) -> (i32, String) {
-    let mut command = tokio::process::Command::new(town::program("frostctl").expect("built"));
+    let mut command = tokio::process::Command::new(local_cluster::program("frostctl").expect("built"));
     let done =
         command.args(args).arg("--agent").arg(&fleet.agents[0].control).output().await.expect("it runs");
     let text = String::from_utf8_lossy(&done.stdout).into_owned() + &String::from_utf8_lossy(&done.stderr);
@@ -141,7 +144,7 @@
 
 async fn owner_of_audit(fleet: &Fleet, agent: usize) -> usize {
     until("the audit has an owner", async || {
-        let all = rig::duties(fleet, agent).await;
+        let all = fleet_harness::duties(fleet, agent).await;
         let name = all.get("audit")?.owner.split('#').next()?.to_string();
         fleet.agents.iter().position(|a| a.name == name)
     })
@@ -160,18 +163,18 @@
 
     // One starts anew that says that it has taken plans and goes on by its settings.
     let liar = 2;
-    let extra = &fleet.town.gatekeepers[liar].extra;
+    let extra = &fleet.cluster.gatekeepers[liar].local_settings;
     let text = std::fs::read_to_string(extra).expect("read");
     std::fs::write(extra, text.replace("[audit]\n", "[audit]\nfault_keeps_plans = true\n")).expect("written");
-    fleet.town.gatekeepers[liar].process.kill().await;
+    fleet.cluster.gatekeepers[liar].process.kill().await;
     set(&fleet, 2, 1).await;
-    let name = fleet.town.gatekeepers[liar].name.clone();
+    let name = fleet.cluster.gatekeepers[liar].name.clone();
     // It starts when the others are done: one that is behind at both revisions is told of each.
     stands(&fleet, 0, "the others act on revision 2", |t| {
         all(t).iter().filter(|i| i.name != name).all(|i| plans_of(i).0 == 2)
     })
     .await;
-    fleet.town.restart_gatekeeper(liar).await.expect("started");
+    fleet.cluster.restart_gatekeeper(liar).await.expect("started");
     stands(&fleet, 0, "its digest gives it away, and no other's", |t| {
         one(t, &name).is_some_and(|i| plans_of(i).0 == 2 && i.behind.contains("the digest of something else"))
             && all(t).iter().filter(|i| i.name != name).all(|i| plans_of(i).0 == 2 && i.behind.is_empty())
@@ -179,23 +182,23 @@
     .await;
     // It is told again, sent all anew, and then shut out; it turns all away, and says when to come back.
     stands(&fleet, 0, "it is shut out", |t| out(t) == [name.clone()]).await;
-    let process = &mut fleet.town.gatekeepers[liar].process;
-    process.says("this gatekeeper is shut out").await.expect("told");
+    let process = &mut fleet.cluster.gatekeepers[liar].process;
+    process.wait_for_log("this gatekeeper is shut out").await.expect("told");
     let shop = Shop { id: format!("{:016x}", 77), plan: "wide".into(), first: liar as u32, spread: 1 };
-    let pool = Pool::new(fleet.town.gatekeepers[liar].resp);
-    let answer = pool.ask(&shop, "formula-read", None, 1, WAIT).await.expect("an answer");
+    let pool = ClientPool::new(fleet.cluster.gatekeepers[liar].resp);
+    let answer = pool.send_request(&shop, "formula-read", None, 1, WAIT).await.expect("an answer");
     assert!(matches!(&answer, Answer::Busy(Some(ms)) if *ms >= 700), "{answer:?}");
     for k in (0..6).filter(|k| *k != liar) {
-        let process = &mut fleet.town.gatekeepers[k].process;
-        process.says("1 gatekeepers are shut out").await.expect("told");
+        let process = &mut fleet.cluster.gatekeepers[k].process;
+        process.wait_for_log("1 gatekeepers are shut out").await.expect("told");
     }
     let (code, said) = frostctl(&fleet, &["stragglers", "list"]).await;
     assert!(code == 3 && said.contains("out: plans 2 with the digest of something else"), "{code}: {said}");
     // It comes back by catching up, and in no other way.
-    let extra = &fleet.town.gatekeepers[liar].extra;
+    let extra = &fleet.cluster.gatekeepers[liar].local_settings;
     std::fs::write(extra, text).expect("written");
-    fleet.town.gatekeepers[liar].process.kill().await;
-    fleet.town.restart_gatekeeper(liar).await.expect("started");
+    fleet.cluster.gatekeepers[liar].process.kill().await;
+    fleet.cluster.restart_gatekeeper(liar).await.expect("started");
     settled(&fleet, 0).await;
     let (code, text) = frostctl(&fleet, &["fleet", "list"]).await;
     assert!(code == 0 && text.matches("up to date").count() == 6, "{code}: {text}");
@@ -205,16 +208,17 @@
     assert!(code == 0 && text.contains(&name), "{code}: {text}");
     let rows = until("that it is back is entered", async || {
         let rows = history(&fleet, 0).await.0;
-        let mine: Vec<Row> = rows.into_iter().filter(|r| r.instance == name).collect();
+        let mine: Vec<ChainRow> = rows.into_iter().filter(|r| r.instance == name).collect();
         mine.iter().any(|r| r.kind == "out" && r.now_is == "in").then_some(mine)
     })
     .await;
     // A later owner enters again that it is out, with nothing before it.
-    let outs: Vec<&Row> = rows.iter().filter(|r| r.kind == "out").collect();
+    let outs: Vec<&ChainRow> = rows.iter().filter(|r| r.kind == "out").collect();
     let (out, back) = (outs[0], outs[outs.len() - 1]);
     assert!(outs[1..].iter().all(|r| r.was != "in") && back.now_is == "in", "{rows:?}");
     assert_eq!(outs.iter().filter(|r| r.now_is == "in").count(), 1, "{rows:?}");
-    let before: Vec<&Row> = rows.iter().filter(|r| r.life == out.life && r.number <= out.number).collect();
+    let before: Vec<&ChainRow> =
+        rows.iter().filter(|r| r.life == out.life && r.number <= out.number).collect();
     let kinds = ["told", "out"];
     let steps: Vec<&str> =
         before.iter().filter(|r| kinds.contains(&r.kind.as_str())).map(|r| r.now_is.as_str()).collect();
@@ -237,12 +241,12 @@
     let (stop, served) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicU64::new(0)));
     let begun = Instant::now();
     let mut tasks = Vec::new();
-    for g in &fleet.town.gatekeepers {
-        let (stop, served, pool) = (stop.clone(), served.clone(), Pool::new(g.resp));
+    for g in &fleet.cluster.gatekeepers {
+        let (stop, served, pool) = (stop.clone(), served.clone(), ClientPool::new(g.resp));
         tasks.push(tokio::spawn(async move {
             let shop = Shop { id: format!("{:016x}", 0xce11), plan: "capped".into(), first: 0, spread: 6 };
             while !stop.load(Ordering::Relaxed) {
-                if let Ok(Answer::Served(_)) = pool.ask(&shop, "formula-read", None, 1, WAIT).await {
+                if let Ok(Answer::Served(_)) = pool.send_request(&shop, "formula-read", None, 1, WAIT).await {
                     served.fetch_add(1, Ordering::Relaxed);
                 }
                 sleep(Duration::from_millis(40)).await;
@@ -251,7 +255,7 @@
     }
     let owner = owner_of_audit(&fleet, 0).await;
     let dead = (3..6).find(|k| *k != owner).expect("one that follows");
-    let name = fleet.town.gatekeepers[dead].name.clone();
+    let name = fleet.cluster.gatekeepers[dead].name.clone();
     let killed_ms = unix_ms();
     fleet.kill(dead).await;
     // Unknown, and not fine.
@@ -269,13 +273,13 @@
         entered.at_ms - killed_ms
     );
     // It serves on what it last knew.
-    let pool = Pool::new(fleet.town.gatekeepers[dead].resp);
+    let pool = ClientPool::new(fleet.cluster.gatekeepers[dead].resp);
     let shop = Shop { id: format!("{:016x}", 78), plan: "wide".into(), first: dead as u32, spread: 1 };
-    let answer = pool.ask(&shop, "formula-read", None, 1, WAIT).await.expect("an answer");
+    let answer = pool.send_request(&shop, "formula-read", None, 1, WAIT).await.expect("an answer");
     assert!(matches!(answer, Answer::Served(_)), "{answer:?}");
     sleep(Duration::from_millis(2000)).await;
     // Its agent is back: it is let in again as it is up to date.
-    fleet.spawn(dead).await.expect("started");
+    fleet.start_agent(dead).await.expect("started");
     settled(&fleet, 0).await;
     stop.store(true, Ordering::Relaxed);
     for task in tasks {
@@ -291,12 +295,12 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 16)]
 async fn of_two_halves_neither_shuts_the_other_out_and_one_history_goes_on() {
-    let mut fleet = fleet(Plan { voters: 5, ..plan(5, 10) }).await;
+    let mut fleet = fleet(FleetOptions { voters: 5, ..plan(5, 10) }).await;
     settled(&fleet, 0).await;
     let owner = owner_of_audit(&fleet, 0).await;
     let lost: Vec<usize> = (0..5).filter(|k| *k != owner).take(2).collect();
     for k in &lost {
-        fleet.council_way(*k, false, false);
+        fleet.set_council_links(*k, false, false);
     }
     let seen = stands(&fleet, owner, "four of ten are unknown", |t| {
         all(t).iter().filter(|i| !i.heard).count() == 4
@@ -307,11 +311,11 @@
     sleep(Duration::from_millis(2500)).await;
     assert_eq!(out(&told(&fleet, owner).await.expect("told")), Vec::<String>::new());
     for k in &lost {
-        fleet.council_way(*k, true, true);
+        fleet.set_council_links(*k, true, true);
     }
     settled(&fleet, owner).await;
     let (rows, _) = history(&fleet, owner).await;
-    let outs: Vec<&Row> = rows.iter().filter(|r| ["out", "alarm"].contains(&r.kind.as_str())).collect();
+    let outs: Vec<&ChainRow> = rows.iter().filter(|r| ["out", "alarm"].contains(&r.kind.as_str())).collect();
     assert!(outs.iter().all(|r| r.kind != "out"), "nobody is shut out: {outs:?}");
     assert!(rows.windows(2).all(|w| w[0].epoch <= w[1].epoch && w[0].number + 1 == w[1].number));
     assert_eq!(verify(&fleet, owner).await, []);
@@ -326,14 +330,14 @@
     let at = (0..3).find(|k| *k != old).expect("another");
     let before = told(&fleet, at).await.expect("told");
     // A row of its is on its way to the record as it is stopped.
-    fleet.db_way(old, Way::HeldUp);
+    fleet.set_db_mode(old, ProxyMode::HoldUpstream);
     let mine = fleet.gatekeepers_of(at)[0];
-    fleet.town.gatekeepers[mine].process.kill().await;
-    fleet.town.restart_gatekeeper(mine).await.expect("started");
+    fleet.cluster.gatekeepers[mine].process.kill().await;
+    fleet.cluster.restart_gatekeeper(mine).await.expect("started");
     sleep(Duration::from_millis(600)).await;
     fleet.signal(old, "STOP").await;
     let next = stands(&fleet, at, "another decides", |t| t.epoch > before.epoch).await;
-    fleet.db_way(old, Way::Open);
+    fleet.set_db_mode(old, ProxyMode::Forward);
     sleep(Duration::from_millis(6 * LEASE)).await;
     fleet.signal(old, "CONT").await;
     settled(&fleet, at).await;
@@ -348,7 +352,7 @@
     assert!(rows.iter().any(|r| r.epoch >= next.epoch), "the later owner goes on with it");
     assert_eq!(verify(&fleet, at).await, []);
     // Its former life's gatekeepers were silent meanwhile and are heard again: the new owner knew of them by the roster.
-    let name = &fleet.town.gatekeepers[fleet.gatekeepers_of(old)[0]].name;
+    let name = &fleet.cluster.gatekeepers[fleet.gatekeepers_of(old)[0]].name;
     let heard: Vec<&str> = rows
         .iter()
         .filter(|r| r.instance == *name && r.kind == "heard")
@@ -368,17 +372,17 @@
     assert_eq!(verify(&fleet, 0).await, []);
     let copy = fleet.copy_db().expect("copied");
     let copied = history(&fleet, 0).await.0.len() as u64;
-    let change = |sql: &str| assert_eq!(fleet.tamper(sql), Ok(1), "{sql}");
+    let change = |sql: &str| assert_eq!(fleet.execute_sql(sql), Ok(1), "{sql}");
     change("UPDATE history SET now_is = 'never' WHERE number = 5");
-    assert_eq!(verify(&fleet, 0).await, [Broken::Changed(5)]);
+    assert_eq!(verify(&fleet, 0).await, [ChainError::Changed(5)]);
     let (code, text) = frostctl(&fleet, &["audit", "verify"]).await;
     assert!(code == 6 && text.contains("row 5 was changed"), "{code}: {text}");
     change("DELETE FROM history WHERE number = 9");
-    assert_eq!(verify(&fleet, 0).await, [Broken::Changed(5), Broken::Missing(9, 9)]);
+    assert_eq!(verify(&fleet, 0).await, [ChainError::Changed(5), ChainError::Missing(9, 9)]);
     // The database is failed over to an older copy of a whole history; meanwhile more was entered and anchored.
-    let mine = &mut fleet.town.gatekeepers[1];
+    let mine = &mut fleet.cluster.gatekeepers[1];
     mine.process.kill().await;
-    fleet.town.restart_gatekeeper(1).await.expect("started");
+    fleet.cluster.restart_gatekeeper(1).await.expect("started");
     stands(&fleet, 0, "more is anchored", |t| anchored(t) > copied).await;
     settled(&fleet, 0).await;
     fleet.kill_db().await;
@@ -392,7 +396,8 @@
     assert!(said.now_is.contains("the record was restored"), "{said:?}");
     let broken = verify(&fleet, 0).await;
     let number = anchored(&told(&fleet, 0).await.expect("told"));
-    let named = |b: &Broken| matches!(b, Broken::Rewritten(n) | Broken::CutOff(n) if *n <= number + 1);
+    let named =
+        |b: &ChainError| matches!(b, ChainError::Rewritten(n) | ChainError::CutOff(n) if *n <= number + 1);
     assert!(!broken.is_empty() && broken.iter().all(named), "{broken:?}, anchored {number}");
     fleet.stop().await;
 }
@@ -402,25 +407,25 @@
     let mut fleet = fleet(plan(3, 3)).await;
     set(&fleet, 1, 0).await;
     settled(&fleet, 0).await;
-    let load = Load::start(&fleet.town, 6);
+    let load = Load::start(&fleet.cluster, 6);
     load.more(200).await;
     // Three changes under load; one gatekeeper hears of none of the later ones.
     let cut = 1;
     for (revision, rate) in [(1, 2), (2, 3), (3, 4)] {
         if revision == 2 {
-            fleet.link_way(cut, Way::Held);
+            fleet.set_link_mode(cut, ProxyMode::Hold);
         }
         set(&fleet, rate, revision).await;
         load.more(200).await;
         sleep(Duration::from_millis(400)).await;
     }
     load.more(200).await;
-    fleet.link_way(cut, Way::Open);
+    fleet.set_link_mode(cut, ProxyMode::Forward);
     settled(&fleet, 0).await;
     load.more(100).await;
     load.stop().await;
     let mut client = control(&fleet.agents[0].control).await.expect("an agent");
-    let sent: i64 = booked(&fleet.town).values().sum();
+    let sent: i64 = units_by_shop(&fleet.cluster).values().sum();
     let rows = until("all use has landed", async || {
         let rows = client.use_by_revision(UseByRevisionRequest {}).await.ok()?.into_inner().rows;
         let passed: u64 = rows.iter().map(|r| r.passed_milli).sum();
@@ -431,20 +436,20 @@
     for r in &rows {
         *by.entry((r.instance.clone(), r.revision)).or_default() += r.passed_milli;
     }
-    let name = &fleet.town.gatekeepers[cut].name;
+    let name = &fleet.cluster.gatekeepers[cut].name;
     let of = |name: &str| by.keys().filter(|k| k.0 == name).map(|k| k.1).collect::<Vec<_>>();
     // What was held on its way came all at once: it acted on 3 for as long as 4 took to come.
     let used = |revision: u64| by.get(&(name.clone(), revision)).copied().unwrap_or(0);
     assert!(used(2) > 5 * used(3), "cut off, it went on deciding under 2: {by:?}");
-    for g in fleet.town.gatekeepers.iter().filter(|g| g.name != *name) {
+    for g in fleet.cluster.gatekeepers.iter().filter(|g| g.name != *name) {
         assert!(of(&g.name).ends_with(&[2, 3, 4]), "{by:?}");
     }
     // What was so at the time: by the history it acted on 2 while 4 was wanted.
     let (rows, _) = history(&fleet, 0).await;
     let wanted = rows.iter().find(|r| r.kind == "wanted.plans" && r.now_is == "4").expect("wanted");
     let mut replay = Replay::new(wanted.at_ms + 50, name);
-    rows.iter().for_each(|r| replay.row(r));
-    let then = replay.end().remove(name).expect("known");
+    rows.iter().for_each(|r| replay.apply_row(r));
+    let then = replay.finish().remove(name).expect("known");
     assert!(then.versions["plans"].starts_with("2:"), "{then:?}");
     fleet.stop().await;
 }
@@ -535,15 +540,15 @@
 /// holds together.
 async fn faults(seed: u64, count: usize) {
     let (agents, gatekeepers) = (5, 10);
-    let mut fleet = fleet(Plan { voters: 5, ..plan(agents, gatekeepers) }).await;
+    let mut fleet = fleet(FleetOptions { voters: 5, ..plan(agents, gatekeepers) }).await;
     set(&fleet, 1, 0).await;
     settled(&fleet, 0).await;
-    let load = Load::start(&fleet.town, 5);
+    let load = Load::start(&fleet.cluster, 5);
     load.more(20).await;
     let schedule = schedule(seed, count, agents, gatekeepers, LEASE);
     let told: Vec<String> = schedule.iter().map(Fault::to_string).collect();
     for (k, fault) in schedule.iter().enumerate() {
-        play(&mut fleet, fault).await.unwrap_or_else(|e| panic!("seed {seed}: {fault}: {e}"));
+        apply(&mut fleet, fault).await.unwrap_or_else(|e| panic!("seed {seed}: {fault}: {e}"));
         if k == count {
             set(&fleet, 2, 1).await;
         }
--- a/crates/agent/tests/council.rs
+++ b/crates/agent/tests/council.rs
@@ -1,14 +1,14 @@
 //! The council over real agents: files that are old, torn, full or can't be written, and members that come and go. What an
 //! agent that takes no part may not do is looked for at the resources.
 
-mod kept;
-mod rig;
+mod fleet_harness;
+mod record_harness;
 
+use fleet_harness::{LEASE, another, fleet, leader, log, owner, plan, settled, sound};
 use frostvale_agent::serve::control;
 use frostvale_proto::agent::{CouncilChange, CouncilRequest, CouncilResponse};
-use frostvale_standin::fleet::{Fleet, Plan};
-use kept::until;
-use rig::{LEASE, another, fleet, leader, log, owner, plan, settled, sound};
+use frostvale_standin::fleet::{Fleet, FleetOptions};
+use record_harness::until;
 use std::fs;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
@@ -49,14 +49,14 @@
 async fn end(fleet: &mut Fleet, agent: usize) {
     let mut process = fleet.agents[agent].process.take().expect("it runs");
     process.signal("TERM").await;
-    assert!(process.ended().await.is_some_and(|s| s.success()));
+    assert!(process.wait().await.is_some_and(|s| s.success()));
 }
 
 /// Duties go on at the others, under new numbers, and none of this agent's lands.
 async fn others_go_on(fleet: &Fleet, without: usize) {
-    let before = fleet.touches().expect("read").len();
-    let more = |f: &Fleet| f.touches().is_ok_and(|t| t.len() > before + 20);
-    fleet.until("the others go on", more).await.expect("they do");
+    let before = fleet.effects().expect("read").len();
+    let more = |f: &Fleet| f.effects().is_ok_and(|t| t.len() > before + 20);
+    fleet.wait_until("the others go on", more).await.expect("they do");
     let name = format!("a{}#", without + 1);
     let touches = sound(fleet);
     assert!(touches[before..].iter().all(|t| !t.owner.starts_with(&name)), "{name} does no duty");
@@ -70,14 +70,14 @@
     let file = fleet.agents[1].file.clone();
     let old = file.with_extension("old");
     fs::copy(&file, &old).expect("copied");
-    fleet.spawn(1).await.expect("started");
+    fleet.start_agent(1).await.expect("started");
     // Much is agreed on that the copy knows nothing of.
     for _ in 0..2 {
-        let held = fleet.stands("drill-0").expect("owned");
+        let held = fleet.last_effect("drill-0").expect("owned");
         let now = owner(&fleet, "drill-0").await;
         fleet.kill(now).await;
         another(&fleet, "drill-0", &held).await;
-        fleet.spawn(now).await.expect("started");
+        fleet.start_agent(now).await.expect("started");
         sleep(Duration::from_millis(2 * LEASE)).await;
     }
     fleet.kill(1).await;
@@ -85,7 +85,7 @@
         let _ = fs::remove_file(part);
     }
     fs::copy(&old, &file).expect("put back");
-    fleet.spawn(1).await.expect("its agent serves on");
+    fleet.start_agent(1).await.expect("its agent serves on");
     let why = problem(&fleet, 1).await;
     assert!(why.contains("older copy") && why.contains("does not vote"), "{why}");
     assert!(log(&fleet, 1).contains("older copy"));
@@ -95,7 +95,7 @@
     // With its mark gone too, those who have heard of it tell it.
     fleet.kill(1).await;
     let _ = fs::remove_file(&parts(&file)[3]);
-    fleet.spawn(1).await.expect("its agent serves on");
+    fleet.start_agent(1).await.expect("its agent serves on");
     assert!(problem(&fleet, 1).await.contains("older copy"));
     others_go_on(&fleet, 1).await;
 
@@ -104,7 +104,7 @@
     for part in parts(&file) {
         let _ = fs::remove_file(part);
     }
-    fleet.spawn(1).await.expect("started");
+    fleet.start_agent(1).await.expect("started");
     change(&fleet, 0, remove("a2")).await.expect("removed");
     let at = fleet.agents[1].at.to_string();
     let said = change(&fleet, 0, CouncilChange { at, ..add("a2") }).await.expect("added");
@@ -125,7 +125,7 @@
     let half = torn.len() / 2;
     torn[half..].fill(0x5a);
     fs::write(&file, &torn).expect("written");
-    fleet.spawn(2).await.expect("its agent serves on");
+    fleet.start_agent(2).await.expect("its agent serves on");
     assert!(problem(&fleet, 2).await.contains("damaged"));
     others_go_on(&fleet, 2).await;
 
@@ -134,15 +134,15 @@
         let _ = fs::remove_file(part);
     }
     fs::write(&file, &sound_file).expect("written");
-    fleet.drill(2, "council_read_only = true");
-    fleet.spawn(2).await.expect("its agent serves on");
+    fleet.set_drill(2, "council_read_only = true");
+    fleet.start_agent(2).await.expect("its agent serves on");
     let why = problem(&fleet, 2).await;
     assert!(why.starts_with("council.file") && why.contains("does not vote"), "{why}");
     others_go_on(&fleet, 2).await;
 
     fleet.kill(2).await;
-    fleet.drill(2, "council_pages = 1");
-    fleet.spawn(2).await.expect("its agent serves on");
+    fleet.set_drill(2, "council_pages = 1");
+    fleet.start_agent(2).await.expect("its agent serves on");
     // Entries come until there is no room for one.
     for k in 0..2000 {
         let why = "x".repeat(200);
@@ -163,8 +163,8 @@
     assert!(why.contains("full") && why.contains("does not vote"), "{why}");
     others_go_on(&fleet, 2).await;
     fleet.kill(2).await;
-    fleet.drill(2, "");
-    fleet.spawn(2).await.expect("started");
+    fleet.set_drill(2, "");
+    fleet.start_agent(2).await.expect("started");
     until("with room again it takes part", async || {
         status(&fleet, 2).await.filter(|s| s.problem.is_empty() && !s.leader.is_empty())
     })
@@ -175,7 +175,7 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 32)]
 async fn two_added_at_once_the_leader_removed_and_two_of_five_that_hang() {
-    let mut fleet = fleet(Plan { voters: 3, ..plan(5, 0) }).await;
+    let mut fleet = fleet(FleetOptions { voters: 3, ..plan(5, 0) }).await;
     settled(&fleet).await;
     for k in [3, 4] {
         until("it follows", async || status(&fleet, k).await.filter(|s| s.state == "learner")).await;
@@ -201,9 +201,9 @@
         fleet.signal(k, "STOP").await;
     }
     sleep(Duration::from_millis(4 * LEASE)).await;
-    let before = fleet.touches().expect("read").len();
-    let more = |f: &Fleet| f.touches().is_ok_and(|t| t.len() > before + 20);
-    fleet.until("three of five go on", more).await.expect("they do");
+    let before = fleet.effects().expect("read").len();
+    let more = |f: &Fleet| f.effects().is_ok_and(|t| t.len() > before + 20);
+    fleet.wait_until("three of five go on", more).await.expect("they do");
     let hung = [leads, other].map(|k| format!("a{}#", k + 1));
     let touches = sound(&fleet);
     assert!(touches[before..].iter().all(|t| hung.iter().all(|h| !t.owner.starts_with(h.as_str()))));
@@ -219,9 +219,9 @@
     assert!(done.as_ref().is_ok_and(|s| s.contains("is no member")) || done.is_err(), "{done:?}");
     until("four vote", async || (votes(&fleet, by).await == 4).then_some(())).await;
     until("another leads", async || leader(&fleet, by).await.filter(|k| *k != leads)).await;
-    let before = fleet.touches().expect("read").len();
-    let more = |f: &Fleet| f.touches().is_ok_and(|t| t.len() > before + 20);
-    fleet.until("the others go on", more).await.expect("they do");
+    let before = fleet.effects().expect("read").len();
+    let more = |f: &Fleet| f.effects().is_ok_and(|t| t.len() > before + 20);
+    fleet.wait_until("the others go on", more).await.expect("they do");
     sound(&fleet);
     fleet.stop().await;
 }
