--- a/crates/agent/tests/failures.rs
+++ b/crates/agent/tests/failures.rs
@@ -3,11 +3,11 @@
 use frostvale_proto::agent::{StatusRequest, StatusResponse};
 use frostvale_proto::envoy::service::ratelimit::v3::RateLimitResponse;
 use frostvale_proto::envoy::service::ratelimit::v3::rate_limit_response::Code;
-use frostvale_standin::gate::{Gate, Way};
-use frostvale_standin::load::{Pool, Shop, call, rls_client};
+use frostvale_standin::client::{ClientPool, Shop, rate_limit_call, rls_client};
+use frostvale_standin::local_cluster::{ClusterOptions, LocalCluster, own_ip};
+use frostvale_standin::proxy::{Proxy, ProxyMode};
 use frostvale_standin::resp::Answer;
-use frostvale_standin::rls::{Rls, Say};
-use frostvale_standin::town::{Plan, Town, own_ip};
+use frostvale_standin::rls::{Rls, RlsBehavior};
 use serde_json::json;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -22,7 +22,7 @@
 }
 
 /// Three plans that no test exhausts by chance, one of them with a ceiling, and one of ten units.
-fn plan() -> Plan {
+fn plan() -> ClusterOptions {
     let plans = json!([
         {"Name": "open", "UnitsPerS": 1e5, "PeakUnits": 1e5, "ValueFactor": 1.0},
         {"Name": "shut", "UnitsPerS": 1e5, "PeakUnits": 1e5, "ValueFactor": 1.0},
@@ -30,16 +30,16 @@
         {"Name": "ten", "UnitsPerS": 0.005, "PeakUnits": 10.0, "ValueFactor": 1.0},
     ]);
     let rls = "[rls.on_failure]\nopen = \"allow\"\ncapped = \"allow\"\nten = \"allow\"".to_string();
-    Plan { plans: Some(plans), rls, ..Plan::default() }
+    ClusterOptions { plans: Some(plans), rls, ..ClusterOptions::default() }
 }
 
-async fn status(town: &Town) -> StatusResponse {
+async fn status(town: &LocalCluster) -> StatusResponse {
     let mut agent = frostvale_agent::serve::control(&town.control).await.expect("an agent");
     agent.status(StatusRequest {}).await.expect("an answer").into_inner()
 }
 
 /// Asks again until it is so.
-async fn until(town: &Town, what: &str, so: impl Fn(&StatusResponse) -> bool) -> StatusResponse {
+async fn until(town: &LocalCluster, what: &str, so: impl Fn(&StatusResponse) -> bool) -> StatusResponse {
     let begun = Instant::now();
     loop {
         let status = status(town).await;
@@ -51,9 +51,9 @@
     }
 }
 
-async fn ask(town: &Town, shop: &Shop) -> RateLimitResponse {
+async fn ask(town: &LocalCluster, shop: &Shop) -> RateLimitResponse {
     let mut client = rls_client(town.rls).expect("an address");
-    client.should_rate_limit(call(shop, true, 1)).await.expect("an answer").into_inner()
+    client.should_rate_limit(rate_limit_call(shop, true, 1)).await.expect("an answer").into_inner()
 }
 
 /// What a call was answered where nobody decided it.
@@ -64,17 +64,18 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn the_agent_is_killed_under_load_and_resp2_does_not_notice() {
-    let mut town = Town::start(plan()).await.expect("started");
+    let mut town = LocalCluster::start(plan()).await.expect("started");
     let stop = Arc::new(AtomicBool::new(false));
     let served = Arc::new(AtomicU64::new(0));
     let mut load = Vec::new();
     for k in 0..16u32 {
         let (stop, served) = (stop.clone(), served.clone());
-        let pool = Pool::new(town.gatekeepers[k as usize % 3].resp);
+        let pool = ClientPool::new(town.gatekeepers[k as usize % 3].resp);
         let shop = Shop { id: format!("{:016x}", 77 + k), ..shop("open", 0, 3) };
         load.push(tokio::spawn(async move {
             while !stop.load(Ordering::Relaxed) {
-                let answer = pool.ask(&shop, "formula-read", None, 1, WAIT).await.expect("an answer");
+                let answer =
+                    pool.send_request(&shop, "formula-read", None, 1, WAIT).await.expect("an answer");
                 assert!(!matches!(answer, Answer::Failed(_)), "{answer:?}");
                 served.fetch_add(u64::from(matches!(answer, Answer::Served(_))), Ordering::Relaxed);
             }
@@ -86,8 +87,9 @@
             let mut client = rls_client(rls).expect("an address");
             let mut failed = 0;
             while !stop.load(Ordering::Relaxed) {
-                failed +=
-                    u32::from(client.should_rate_limit(call(&shop("open", 0, 3), true, 1)).await.is_err());
+                failed += u32::from(
+                    client.should_rate_limit(rate_limit_call(&shop("open", 0, 3), true, 1)).await.is_err(),
+                );
             }
             failed
         }
@@ -120,7 +122,7 @@
 /// A gatekeeper that dies with a check in hand may have charged it. No other is asked, or it were charged twice.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_gatekeeper_killed_mid_check_leaves_it_in_doubt_and_nobody_else_is_asked() {
-    let mut town = Town::start(plan()).await.expect("started");
+    let mut town = LocalCluster::start(plan()).await.expect("started");
     let set = |plan: &str| {
         // Its keeper is the second gatekeeper; the others could decide as well.
         let first = (0..3).find(|f| frostvale::quota_owner_of(SHOP, *f, 3, 3) == 1).expect("one of three");
@@ -135,8 +137,8 @@
             let mut answers = Vec::new();
             let mut other = client.clone();
             let (a, b) = tokio::join!(
-                client.should_rate_limit(call(&open, true, 1)),
-                other.should_rate_limit(call(&shut, true, 1))
+                client.should_rate_limit(rate_limit_call(&open, true, 1)),
+                other.should_rate_limit(rate_limit_call(&shut, true, 1))
             );
             for answer in [a, b] {
                 answers.push(answer.expect("an answer").into_inner());
@@ -171,11 +173,11 @@
 /// Calls keep their own time limits while a gatekeeper is frozen, and once it is seen to be, others decide.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_frozen_gatekeeper_costs_calls_no_more_than_their_limit() {
-    let mut town = Town::start(plan()).await.expect("started");
+    let mut town = LocalCluster::start(plan()).await.expect("started");
     town.gatekeepers[1].process.signal("STOP").await;
     let alone = shop("shut", 1, 1);
     let mut client = rls_client(town.rls).expect("an address");
-    let mut request = Request::new(call(&alone, true, 1));
+    let mut request = Request::new(rate_limit_call(&alone, true, 1));
     request.set_timeout(Duration::from_millis(100));
     let begun = Instant::now();
     let answer = client.should_rate_limit(request).await.expect("an answer before the caller's own limit");
@@ -193,18 +195,18 @@
 /// A link cut inside a frame: the check is in doubt, the gatekeeper charges nothing, and both go on.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_link_cut_inside_a_frame_is_made_anew_and_charges_nothing() {
-    let mut town = Town::start(Plan { agent: false, ..plan() }).await.expect("started");
+    let mut town = LocalCluster::start(ClusterOptions { agent: false, ..plan() }).await.expect("started");
     let way = town.folder.join("gate.sock");
-    let gate = Gate::unix(&way, town.gatekeepers[0].socket.clone()).expect("a gate");
+    let gate = Proxy::unix(&way, town.gatekeepers[0].socket.clone()).expect("a gate");
     town.start_agent_with(&[("n1".to_string(), way)].into()).await.expect("started");
     // A frame with one check has over 30 bytes; of the first one ten come through.
     gate.cut_after(10);
     let alone = shop("ten", 0, 1);
     let answer = ask(&town, &alone).await;
     assert_eq!((answer.overall_code(), undecided(&answer)), (Code::Ok, Some("allow")));
-    town.gatekeepers[0].process.says("inside a frame").await.expect("seen by the gatekeeper");
+    town.gatekeepers[0].process.wait_for_log("inside a frame").await.expect("seen by the gatekeeper");
     assert_eq!(status(&town).await.calls.expect("counts").in_doubt, 1);
-    gate.set(Way::Open);
+    gate.set_mode(ProxyMode::Forward);
     until(&town, "linked again", |s| s.gatekeepers[0].state == "linked").await;
     let mut granted = 0;
     for _ in 0..12 {
@@ -218,7 +220,7 @@
 /// 10,000 calls at once: each is answered, and RESP2 requests in between are served.
 #[tokio::test(flavor = "multi_thread")]
 async fn ten_thousand_calls_in_hand_are_all_answered() {
-    let mut town = Town::start(plan()).await.expect("started");
+    let mut town = LocalCluster::start(plan()).await.expect("started");
     let mut tasks = Vec::new();
     for c in 0..10 {
         let client = rls_client(town.rls).expect("an address");
@@ -226,13 +228,17 @@
             let mut client = client.clone();
             let shop = Shop { id: format!("{:016x}", 1000 * c + k), ..shop("open", k % 3, 3) };
             tasks.push(tokio::spawn(async move {
-                client.should_rate_limit(call(&shop, true, 1)).await.map(|a| a.get_ref().overall_code())
+                client
+                    .should_rate_limit(rate_limit_call(&shop, true, 1))
+                    .await
+                    .map(|a| a.get_ref().overall_code())
             }));
         }
     }
-    let pool = Pool::new(town.gatekeepers[0].resp);
+    let pool = ClientPool::new(town.gatekeepers[0].resp);
     for _ in 0..20 {
-        let answer = pool.ask(&shop("open", 0, 3), "formula-read", None, 1, WAIT).await.expect("an answer");
+        let answer =
+            pool.send_request(&shop("open", 0, 3), "formula-read", None, 1, WAIT).await.expect("an answer");
         // With all cores at work a server may look slow, and a request be refused; none is lost.
         assert!(matches!(answer, Answer::Served(_) | Answer::Busy(_)), "{answer:?}");
     }
@@ -245,15 +251,15 @@
 // ---- the outside service ----
 
 /// A town whose gatekeepers ask an outside service for two of their plans, through a gate.
-async fn asking() -> (Town, Rls, Gate) {
+async fn asking() -> (LocalCluster, Rls, Proxy) {
     let service = Rls::start(own_ip()).await.expect("started");
-    let (gate, at) = Gate::tcp(service.at.ip(), service.at).await.expect("a gate");
-    let town = Town::start(Plan {
+    let (gate, at) = Proxy::tcp(service.at.ip(), service.at).await.expect("a gate");
+    let town = LocalCluster::start(ClusterOptions {
         gatekeepers: 1,
-        gatekeeper_extra: "[outside]\ndeadline_part = 0.2\nopen_ms = 200.0\nopen_most_ms = 400.0\n\
+        gatekeeper_settings: "[outside]\ndeadline_part = 0.2\nopen_ms = 200.0\nopen_most_ms = 400.0\n\
                            [outside.plans]\nopen = \"allow\"\nshut = \"deny\"\n"
             .into(),
-        agent_extra: format!("[outside]\nendpoint = \"http://{at}\"\n"),
+        agent_settings: format!("[outside]\nendpoint = \"http://{at}\"\n"),
         ..plan()
     })
     .await
@@ -262,10 +268,10 @@
 }
 
 /// A request, and how long its answer took.
-async fn timed(town: &Town, shop: &Shop) -> (Answer, Duration) {
-    let pool = Pool::new(town.gatekeepers[0].resp);
+async fn timed(town: &LocalCluster, shop: &Shop) -> (Answer, Duration) {
+    let pool = ClientPool::new(town.gatekeepers[0].resp);
     let begun = Instant::now();
-    let answer = pool.ask(shop, "formula-read", None, 1, WAIT).await.expect("an answer");
+    let answer = pool.send_request(shop, "formula-read", None, 1, WAIT).await.expect("an answer");
     (answer, begun.elapsed())
 }
 
@@ -283,13 +289,13 @@
     assert_eq!(service.calls(), 1);
     assert!(matches!(timed(&town, &other(1, "ten")).await.0, Answer::Served(_)));
     assert_eq!(service.calls(), 1, "a plan that is not configured asks nobody");
-    service.say(Say::Over(Duration::from_millis(700)));
+    service.set_behavior(RlsBehavior::Over(Duration::from_millis(700)));
     let (answer, _) = timed(&town, &other(2, "shut")).await;
     assert_eq!(answer, Answer::Busy(Some(700)));
     // Kept for as long as it said: the next one is refused without a call.
     assert!(matches!(timed(&town, &other(2, "shut")).await.0, Answer::Busy(Some(_))));
     assert_eq!(service.calls(), 2);
-    service.say(Say::Ahead(3, Duration::from_secs(60)));
+    service.set_behavior(RlsBehavior::Ahead(3, Duration::from_secs(60)));
     for _ in 0..4 {
         assert!(matches!(timed(&town, &other(3, "shut")).await.0, Answer::Served(_)));
     }
@@ -300,12 +306,23 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn an_outside_service_that_hangs_for_one_call_delays_that_one_alone() {
     let (mut town, mut service, _gate) = asking().await;
-    service.say(Say::Turns(vec![Say::Hang, Say::Ok, Say::Ok, Say::Ok, Say::Ok, Say::Ok, Say::Ok, Say::Ok]));
+    service.set_behavior(RlsBehavior::Sequence(vec![
+        RlsBehavior::Hang,
+        RlsBehavior::Ok,
+        RlsBehavior::Ok,
+        RlsBehavior::Ok,
+        RlsBehavior::Ok,
+        RlsBehavior::Ok,
+        RlsBehavior::Ok,
+        RlsBehavior::Ok,
+    ]));
     let hanging = tokio::spawn({
-        let pool = Pool::new(town.gatekeepers[0].resp);
-        async move { pool.ask(&other(1, "open"), "formula-read", None, 1, WAIT).await.expect("an answer") }
+        let pool = ClientPool::new(town.gatekeepers[0].resp);
+        async move {
+            pool.send_request(&other(1, "open"), "formula-read", None, 1, WAIT).await.expect("an answer")
+        }
     });
-    service.came.recv().await.expect("the call that hangs");
+    service.received.recv().await.expect("the call that hangs");
     for k in 2..8 {
         assert!(matches!(timed(&town, &other(k, "open")).await.0, Answer::Served(_)));
     }
@@ -318,7 +335,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn an_outside_service_that_hangs_for_all_is_no_longer_asked_and_comes_back() {
     let (mut town, service, _gate) = asking().await;
-    service.say(Say::Hang);
+    service.set_behavior(RlsBehavior::Hang);
     // By the mode of each plan, and each in time.
     for k in 0..10 {
         let (answer, took) = timed(&town, &other(k, "open")).await;
@@ -332,7 +349,7 @@
     assert!(seen.gatekeepers[0].outside_failed >= 5);
     let asked = service.calls();
     assert!(asked < 20, "{asked} of 20 requests waited in vain");
-    service.say(Say::Ok);
+    service.set_behavior(RlsBehavior::Ok);
     let begun = Instant::now();
     loop {
         let (answer, _) = timed(&town, &other(50, "shut")).await;
@@ -341,22 +358,22 @@
         }
         assert!(begun.elapsed() < Duration::from_secs(10), "never closed again");
     }
-    town.gatekeepers[0].process.says("answers again").await.expect("and the log says so");
+    town.gatekeepers[0].process.wait_for_log("answers again").await.expect("and the log says so");
     town.stop().await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_outside_service_that_says_anything_is_a_failure_and_never_a_verdict() {
     let (mut town, service, gate) = asking().await;
-    for say in [Say::Fail, Say::Unknown, Say::Late(Duration::from_millis(300))] {
-        service.say(say.clone());
+    for say in [RlsBehavior::Fail, RlsBehavior::Unknown, RlsBehavior::Late(Duration::from_millis(300))] {
+        service.set_behavior(say.clone());
         let (answer, took) = timed(&town, &other(1, "shut")).await;
         assert_eq!(answer, Answer::Busy(None), "{say:?}");
         assert!(took < IN_TIME, "{say:?}: {took:?}");
     }
-    for way in [Way::Cut, Way::Noise, Way::Held] {
-        gate.set(Way::Cut);
-        gate.set(way);
+    for way in [ProxyMode::Cut, ProxyMode::Garbage, ProxyMode::Hold] {
+        gate.set_mode(ProxyMode::Cut);
+        gate.set_mode(way);
         let (answer, took) = timed(&town, &other(1, "shut")).await;
         assert_eq!(answer, Answer::Busy(None), "{way:?}");
         assert!(took < IN_TIME, "{way:?}: {took:?}");
@@ -367,7 +384,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn an_outside_service_that_flaps_keeps_the_aim_of_every_request() {
     let (mut town, service, _gate) = asking().await;
-    service.say(Say::Turns(vec![Say::Hang, Say::Ok]));
+    service.set_behavior(RlsBehavior::Sequence(vec![RlsBehavior::Hang, RlsBehavior::Ok]));
     let mut slow = 0;
     for k in 0..60 {
         let (answer, took) = timed(&town, &other(k, "open")).await;
@@ -384,16 +401,23 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn requests_that_wait_for_a_verdict_go_by_their_mode_when_the_agent_dies() {
     let (mut town, mut service, _gate) = asking().await;
-    service.say(Say::Hang);
+    service.set_behavior(RlsBehavior::Hang);
     let waiting = |plan: &'static str| {
-        let pool = Pool::new(town.gatekeepers[0].resp);
+        let pool = ClientPool::new(town.gatekeepers[0].resp);
         tokio::spawn(async move {
-            pool.ask(&other(1, plan), "mix-record", Some("5c0f6e1a2b3d4c59"), 1, Duration::from_secs(3)).await
+            pool.send_request(
+                &other(1, plan),
+                "mix-record",
+                Some("5c0f6e1a2b3d4c59"),
+                1,
+                Duration::from_secs(3),
+            )
+            .await
         })
     };
     let (open, shut) = (waiting("open"), waiting("shut"));
     for _ in 0..2 {
-        service.came.recv().await.expect("a call");
+        service.received.recv().await.expect("a call");
     }
     town.agent.as_mut().expect("an agent").kill().await;
     assert!(matches!(open.await.expect("ended"), Ok(Answer::Served(_))));
@@ -409,7 +433,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_caller_that_never_reads_holds_up_nobody() {
     use prost::Message;
-    let mut town = Town::start(plan()).await.expect("started");
+    let mut town = LocalCluster::start(plan()).await.expect("started");
     let mut deaf = Vec::new();
     for _ in 0..4 {
         let stream = tokio::net::TcpStream::connect(town.rls).await.expect("connected");
@@ -425,7 +449,7 @@
                 http::Request::post(path).header("content-type", "application/grpc").header("te", "trailers");
             let (answer, mut body) =
                 send.send_request(request.body(()).expect("sound"), false).expect("sent");
-            let message = call(&shop("open", 0, 3), true, 1).encode_to_vec();
+            let message = rate_limit_call(&shop("open", 0, 3), true, 1).encode_to_vec();
             let mut framed = vec![0];
             framed.extend_from_slice(&u32::try_from(message.len()).expect("short").to_be_bytes());
             framed.extend_from_slice(&message);
@@ -453,7 +477,7 @@
     use tonic_reflection::pb::v1::server_reflection_request::MessageRequest;
     use tonic_reflection::pb::v1::server_reflection_response::MessageResponse;
     const SERVICE: &str = "envoy.service.ratelimit.v3.RateLimitService";
-    let mut town = Town::start(Plan { gatekeepers: 1, ..plan() }).await.expect("started");
+    let mut town = LocalCluster::start(ClusterOptions { gatekeepers: 1, ..plan() }).await.expect("started");
     let channel =
         tonic::transport::Endpoint::from_shared(format!("http://{}", town.rls)).expect("an address");
     let channel = channel.connect().await.expect("connected");
@@ -490,17 +514,17 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn the_outside_section_is_read_again_and_a_bad_one_changes_nothing() {
     let (mut town, service, _gate) = asking().await;
-    let extra = town.gatekeepers[0].extra.clone();
+    let extra = town.gatekeepers[0].local_settings.clone();
     let text = std::fs::read_to_string(&extra).expect("a file");
     std::fs::write(&extra, text.replace("deadline_part = 0.2", "deadline_part = 7")).expect("written");
     town.gatekeepers[0].process.signal("HUP").await;
-    let line = town.gatekeepers[0].process.says("configuration in use stays").await.expect("a line");
+    let line = town.gatekeepers[0].process.wait_for_log("configuration in use stays").await.expect("a line");
     assert!(line.contains("outside.deadline_part: over 0 and at most 0.5"), "{line}");
-    service.say(Say::Over(Duration::from_millis(700)));
+    service.set_behavior(RlsBehavior::Over(Duration::from_millis(700)));
     assert_eq!(timed(&town, &other(1, "shut")).await.0, Answer::Busy(Some(700)), "still asked");
     std::fs::write(&extra, text.split("[outside]").next().expect("the link's part")).expect("written");
     town.gatekeepers[0].process.signal("HUP").await;
-    town.gatekeepers[0].process.says("configuration read again").await.expect("a line");
+    town.gatekeepers[0].process.wait_for_log("configuration read again").await.expect("a line");
     assert!(matches!(timed(&town, &other(2, "shut")).await.0, Answer::Served(_)), "no longer asked");
     assert_eq!(service.calls(), 1);
     town.stop().await;
--- a/crates/agent/tests/rig/mod.rs
+++ b/crates/agent/tests/fleet_harness/mod.rs
@@ -2,59 +2,60 @@
 
 #![allow(dead_code, reason = "each test uses a part of it")]
 
-pub mod turn;
+pub mod agent_limit;
 
-use super::kept::plans;
+use super::record_harness::plans;
 use frostvale_agent::serve::control;
 use frostvale_proto::agent::{CouncilRequest, DutiesRequest, Duty};
 use frostvale_standin::fleet::check::{epochs_in_order, epochs_once, no_overlap};
-use frostvale_standin::fleet::{Fleet, Plan, Touch};
-use frostvale_standin::formula::Options;
-use frostvale_standin::town;
+use frostvale_standin::fleet::{Effect, Fleet, FleetOptions};
+use frostvale_standin::formula_server::ServerOptions;
+use frostvale_standin::local_cluster;
 use std::collections::BTreeMap;
 use std::time::Duration;
 use tokio::time::sleep;
 
 pub const LEASE: u64 = 600;
 
-pub fn plan(agents: usize, gatekeepers: usize) -> Plan {
-    let formula = Options { cores: 8, work: Duration::from_millis(2), queue: 1000, ..Options::default() };
+pub fn plan(agents: usize, gatekeepers: usize) -> FleetOptions {
+    let formula =
+        ServerOptions { cores: 8, work: Duration::from_millis(2), queue: 1000, ..ServerOptions::default() };
     // FLEET_FOLDER keeps the logs of a test that is run alone.
     let folder = std::env::var_os("FLEET_FOLDER").map(Into::into);
-    Plan {
-        town: town::Plan {
+    FleetOptions {
+        cluster: local_cluster::ClusterOptions {
             gatekeepers,
             servers: 3,
             formula,
             plans: Some(plans()),
             folder,
-            ..town::Plan::default()
+            ..local_cluster::ClusterOptions::default()
         },
         agents,
         voters: agents,
         lease_ms: LEASE,
-        ..Plan::default()
+        ..FleetOptions::default()
     }
 }
 
-pub async fn fleet(plan: Plan) -> Fleet {
-    turn::take(plan.agents);
+pub async fn fleet(plan: FleetOptions) -> Fleet {
+    agent_limit::take(plan.agents);
     Fleet::start(plan).await.expect("started")
 }
 
 /// The owner of a duty, once there is one.
 pub async fn owner(fleet: &Fleet, duty: &str) -> usize {
-    fleet.until("it has an owner", |f| f.owner(duty).is_some()).await.expect("owned");
+    fleet.wait_until("it has an owner", |f| f.owner(duty).is_some()).await.expect("owned");
     fleet.owner(duty).expect("owned")
 }
 
 /// Waits until duties are dealt out and stay where they are.
 pub async fn settled(fleet: &Fleet) {
     owner(fleet, "drill-0").await;
-    let mut last = fleet.touches().expect("read").iter().map(|t| t.epoch).max();
+    let mut last = fleet.effects().expect("read").iter().map(|t| t.epoch).max();
     loop {
         sleep(Duration::from_millis(3 * LEASE)).await;
-        let now = fleet.touches().expect("read").iter().map(|t| t.epoch).max();
+        let now = fleet.effects().expect("read").iter().map(|t| t.epoch).max();
         if std::mem::replace(&mut last, now) == now {
             return;
         }
@@ -62,15 +63,15 @@
 }
 
 /// Waits until a duty is another's than this agent's life, and gives that effect.
-pub async fn another(fleet: &Fleet, duty: &str, than: &Touch) -> Touch {
-    let other = |f: &Fleet| f.stands(duty).filter(|t| t.owner != than.owner && t.epoch > than.epoch);
-    fleet.until("another owns it", |f| other(f).is_some()).await.expect("another");
+pub async fn another(fleet: &Fleet, duty: &str, than: &Effect) -> Effect {
+    let other = |f: &Fleet| f.last_effect(duty).filter(|t| t.owner != than.owner && t.epoch > than.epoch);
+    fleet.wait_until("another owns it", |f| other(f).is_some()).await.expect("another");
     other(fleet).expect("another")
 }
 
 /// Whatever was done: what must hold of all effects.
-pub fn sound(fleet: &Fleet) -> Vec<Touch> {
-    let touches = fleet.touches().expect("read");
+pub fn sound(fleet: &Fleet) -> Vec<Effect> {
+    let touches = fleet.effects().expect("read");
     for check in [epochs_in_order, epochs_once, no_overlap] {
         check(&touches).expect("sound");
     }
@@ -115,5 +116,5 @@
 }
 
 pub fn log(fleet: &Fleet, agent: usize) -> String {
-    std::fs::read_to_string(fleet.town.folder.join(format!("a{}.log", agent + 1))).unwrap_or_default()
+    std::fs::read_to_string(fleet.cluster.folder.join(format!("a{}.log", agent + 1))).unwrap_or_default()
 }
--- a/crates/agent/tests/owner.rs
+++ b/crates/agent/tests/owner.rs
@@ -1,20 +1,20 @@
 //! One owner at a time, over real agents, gatekeepers and a database, with faults between them. What a former owner does
 //! is looked for where it would land: in the record, at gatekeepers, in the folder of the export.
 
-mod kept;
-mod rig;
+mod fleet_harness;
+mod record_harness;
 
+use fleet_harness::{LEASE, another, as_seen, duties, fleet, leader, log, owner, plan, settled, sound};
 use frostvale_agent::serve::control;
 use frostvale_proto::agent::{DutyChange, duty_change::What};
 use frostvale_record::model::{Change, Plan as KeptPlan};
-use frostvale_record::{Backend, Op, Place, Reply};
+use frostvale_record::{Backend, Op, RecordLocation, Reply};
 use frostvale_standin::clock::unix_ms;
 use frostvale_standin::fleet::check::{longest_gap, owners};
-use frostvale_standin::fleet::faults::{play, schedule};
-use frostvale_standin::fleet::{Fleet, Plan, Touch};
-use frostvale_standin::gate::Way;
-use kept::{Load, booked, ledger, until};
-use rig::{LEASE, another, as_seen, duties, fleet, leader, log, owner, plan, settled, sound};
+use frostvale_standin::fleet::faults::{apply, schedule};
+use frostvale_standin::fleet::{Effect, Fleet, FleetOptions};
+use frostvale_standin::proxy::ProxyMode;
+use record_harness::{Load, ledger, units_by_shop, until};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::Duration;
@@ -23,26 +23,32 @@
 async fn backend(fleet: &Fleet) -> Arc<dyn Backend> {
     let (at, password) = fleet.record().expect("a record");
     let url = format!("postgres://agent@{at}/frostvale");
-    Place { password_file: Some(password), ..Place::new(&url) }.open().await.expect("opened")
+    RecordLocation { password_file: Some(password), ..RecordLocation::new(&url) }
+        .open()
+        .await
+        .expect("opened")
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 32)]
 async fn an_owner_that_is_stopped_for_ten_leases_lands_nothing_when_it_goes_on() {
     let mut fleet = fleet(plan(3, 3)).await;
     let old = owner(&fleet, "drill-0").await;
-    let held = fleet.stands("drill-0").expect("owned");
+    let held = fleet.last_effect("drill-0").expect("owned");
     // A step is on its way as it is stopped: it arrives once another has taken over.
-    fleet.db_way(old, Way::HeldUp);
+    fleet.set_db_mode(old, ProxyMode::HoldUpstream);
     sleep(Duration::from_millis(100)).await;
     fleet.signal(old, "STOP").await;
     let next = another(&fleet, "drill-0", &held).await;
-    fleet.db_way(old, Way::Open);
+    fleet.set_db_mode(old, ProxyMode::Forward);
     sleep(Duration::from_millis(10 * LEASE)).await;
-    let before = fleet.touches().expect("read").len();
+    let before = fleet.effects().expect("read").len();
     fleet.signal(old, "CONT").await;
     let process = fleet.agents[old].process.as_mut().expect("it runs");
-    process.says("others have ended this agent's session").await.expect("it notices");
-    fleet.until("others go on", |f| f.touches().is_ok_and(|t| t.len() > before + 20)).await.expect("they do");
+    process.wait_for_log("others have ended this agent's session").await.expect("it notices");
+    fleet
+        .wait_until("others go on", |f| f.effects().is_ok_and(|t| t.len() > before + 20))
+        .await
+        .expect("they do");
     let touches = sound(&fleet);
     let late = touches.iter().skip(before).filter(|t| t.owner == held.owner).count();
     assert_eq!(late, 0, "nothing of its former life lands");
@@ -56,23 +62,23 @@
     // From the record alone: nobody else takes over, and it goes on where it was.
     settled(&fleet).await;
     let old = owner(&fleet, "drill-1").await;
-    let held = fleet.stands("drill-1").expect("owned");
-    fleet.db_way(old, Way::Held);
+    let held = fleet.last_effect("drill-1").expect("owned");
+    fleet.set_db_mode(old, ProxyMode::Hold);
     sleep(Duration::from_millis(4 * LEASE)).await;
-    fleet.db_way(old, Way::Open);
+    fleet.set_db_mode(old, ProxyMode::Forward);
     let again = |f: &Fleet| {
-        f.touches().is_ok_and(|t| t.iter().any(|t| t.duty == "drill-1" && t.at_ms > held.at_ms + 4 * LEASE))
+        f.effects().is_ok_and(|t| t.iter().any(|t| t.duty == "drill-1" && t.at_ms > held.at_ms + 4 * LEASE))
     };
-    fleet.until("it goes on", again).await.expect("it does");
-    let now = fleet.stands("drill-1").expect("owned");
+    fleet.wait_until("it goes on", again).await.expect("it does");
+    let now = fleet.last_effect("drill-1").expect("owned");
     assert_eq!((now.epoch, &now.owner), (held.epoch, &held.owner));
     // From the council, in both directions and in one: it stops by itself, and another begins.
     for (sends, is_sent) in [(false, false), (false, true), (true, false)] {
         let old = owner(&fleet, "drill-1").await;
-        let held = fleet.stands("drill-1").expect("owned");
-        fleet.council_way(old, sends, is_sent);
+        let held = fleet.last_effect("drill-1").expect("owned");
+        fleet.set_council_links(old, sends, is_sent);
         another(&fleet, "drill-1", &held).await;
-        fleet.council_way(old, true, true);
+        fleet.set_council_links(old, true, true);
         sleep(Duration::from_millis(LEASE)).await;
     }
     assert!((0..3).any(|k| log(&fleet, k).contains("lease ran out by its own clock")));
@@ -84,27 +90,27 @@
 async fn leader_and_owner_killed_at_once_and_then_all_of_them() {
     let mut fleet = fleet(plan(3, 0)).await;
     let old = owner(&fleet, "drill-0").await;
-    let held = fleet.stands("drill-0").expect("owned");
+    let held = fleet.last_effect("drill-0").expect("owned");
     let leads = until("a leader", async || leader(&fleet, old).await).await;
     fleet.kill(old).await;
     if leads != old {
         fleet.kill(leads).await;
         // One is left: it promises nothing.
-        let before = fleet.touches().expect("read").len();
+        let before = fleet.effects().expect("read").len();
         sleep(Duration::from_millis(4 * LEASE)).await;
-        let after = fleet.touches().expect("read");
+        let after = fleet.effects().expect("read");
         let owners: Vec<&str> = after[before..].iter().map(|t| t.duty.as_str()).collect();
         assert!(owners.len() < 40, "it ends what it had within its lease: {owners:?}");
-        fleet.spawn(leads).await.expect("started");
+        fleet.start_agent(leads).await.expect("started");
     }
     let next = another(&fleet, "drill-0", &held).await;
-    fleet.spawn(old).await.expect("started");
+    fleet.start_agent(old).await.expect("started");
     for k in 0..3 {
         fleet.kill(k).await;
     }
-    let highest = fleet.touches().expect("read").iter().map(|t| t.epoch).max().expect("some");
+    let highest = fleet.effects().expect("read").iter().map(|t| t.epoch).max().expect("some");
     for k in [2, 0, 1] {
-        fleet.spawn(k).await.expect("started");
+        fleet.start_agent(k).await.expect("started");
     }
     let after = another(&fleet, "drill-0", &next).await;
     assert!(after.epoch > highest, "no number comes again: {after:?} after {highest}");
@@ -116,22 +122,22 @@
 async fn without_a_majority_traffic_goes_on_and_no_duty_runs() {
     let mut fleet = fleet(plan(3, 3)).await;
     owner(&fleet, "drill-0").await;
-    let load = Load::start(&fleet.town, 4);
+    let load = Load::start(&fleet.cluster, 4);
     load.more(50).await;
     for k in 0..2 {
         fleet.signal(k, "STOP").await;
     }
     sleep(Duration::from_millis(2 * LEASE)).await;
-    let before = fleet.touches().expect("read").len();
+    let before = fleet.effects().expect("read").len();
     load.more(200).await;
     sleep(Duration::from_millis(4 * LEASE)).await;
     load.more(200).await;
-    assert_eq!(fleet.touches().expect("read").len(), before, "nothing is done for the fleet");
+    assert_eq!(fleet.effects().expect("read").len(), before, "nothing is done for the fleet");
     for k in 0..2 {
         fleet.signal(k, "CONT").await;
     }
     fleet
-        .until("duties run again", |f| f.touches().is_ok_and(|t| t.len() > before + 10))
+        .wait_until("duties run again", |f| f.effects().is_ok_and(|t| t.len() > before + 10))
         .await
         .expect("they do");
     load.stop().await;
@@ -150,30 +156,30 @@
     let mut fleet = fleet(plan(3, 3)).await;
     let record = backend(&fleet).await;
     record.run(set(1, "one", 0)).await.expect("set");
-    for g in &mut fleet.town.gatekeepers {
-        g.process.says("the plans of revision 1 are in effect").await.expect("published");
+    for g in &mut fleet.cluster.gatekeepers {
+        g.process.wait_for_log("the plans of revision 1 are in effect").await.expect("published");
     }
     let old = owner(&fleet, "publish").await;
-    let held = fleet.stands("publish").expect("owned");
+    let held = fleet.last_effect("publish").expect("owned");
     let mine = fleet.gatekeepers_of(old)[0];
     fleet.signal(old, "STOP").await;
     another(&fleet, "publish", &held).await;
     record.run(set(2, "two", 1)).await.expect("set");
     for k in (0..3).filter(|k| *k != mine) {
-        let process = &mut fleet.town.gatekeepers[k].process;
-        process.says("the plans of revision 2 are in effect").await.expect("published");
+        let process = &mut fleet.cluster.gatekeepers[k].process;
+        process.wait_for_log("the plans of revision 2 are in effect").await.expect("published");
     }
     // Its own gatekeeper starts anew, and the database is held: the old owner knows nothing but what it knew.
-    fleet.town.gatekeepers[mine].process.kill().await;
-    fleet.town.restart_gatekeeper(mine).await.expect("started");
-    fleet.db_way(old, Way::Held);
+    fleet.cluster.gatekeepers[mine].process.kill().await;
+    fleet.cluster.restart_gatekeeper(mine).await.expect("started");
+    fleet.set_db_mode(old, ProxyMode::Hold);
     fleet.signal(old, "CONT").await;
-    let process = &mut fleet.town.gatekeepers[mine].process;
-    process.says("the council's epochs are known").await.expect("asked");
-    process.says(&format!("plans of epoch {} are refused", held.epoch)).await.expect("refused");
-    fleet.db_way(old, Way::Open);
-    let process = &mut fleet.town.gatekeepers[mine].process;
-    process.says("the plans of revision 2 are in effect").await.expect("brought up");
+    let process = &mut fleet.cluster.gatekeepers[mine].process;
+    process.wait_for_log("the council's epochs are known").await.expect("asked");
+    process.wait_for_log(&format!("plans of epoch {} are refused", held.epoch)).await.expect("refused");
+    fleet.set_db_mode(old, ProxyMode::Forward);
+    let process = &mut fleet.cluster.gatekeepers[mine].process;
+    process.wait_for_log("the plans of revision 2 are in effect").await.expect("brought up");
     assert!(process.log().iter().all(|l| !l.contains("revision 1 are in effect")), "{:?}", process.log());
     sound(&fleet);
     fleet.stop().await;
@@ -184,20 +190,20 @@
     let mut fleet = fleet(plan(3, 3)).await;
     let record = backend(&fleet).await;
     record.run(set(1, "one", 0)).await.expect("set");
-    for g in &mut fleet.town.gatekeepers {
-        g.process.says("the plans of revision 1 are in effect").await.expect("published");
+    for g in &mut fleet.cluster.gatekeepers {
+        g.process.wait_for_log("the plans of revision 1 are in effect").await.expect("published");
     }
     let Op::SetPlan(next, change) = set(2, "two", 1) else { unreachable!() };
     let in_an_hour = KeptPlan { from_ms: i64::try_from(unix_ms()).expect("a time") + 3_600_000, ..next };
     record.run(Op::SetPlan(in_an_hour, change)).await.expect("set");
     sleep(Duration::from_secs(1)).await;
-    for g in &fleet.town.gatekeepers {
+    for g in &fleet.cluster.gatekeepers {
         let log = g.process.log();
         assert!(log.iter().all(|l| !l.contains("revision 2 are in effect")), "{log:?}");
     }
     record.run(set(3, "three", 2)).await.expect("set");
-    for g in &mut fleet.town.gatekeepers {
-        g.process.says("the plans of revision 3 are in effect").await.expect("published");
+    for g in &mut fleet.cluster.gatekeepers {
+        g.process.wait_for_log("the plans of revision 3 are in effect").await.expect("published");
     }
     fleet.stop().await;
 }
@@ -206,27 +212,27 @@
 async fn a_database_without_the_last_second_gives_no_epoch_out_twice() {
     let mut fleet = fleet(plan(3, 0)).await;
     let old = owner(&fleet, "drill-0").await;
-    let held = fleet.stands("drill-0").expect("owned");
+    let held = fleet.last_effect("drill-0").expect("owned");
     let copy = fleet.copy_db().expect("copied");
     // What happens from here on is lost with the database.
     fleet.kill(old).await;
     another(&fleet, "drill-0", &held).await;
-    fleet.spawn(old).await.expect("started");
+    fleet.start_agent(old).await.expect("started");
     sleep(Duration::from_millis(LEASE)).await;
-    let lost = fleet.touches().expect("read").iter().map(|t| t.epoch).max().expect("some");
+    let lost = fleet.effects().expect("read").iter().map(|t| t.epoch).max().expect("some");
     assert!(lost > held.epoch);
     fleet.kill_db().await;
     fleet.start_db(Some(&copy)).await.expect("failed over");
     let back_ms = unix_ms();
-    let again = |f: &Fleet| f.stands("drill-0").is_some_and(|t| t.at_ms > back_ms);
-    fleet.until("its owner goes on", again).await.expect("it does");
+    let again = |f: &Fleet| f.last_effect("drill-0").is_some_and(|t| t.at_ms > back_ms);
+    fleet.wait_until("its owner goes on", again).await.expect("it does");
     let now = owner(&fleet, "drill-0").await;
     fleet.kill(now).await;
-    let seen = fleet.stands("drill-0").expect("owned");
+    let seen = fleet.last_effect("drill-0").expect("owned");
     let next = another(&fleet, "drill-0", &seen).await;
     assert!(next.epoch > lost, "{next:?}; {lost} was given out, and forgotten by the database");
     sound(&fleet);
-    fleet.spawn(now).await.expect("started");
+    fleet.start_agent(now).await.expect("started");
     fleet.stop().await;
 }
 
@@ -237,15 +243,15 @@
         (1, "clock_rate_milli = 950".to_string()),
         (2, "clock_ahead_ms = -90000\nclock_jump_after_ms = 1500\nclock_jump_ms = -60000".to_string()),
     ]);
-    let mut fleet = fleet(Plan { drill_extra: clocks, ..plan(3, 0) }).await;
+    let mut fleet = fleet(FleetOptions { drill_settings: clocks, ..plan(3, 0) }).await;
     settled(&fleet).await;
     let steady = owner(&fleet, "drill-0").await;
-    let held = fleet.stands("drill-0").expect("owned");
+    let held = fleet.last_effect("drill-0").expect("owned");
     sleep(Duration::from_millis(4 * LEASE)).await;
-    assert_eq!(fleet.stands("drill-0").map(|t| t.epoch), Some(held.epoch), "a jump moves nothing");
+    assert_eq!(fleet.last_effect("drill-0").map(|t| t.epoch), Some(held.epoch), "a jump moves nothing");
     for _ in 0..3 {
         let old = owner(&fleet, "drill-0").await;
-        let held = fleet.stands("drill-0").expect("owned");
+        let held = fleet.last_effect("drill-0").expect("owned");
         fleet.signal(old, "STOP").await;
         another(&fleet, "drill-0", &held).await;
         fleet.signal(old, "CONT").await;
@@ -260,17 +266,17 @@
 async fn a_duty_that_crashes_is_set_aside_and_one_that_is_slow_keeps_its_owner() {
     let slow = format!("crashes = 1\nstep_ms = {}", 5 * LEASE / 2);
     let extra = (0..3).map(|k| (k, slow.clone())).collect();
-    let mut fleet = fleet(Plan { drill_extra: extra, ..plan(3, 0) }).await;
+    let mut fleet = fleet(FleetOptions { drill_settings: extra, ..plan(3, 0) }).await;
     let aside = until("set aside", async || {
         let all = duties(&fleet, 0).await;
         all.get("drill-1").filter(|d| d.state == "set aside").cloned()
     })
     .await;
     assert!(aside.why.contains("this duty crashes"), "{}", aside.why);
-    assert!(fleet.stands("drill-1").is_none(), "it never came to an effect");
+    assert!(fleet.last_effect("drill-1").is_none(), "it never came to an effect");
     fleet
-        .until("the slow one has done two steps", |f| {
-            f.touches().is_ok_and(|t| t.iter().filter(|t| t.duty == "drill-0").count() >= 2)
+        .wait_until("the slow one has done two steps", |f| {
+            f.effects().is_ok_and(|t| t.iter().filter(|t| t.duty == "drill-0").count() >= 2)
         })
         .await
         .expect("it has");
@@ -297,12 +303,12 @@
 async fn owners_killed_by_others_leave_a_duty_running_and_one_that_kills_them_is_set_aside() {
     let mut fleet = fleet(plan(3, 0)).await;
     owner(&fleet, "drill-0").await;
-    let mut held = fleet.stands("drill-0").expect("owned");
+    let mut held = fleet.last_effect("drill-0").expect("owned");
     for _ in 0..4 {
         let now = owner(&fleet, "drill-0").await;
         fleet.kill(now).await;
         held = another(&fleet, "drill-0", &held).await;
-        fleet.spawn(now).await.expect("started");
+        fleet.start_agent(now).await.expect("started");
     }
     let all = duties(&fleet, 0).await;
     assert!(all.values().all(|d| d.state != "set aside"), "{all:?}");
@@ -311,7 +317,7 @@
 
     // Each process that begins a step of it dies at once, and is started again as by its supervisor.
     let extra = (0..3).map(|k| (k, "aborts = 1".to_string())).collect();
-    let mut fleet = rig::fleet(Plan { drill_extra: extra, ..plan(3, 0) }).await;
+    let mut fleet = fleet_harness::fleet(FleetOptions { drill_settings: extra, ..plan(3, 0) }).await;
     let until_ms = unix_ms() + 60_000;
     loop {
         assert!(unix_ms() < until_ms, "never set aside: {}", as_seen(&fleet).await);
@@ -319,7 +325,7 @@
             let dead = fleet.agents[k].process.as_mut().is_none_or(|p| p.has_ended().is_some());
             if dead {
                 fleet.kill(k).await;
-                let _ = fleet.spawn(k).await;
+                let _ = fleet.start_agent(k).await;
             }
         }
         let mut aside = false;
@@ -332,10 +338,10 @@
         sleep(Duration::from_millis(50)).await;
     }
     let others = |f: &Fleet| {
-        f.touches().is_ok_and(|t| t.iter().any(|t| t.duty == "drill-0" && t.at_ms > until_ms - 60_000))
+        f.effects().is_ok_and(|t| t.iter().any(|t| t.duty == "drill-0" && t.at_ms > until_ms - 60_000))
     };
-    fleet.until("the others are done", others).await.expect("they are");
-    assert!(fleet.stands("drill-1").is_none(), "it never came to an effect");
+    fleet.wait_until("the others are done", others).await.expect("they are");
+    assert!(fleet.last_effect("drill-1").is_none(), "it never came to an effect");
     let why = until("it is said why", async || {
         duties(&fleet, 0).await.get("drill-1").map(|d| d.why.clone()).filter(|w| !w.is_empty())
     })
@@ -356,8 +362,8 @@
     for to in ["a1", "a2", "a3", "a1"] {
         change(&fleet, What::Move, to).await.expect("moved");
         fleet
-            .until("it is there", |f| {
-                f.stands("drill-2").is_some_and(|t| t.owner.starts_with(&format!("{to}#")))
+            .wait_until("it is there", |f| {
+                f.last_effect("drill-2").is_some_and(|t| t.owner.starts_with(&format!("{to}#")))
             })
             .await
             .expect("moved");
@@ -370,32 +376,32 @@
     })
     .await;
     sleep(Duration::from_millis(300)).await;
-    let before = fleet.stands("drill-2");
+    let before = fleet.last_effect("drill-2");
     sleep(Duration::from_millis(2 * LEASE)).await;
-    assert_eq!(fleet.stands("drill-2"), before, "a paused duty does nothing");
+    assert_eq!(fleet.last_effect("drill-2"), before, "a paused duty does nothing");
     change(&fleet, What::Resume, "").await.expect("resumed");
     // An agent that ends in order hands over: nobody waits for silence.
     let old = owner(&fleet, "drill-0").await;
-    let held = fleet.stands("drill-0").expect("owned");
+    let held = fleet.last_effect("drill-0").expect("owned");
     let mut process = fleet.agents[old].process.take().expect("it runs");
     process.signal("TERM").await;
     let next = another(&fleet, "drill-0", &held).await;
     assert!(next.at_ms - fleet_last(&fleet, &held) < LEASE, "{next:?} after {held:?}");
-    assert!(process.ended().await.is_some_and(|s| s.success()));
+    assert!(process.wait().await.is_some_and(|s| s.success()));
     sound(&fleet);
     fleet.stop().await;
 }
 
 /// When the last effect of an owner landed.
-fn fleet_last(fleet: &Fleet, of: &Touch) -> u64 {
-    let touches = fleet.touches().expect("read");
+fn fleet_last(fleet: &Fleet, of: &Effect) -> u64 {
+    let touches = fleet.effects().expect("read");
     let mine = touches.iter().filter(|t| t.duty == of.duty && t.epoch == of.epoch);
     mine.map(|t| t.at_ms).max().unwrap_or(0)
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 32)]
 async fn a_thousand_duties_are_spread_and_taken_over() {
-    let plan = Plan { record: false, drills: 1000, pause_ms: 5000, ..plan(3, 0) };
+    let plan = FleetOptions { record: false, drills: 1000, pause_ms: 5000, ..plan(3, 0) };
     let mut fleet = fleet(plan).await;
     let owned = async |fleet: &Fleet, agent: usize| {
         let all = duties(fleet, agent).await;
@@ -410,7 +416,7 @@
     fleet.kill(2).await;
     let by = until("all owned again", async || owned(&fleet, 0).await.filter(|by| by.len() == 2)).await;
     assert!(by.keys().all(|o| !o.starts_with("a3#")), "{by:?}");
-    fleet.spawn(2).await.expect("started");
+    fleet.start_agent(2).await.expect("started");
     fleet.stop().await;
 }
 
@@ -419,22 +425,23 @@
 async fn faults(seed: u64, count: usize, agents: usize, gatekeepers: usize) {
     let day = "clock_ahead_ms = 172800000".to_string();
     let extra = (0..agents).map(|k| (k, day.clone())).collect();
-    let mut fleet = fleet(Plan { export: true, drill_extra: extra, ..plan(agents, gatekeepers) }).await;
-    let load = Load::start(&fleet.town, 4);
+    let mut fleet =
+        fleet(FleetOptions { export: true, drill_settings: extra, ..plan(agents, gatekeepers) }).await;
+    let load = Load::start(&fleet.cluster, 4);
     load.more(20).await;
     let schedule = schedule(seed, count, agents, 0, LEASE);
     for fault in &schedule {
-        play(&mut fleet, fault).await.unwrap_or_else(|e| panic!("seed {seed}: {fault}: {e}"));
+        apply(&mut fleet, fault).await.unwrap_or_else(|e| panic!("seed {seed}: {fault}: {e}"));
     }
     // The faults are over: every duty has an owner again, within a stated time.
     let quiet_ms = unix_ms();
     let all = ["drill-0", "drill-1", "drill-2", "roll-up", "export"];
-    let back = |f: &Fleet| all.iter().all(|d| f.stands(d).is_some_and(|t| t.at_ms > quiet_ms));
-    if let Err(e) = fleet.until("every duty is done again", back).await {
+    let back = |f: &Fleet| all.iter().all(|d| f.last_effect(d).is_some_and(|t| t.at_ms > quiet_ms));
+    if let Err(e) = fleet.wait_until("every duty is done again", back).await {
         panic!("seed {seed}: {e}; {}", as_seen(&fleet).await);
     }
     let took = all.iter().filter_map(|d| {
-        let touches = fleet.touches().ok()?;
+        let touches = fleet.effects().ok()?;
         touches.iter().find(|t| t.duty == *d && t.at_ms > quiet_ms).map(|t| t.at_ms - quiet_ms)
     });
     let took = took.max().unwrap_or(0);
@@ -442,7 +449,7 @@
     load.stop().await;
     // Everything booked is in the record, in the days and in the export, once.
     let record = backend(&fleet).await;
-    let booked: i64 = booked(&fleet.town).values().sum();
+    let booked: i64 = units_by_shop(&fleet.cluster).values().sum();
     until("all is in the record", async || {
         let passed: i64 = ledger(&*record).await.values().map(|v| v.0).sum();
         (passed >= booked).then_some(())
@@ -513,22 +520,22 @@
 
 /// From a signal to the next owner's first effect, so many times.
 async fn taken_over(signal: &str, rounds: usize) -> Vec<u64> {
-    let mut fleet = fleet(Plan { lease_ms: LONG_LEASE, drills: 1, ..plan(3, 0) }).await;
+    let mut fleet = fleet(FleetOptions { lease_ms: LONG_LEASE, drills: 1, ..plan(3, 0) }).await;
     let mut all = Vec::new();
     for _ in 0..rounds {
         sleep(Duration::from_millis(LONG_LEASE)).await;
         let old = owner(&fleet, "drill-0").await;
-        let held = fleet.stands("drill-0").expect("owned");
+        let held = fleet.last_effect("drill-0").expect("owned");
         let from = unix_ms();
         fleet.signal(old, signal).await;
         let next = another(&fleet, "drill-0", &held).await;
-        let touches = fleet.touches().expect("read");
+        let touches = fleet.effects().expect("read");
         let first =
             touches.iter().find(|t| t.epoch == next.epoch && t.duty == "drill-0").map_or(0, |t| t.at_ms);
         all.push(first.saturating_sub(from));
         if signal == "KILL" {
             fleet.kill(old).await;
-            fleet.spawn(old).await.expect("started");
+            fleet.start_agent(old).await.expect("started");
         } else {
             fleet.signal(old, "CONT").await;
         }
@@ -554,12 +561,12 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 32)]
 #[ignore = "figures, dated in docs/owner.md"]
 async fn figures_of_moves() {
-    let mut fleet = fleet(Plan { lease_ms: LONG_LEASE, drills: 1, pause_ms: 5, ..plan(3, 0) }).await;
+    let mut fleet = fleet(FleetOptions { lease_ms: LONG_LEASE, drills: 1, pause_ms: 5, ..plan(3, 0) }).await;
     settled(&fleet).await;
     let mut all = Vec::new();
     for round in 0..50 {
         let to = format!("a{}", round % 3 + 1);
-        let held = fleet.stands("drill-0").expect("owned");
+        let held = fleet.last_effect("drill-0").expect("owned");
         if held.owner.starts_with(&format!("{to}#")) {
             continue;
         }
@@ -568,7 +575,7 @@
         client.change_duty(DutyChange { what: What::Move.into(), duty, to, by, why }).await.expect("moved");
         let next = another(&fleet, "drill-0", &held).await;
         let first =
-            fleet.touches().expect("read").iter().find(|t| t.epoch == next.epoch).map_or(0, |t| t.at_ms);
+            fleet.effects().expect("read").iter().find(|t| t.epoch == next.epoch).map_or(0, |t| t.at_ms);
         all.push(first.saturating_sub(fleet_last(&fleet, &held)));
         sleep(Duration::from_millis(200)).await;
     }
@@ -580,7 +587,7 @@
 #[ignore = "figures, dated in docs/owner.md"]
 async fn figures_of_rest() {
     for (agents, voters) in [(3, 3), (5, 5), (50, 5)] {
-        let plan = Plan { lease_ms: LONG_LEASE, voters, record: false, drills: 0, ..plan(agents, 0) };
+        let plan = FleetOptions { lease_ms: LONG_LEASE, voters, record: false, drills: 0, ..plan(agents, 0) };
         let mut fleet = fleet(plan).await;
         sleep(Duration::from_secs(5)).await;
         let cpu = |f: &Fleet| {
@@ -605,13 +612,21 @@
 async fn latencies(fleet: &Fleet, most: Duration) -> Vec<u64> {
     let until = std::time::Instant::now() + most;
     let client = |k: usize| {
-        let at = fleet.town.gatekeepers[k % fleet.town.gatekeepers.len()].resp;
+        let at = fleet.cluster.gatekeepers[k % fleet.cluster.gatekeepers.len()].resp;
         tokio::spawn(async move {
-            let pool = frostvale_standin::load::Pool::new(at);
+            let pool = frostvale_standin::client::ClientPool::new(at);
             let mut all = Vec::new();
             while std::time::Instant::now() < until {
                 let from = std::time::Instant::now();
-                let _ = pool.ask(&kept::shop(k as u64, "wide"), "formula-read", None, 1, kept::WAIT).await;
+                let _ = pool
+                    .send_request(
+                        &record_harness::shop(k as u64, "wide"),
+                        "formula-read",
+                        None,
+                        1,
+                        record_harness::WAIT,
+                    )
+                    .await;
                 all.push(u64::try_from(from.elapsed().as_micros()).unwrap_or(0));
                 sleep(Duration::from_millis(2)).await;
             }
@@ -629,7 +644,7 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 32)]
 #[ignore = "figures, dated in docs/owner.md"]
 async fn figures_of_requests() {
-    let mut fleet = fleet(Plan { lease_ms: 1000, ..plan(3, 3) }).await;
+    let mut fleet = fleet(FleetOptions { lease_ms: 1000, ..plan(3, 3) }).await;
     settled(&fleet).await;
     let (mut quiet, mut changing) = (Vec::new(), Vec::new());
     for _ in 0..3 {
--- a/crates/agent/tests/quota.rs
+++ b/crates/agent/tests/quota.rs
@@ -2,10 +2,10 @@
 
 use frostvale_proto::envoy::service::ratelimit::v3::RateLimitRequest;
 use frostvale_proto::envoy::service::ratelimit::v3::rate_limit_response::Code;
-use frostvale_standin::formula::Options;
-use frostvale_standin::load::{Pool, Shop, call, rls_client};
+use frostvale_standin::client::{ClientPool, Shop, rate_limit_call, rls_client};
+use frostvale_standin::formula_server::ServerOptions;
+use frostvale_standin::local_cluster::{ClusterOptions, LocalCluster};
 use frostvale_standin::resp::Answer;
-use frostvale_standin::town::{Plan, Town};
 use serde_json::{Value, json};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -17,16 +17,20 @@
     Shop { id: SHOP.into(), plan: plan.into(), first: 0, spread }
 }
 
-async fn town(plans: Value) -> Town {
-    let formula = Options { cores: 8, work: Duration::from_millis(3), queue: 1000, ..Options::default() };
-    Town::start(Plan { plans: Some(plans), formula, ..Plan::default() }).await.expect("started")
+async fn town(plans: Value) -> LocalCluster {
+    let formula =
+        ServerOptions { cores: 8, work: Duration::from_millis(3), queue: 1000, ..ServerOptions::default() };
+    LocalCluster::start(ClusterOptions { plans: Some(plans), formula, ..ClusterOptions::default() })
+        .await
+        .expect("started")
 }
 
 /// Four times what the plan allows, half by RESP2 through all three gatekeepers, half by gRPC, for so long. Gives
 /// the units passed by either way, and how long it took.
-async fn mixed(town: &Town, plan: &str, rate: f64, time: Duration) -> (u64, u64, f64) {
+async fn mixed(town: &LocalCluster, plan: &str, rate: f64, time: Duration) -> (u64, u64, f64) {
     let (by_resp, by_call) = (Arc::new(AtomicU64::new(0)), Arc::new(AtomicU64::new(0)));
-    let pools: Vec<Arc<Pool>> = town.gatekeepers.iter().map(|g| Arc::new(Pool::new(g.resp))).collect();
+    let pools: Vec<Arc<ClientPool>> =
+        town.gatekeepers.iter().map(|g| Arc::new(ClientPool::new(g.resp))).collect();
     let client = rls_client(town.rls).expect("an address");
     let shop = shop(plan, 3);
     let begun = Instant::now();
@@ -42,7 +46,8 @@
             if lot.is_multiple_of(2) {
                 let (mut client, passed) = (client.clone(), by_call.clone());
                 tasks.push(tokio::spawn(async move {
-                    let answer = client.should_rate_limit(call(&shop, true, 1)).await.expect("an answer");
+                    let answer =
+                        client.should_rate_limit(rate_limit_call(&shop, true, 1)).await.expect("an answer");
                     let ok = answer.get_ref().overall_code() == Code::Ok;
                     passed.fetch_add(u64::from(ok), Ordering::Relaxed);
                 }));
@@ -50,7 +55,8 @@
                 let pool = pools[lot / 2 % pools.len()].clone();
                 let passed = by_resp.clone();
                 tasks.push(tokio::spawn(async move {
-                    let answer = pool.ask(&shop, "formula-read", None, 1, Duration::from_millis(900)).await;
+                    let answer =
+                        pool.send_request(&shop, "formula-read", None, 1, Duration::from_millis(900)).await;
                     match answer.expect("an answer") {
                         Answer::Served(_) => drop(passed.fetch_add(1, Ordering::Relaxed)),
                         Answer::Busy(_) => {}
@@ -84,7 +90,7 @@
     assert!(passed >= 0.9 * (rate * took + burst), "the ceiling is used: {passed} of {most}");
     assert!(resp > 100 && calls > 100, "by both: {resp} and {calls}");
     // What formula servers ran is what RESP2 passed: no check reached one.
-    let ran = town.units().get(SHOP).copied().unwrap_or(0.0);
+    let ran = town.units_by_shop().get(SHOP).copied().unwrap_or(0.0);
     assert!(ran >= resp as f64 && ran <= resp as f64 * 1.02 + 3.0, "{ran} units ran, {resp} served");
     town.stop().await;
 }
@@ -108,7 +114,7 @@
 }
 
 /// Two slow plans, so that what is granted can be counted.
-async fn counted() -> Town {
+async fn counted() -> LocalCluster {
     town(json!([{"Name": "five", "UnitsPerS": 0.005, "PeakUnits": 5.0, "ValueFactor": 1.0},
                 {"Name": "two", "UnitsPerS": 0.005, "PeakUnits": 2.0, "ValueFactor": 1.0},
                 {"Name": "capped", "UnitsPerS": 1e4, "PeakUnits": 1e4, "ValueFactor": 1.0, "CapRate": 1e4,
@@ -116,7 +122,7 @@
     .await
 }
 
-async fn ok(town: &Town, call: RateLimitRequest) -> bool {
+async fn ok(town: &LocalCluster, call: RateLimitRequest) -> bool {
     let mut client = rls_client(town.rls).expect("an address");
     let answer = client.should_rate_limit(call).await.expect("an answer");
     answer.get_ref().overall_code() == Code::Ok
@@ -127,17 +133,17 @@
 async fn what_one_protocol_took_the_other_cannot() {
     let mut town = counted().await;
     let shop = shop("five", 3);
-    let pool = Pool::new(town.gatekeepers[0].resp);
+    let pool = ClientPool::new(town.gatekeepers[0].resp);
     for _ in 0..2 {
-        let answer = pool.ask(&shop, "formula-read", None, 1, Duration::from_millis(900)).await;
+        let answer = pool.send_request(&shop, "formula-read", None, 1, Duration::from_millis(900)).await;
         assert!(matches!(answer, Ok(Answer::Served(_))), "{answer:?}");
     }
     let mut granted = 0;
     for _ in 0..8 {
-        granted += u32::from(ok(&town, call(&shop, true, 1)).await);
+        granted += u32::from(ok(&town, rate_limit_call(&shop, true, 1)).await);
     }
     assert_eq!(granted, 3);
-    let answer = pool.ask(&shop, "formula-read", None, 1, Duration::from_millis(900)).await;
+    let answer = pool.send_request(&shop, "formula-read", None, 1, Duration::from_millis(900)).await;
     assert!(matches!(answer, Ok(Answer::Busy(Some(ms))) if ms > 100_000), "{answer:?}");
     town.stop().await;
 }
@@ -146,10 +152,10 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_call_of_several_descriptors_is_charged_whole_or_not_at_all() {
     let mut town = counted().await;
-    let five = call(&shop("five", 3), true, 1);
+    let five = rate_limit_call(&shop("five", 3), true, 1);
     let two = Shop { id: "0000000000000002".into(), ..shop("two", 3) };
     let mut both = five.clone();
-    both.descriptors.extend(call(&two, true, 1).descriptors);
+    both.descriptors.extend(rate_limit_call(&two, true, 1).descriptors);
     assert!(ok(&town, both.clone()).await && ok(&town, both.clone()).await);
     for _ in 0..20 {
         assert!(!ok(&town, both.clone()).await, "the second shop has nothing left");
@@ -165,7 +171,7 @@
     town.stop().await;
 }
 
-async fn status(town: &Town) -> frostvale_proto::agent::StatusResponse {
+async fn status(town: &LocalCluster) -> frostvale_proto::agent::StatusResponse {
     let mut agent = frostvale_agent::serve::control(&town.control).await.expect("an agent");
     agent.status(frostvale_proto::agent::StatusRequest {}).await.expect("an answer").into_inner()
 }
@@ -176,9 +182,9 @@
     let mut town = counted().await;
     // Its set is one gatekeeper alone, and not the first of the default set.
     let alone = Shop { id: SHOP.into(), plan: "five".into(), first: 2, spread: 1 };
-    let pool = Pool::new(town.gatekeepers[2].resp);
+    let pool = ClientPool::new(town.gatekeepers[2].resp);
     for _ in 0..4 {
-        let answer = pool.ask(&alone, "formula-read", None, 1, Duration::from_millis(900)).await;
+        let answer = pool.send_request(&alone, "formula-read", None, 1, Duration::from_millis(900)).await;
         assert!(matches!(answer, Ok(Answer::Served(_))), "{answer:?}");
     }
     let mut seen = status(&town).await.sets;
@@ -188,7 +194,7 @@
     }
     let mut granted = 0;
     for _ in 0..5 {
-        granted += u32::from(ok(&town, call(&alone, false, 1)).await);
+        granted += u32::from(ok(&town, rate_limit_call(&alone, false, 1)).await);
     }
     assert_eq!(granted, 1, "four of the five are gone by RESP2");
     town.stop().await;
@@ -199,7 +205,7 @@
 async fn calls_that_cannot_be_read_are_invalid_and_cost_nothing() {
     let mut town = counted().await;
     let mut client = rls_client(town.rls).expect("an address");
-    let good = call(&shop("five", 3), true, 1);
+    let good = rate_limit_call(&shop("five", 3), true, 1);
     let mut wrong = Vec::new();
     let mut no_domain = good.clone();
     no_domain.domain.clear();
@@ -211,14 +217,14 @@
     many.descriptors = vec![good.descriptors[0].clone(); 17];
     wrong.push((many, "descriptors: 17 of them; 1 to 16"));
     wrong.push((
-        call(&Shop { id: "zz".into(), ..shop("five", 3) }, true, 1),
+        rate_limit_call(&Shop { id: "zz".into(), ..shop("five", 3) }, true, 1),
         "descriptors[0].entries[0].value",
     ));
-    wrong.push((call(&shop("five", 9), true, 1), "no number from 1 to 3"));
-    wrong.push((call(&shop("five", 3), true, 5), "hits_addend: 5; 0 to 4"));
+    wrong.push((rate_limit_call(&shop("five", 9), true, 1), "no number from 1 to 3"));
+    wrong.push((rate_limit_call(&shop("five", 3), true, 5), "hits_addend: 5; 0 to 4"));
     // The last of several is wrong: the first must not be charged either.
     let mut late = good.clone();
-    late.descriptors.extend(call(&shop("five", 9), true, 1).descriptors);
+    late.descriptors.extend(rate_limit_call(&shop("five", 9), true, 1).descriptors);
     wrong.push((late, "descriptors[1]"));
     let count = wrong.len() as u64;
     for (call, word) in wrong {
@@ -226,7 +232,7 @@
         assert_eq!(said.code(), tonic::Code::InvalidArgument);
         assert!(said.message().contains(word), "{}", said.message());
     }
-    assert!(ok(&town, call(&shop("gold", 3), true, 1)).await);
+    assert!(ok(&town, rate_limit_call(&shop("gold", 3), true, 1)).await);
     let mut granted = 0;
     for _ in 0..8 {
         granted += u32::from(ok(&town, good.clone()).await);
--- a/crates/agent/tests/record.rs
+++ b/crates/agent/tests/record.rs
@@ -1,16 +1,18 @@
 //! The store of record under failures, over real gatekeepers, real agents and both databases: what was sent is what is
 //! kept, whatever dies, and RESP2 traffic does not notice.
 
-mod kept;
+mod record_harness;
 
 use frostvale_record::model::{Change, Plan as KeptPlan};
 use frostvale_record::{Backend, Op, Reply};
+use frostvale_standin::client::{ClientPool, Shop, rate_limit_call, rls_client};
 use frostvale_standin::clock::unix_ms;
-use frostvale_standin::formula::Options;
-use frostvale_standin::load::{Pool, Shop, call, rls_client};
+use frostvale_standin::formula_server::ServerOptions;
+use frostvale_standin::local_cluster::{ClusterOptions, LocalCluster};
 use frostvale_standin::resp::Answer;
-use frostvale_standin::town::{Plan, Town};
-use kept::{Kept, Load, SHOP, WAIT, booked, ledger, plans, served, shop, status, until};
+use record_harness::{
+    Load, RecordHarness, SHOP, WAIT, ledger, plans, served, shop, status, units_by_shop, until,
+};
 use std::collections::BTreeMap;
 use std::path::Path;
 use std::sync::Arc;
@@ -19,9 +21,9 @@
 
 // ---- exact, and by both protocols ----
 
-async fn use_is_kept_to_the_unit(kept: Kept) {
-    let mut town = kept.town(2).await;
-    let pool = Pool::new(town.gatekeepers[0].resp);
+async fn use_is_kept_to_the_unit(kept: RecordHarness) {
+    let mut town = kept.cluster(2).await;
+    let pool = ClientPool::new(town.gatekeepers[0].resp);
     for k in 0..60 {
         assert!(served(&pool, &shop(k % 7, "wide")).await);
     }
@@ -32,13 +34,13 @@
     // Checks count as well; those that are given back do not.
     let mut client = rls_client(town.rls).expect("an address");
     for _ in 0..5 {
-        client.should_rate_limit(call(&shop(200, "wide"), true, 2)).await.expect("an answer");
+        client.should_rate_limit(rate_limit_call(&shop(200, "wide"), true, 2)).await.expect("an answer");
     }
-    let mut both = call(&shop(201, "wide"), true, 1);
-    both.descriptors.extend(call(&shop(100, "ten"), true, 1).descriptors);
+    let mut both = rate_limit_call(&shop(201, "wide"), true, 1);
+    both.descriptors.extend(rate_limit_call(&shop(100, "ten"), true, 1).descriptors);
     client.should_rate_limit(both).await.expect("an answer");
     let backend = kept.open().await;
-    let wanted = booked(&town);
+    let wanted = units_by_shop(&town);
     let found = until("all landed", async || {
         let found = ledger(&*backend).await;
         let passed: i64 = found.values().map(|v| v.0).sum();
@@ -55,8 +57,8 @@
     let pid = town.gatekeepers[0].process.pid();
     assert!(served(&pool, &shop(1, "wide")).await);
     town.gatekeepers[0].process.signal("TERM").await;
-    assert!(town.gatekeepers[0].process.ended().await.expect("ended").success(), "{pid:?}");
-    let wanted: i64 = booked(&town).values().sum();
+    assert!(town.gatekeepers[0].process.wait().await.expect("ended").success(), "{pid:?}");
+    let wanted: i64 = units_by_shop(&town).values().sum();
     until("the last word has landed", async || {
         let found: i64 = ledger(&*backend).await.values().map(|v| v.0).sum();
         (found == wanted + 10_000).then_some(())
@@ -71,12 +73,12 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn use_is_kept_to_the_unit_in_sqlite() {
-    use_is_kept_to_the_unit(Kept::sqlite()).await;
+    use_is_kept_to_the_unit(RecordHarness::sqlite()).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn use_is_kept_to_the_unit_in_postgres() {
-    use_is_kept_to_the_unit(Kept::postgres().await).await;
+    use_is_kept_to_the_unit(RecordHarness::postgres().await).await;
 }
 
 // ---- plans ----
@@ -97,18 +99,18 @@
 /// A plan that is set reaches all gatekeepers while they serve, and the one that restarts, also with the database gone.
 #[tokio::test(flavor = "multi_thread")]
 async fn recorded_plans_reach_gatekeepers_in_service_and_after_a_restart_without_the_database() {
-    let mut kept = Kept::postgres().await;
-    let mut town = kept.town(2).await;
+    let mut kept = RecordHarness::postgres().await;
+    let mut town = kept.cluster(2).await;
     let backend = kept.open().await;
     backend.run(set(1, "one", 0)).await.expect("set");
     for g in &mut town.gatekeepers {
-        g.process.says("the plans of revision 1 are in effect").await.expect("taken");
+        g.process.wait_for_log("the plans of revision 1 are in effect").await.expect("taken");
     }
-    let granted = async |town: &Town, shop: Shop| {
+    let granted = async |town: &LocalCluster, shop: Shop| {
         let mut client = rls_client(town.rls).expect("an address");
         let mut granted = 0;
         for _ in 0..12 {
-            let answer = client.should_rate_limit(call(&shop, true, 1)).await.expect("an answer");
+            let answer = client.should_rate_limit(rate_limit_call(&shop, true, 1)).await.expect("an answer");
             granted += u32::from(answer.get_ref().overall_code as i32 == 1);
         }
         granted
@@ -119,7 +121,7 @@
     kept.server.take().expect("a server").kill().await;
     town.gatekeepers[0].process.kill().await;
     town.restart_gatekeeper(0).await.expect("started");
-    town.gatekeepers[0].process.says("the plans of revision 1 are in effect").await.expect("taken");
+    town.gatekeepers[0].process.wait_for_log("the plans of revision 1 are in effect").await.expect("taken");
     assert_eq!(granted(&town, shop(2, "ten")).await, 3);
     let away = until("away", async || status(&town).await.filter(|r| r.state == "away")).await;
     assert!(away.revision == 1 && !away.problem.is_empty(), "{away:?}");
@@ -129,7 +131,7 @@
     let backend = kept.open().await;
     backend.run(set(2, "two", 1)).await.expect("set");
     for g in &mut town.gatekeepers {
-        g.process.says("the plans of revision 2 are in effect").await.expect("taken");
+        g.process.wait_for_log("the plans of revision 2 are in effect").await.expect("taken");
     }
     town.stop().await;
 }
@@ -137,17 +139,17 @@
 /// Two agents of two hosts over one database: whichever wins, all gatekeepers end on the same revision.
 #[tokio::test(flavor = "multi_thread")]
 async fn gatekeepers_of_two_agents_end_on_the_same_revision() {
-    let kept = Kept::postgres().await;
-    let one = kept.town(1).await;
+    let kept = RecordHarness::postgres().await;
+    let one = kept.cluster(1).await;
     let spool = kept.path("spool2.db");
-    let extra = kept.agent_extra().replace("spool.db", "spool2.db");
+    let extra = kept.agent_settings().replace("spool.db", "spool2.db");
     assert!(extra.contains(&spool.display().to_string()));
-    let other = Town::start(Plan {
+    let other = LocalCluster::start(ClusterOptions {
         gatekeepers: 1,
         servers: 1,
         plans: Some(plans()),
-        agent_extra: extra,
-        ..Plan::default()
+        agent_settings: extra,
+        ..ClusterOptions::default()
     })
     .await
     .expect("started");
@@ -167,7 +169,7 @@
         let [Reply::Revision(revision)] = won[..] else { panic!("{won:?}") };
         for town in &mut towns {
             let text = format!("the plans of revision {revision} are in effect");
-            town.gatekeepers[0].process.says(&text).await.expect("taken");
+            town.gatekeepers[0].process.wait_for_log(&text).await.expect("taken");
         }
         base = revision;
     }
@@ -178,11 +180,15 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn without_a_council_a_plan_that_is_set_for_later_leaves_what_is_in_effect() {
-    let kept = Kept::postgres().await;
-    let mut town = kept.town(1).await;
+    let kept = RecordHarness::postgres().await;
+    let mut town = kept.cluster(1).await;
     let record = kept.open().await;
     record.run(set(100, "one", 0)).await.expect("set");
-    town.gatekeepers[0].process.says("the plans of revision 1 are in effect").await.expect("published");
+    town.gatekeepers[0]
+        .process
+        .wait_for_log("the plans of revision 1 are in effect")
+        .await
+        .expect("published");
     let Op::SetPlan(next, change) = set(200, "two", 1) else { unreachable!() };
     let now_ms = i64::try_from(frostvale_standin::clock::unix_ms()).expect("a time");
     let soon = frostvale_record::model::Plan { from_ms: now_ms + 2000, ..next };
@@ -190,7 +196,11 @@
     tokio::time::sleep(Duration::from_secs(1)).await;
     let log = town.gatekeepers[0].process.log();
     assert!(log.iter().all(|l| !l.contains("revision 2 are in effect")), "{log:?}");
-    town.gatekeepers[0].process.says("the plans of revision 2 are in effect").await.expect("at its time");
+    town.gatekeepers[0]
+        .process
+        .wait_for_log("the plans of revision 2 are in effect")
+        .await
+        .expect("at its time");
     town.stop().await;
 }
 
@@ -199,8 +209,8 @@
 /// RESP2 requests are served as before, use waits in the spool, and all of it lands when the database is back.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_database_that_is_slow_hung_or_dead_is_not_noticed_by_requests_and_all_lands_after() {
-    let mut kept = Kept::postgres().await;
-    let mut town = kept.town(2).await;
+    let mut kept = RecordHarness::postgres().await;
+    let mut town = kept.cluster(2).await;
     let load = Load::start(&town, 8);
     load.more(50).await;
     let faults = kept.server.as_ref().expect("a server").faults.clone();
@@ -223,7 +233,7 @@
     load.more(100).await;
     load.stop().await;
     let backend = kept.open().await;
-    let wanted = booked(&town);
+    let wanted = units_by_shop(&town);
     until("all landed", async || {
         let found = ledger(&*backend).await;
         let found: BTreeMap<String, i64> = found.into_iter().map(|(shop, v)| (shop, v.0)).collect();
@@ -237,38 +247,45 @@
 /// A full spool says so, acknowledges nothing more, and loses nothing: gatekeepers hold their use.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_full_spool_says_what_would_be_lost_and_loses_nothing() {
-    let mut kept = Kept::postgres().await;
+    let mut kept = RecordHarness::postgres().await;
     let at = kept.at();
     kept.server.take().expect("a server").kill().await;
-    let extra = kept.agent_extra().replace("poll_ms", "spool_mb = 1\npoll_ms");
-    let plan = Plan {
+    let extra = kept.agent_settings().replace("poll_ms", "spool_mb = 1\npoll_ms");
+    let plan = ClusterOptions {
         gatekeepers: 1,
         servers: 3,
-        formula: Options { cores: 8, work: Duration::from_millis(2), queue: 1000, ..Options::default() },
+        formula: ServerOptions {
+            cores: 8,
+            work: Duration::from_millis(2),
+            queue: 1000,
+            ..ServerOptions::default()
+        },
         plans: Some(plans()),
-        gatekeeper_extra: "[usage]\nreport_ms = 10\n".into(),
-        agent_extra: extra,
-        ..Plan::default()
+        gatekeeper_settings: "[usage]\nreport_ms = 10\n".into(),
+        agent_settings: extra,
+        ..ClusterOptions::default()
     };
-    let mut town = Town::start(plan).await.expect("started with no database at all");
+    let mut town = LocalCluster::start(plan).await.expect("started with no database at all");
     // Many shops make long batches.
     let stop = Arc::new(AtomicBool::new(false));
     let mut tasks = Vec::new();
     for c in 0..32u64 {
-        let (stop, pool) = (stop.clone(), Pool::new(town.gatekeepers[0].resp));
+        let (stop, pool) = (stop.clone(), ClientPool::new(town.gatekeepers[0].resp));
         tasks.push(tokio::spawn(async move {
             let mut k = c;
             while !stop.load(Ordering::Relaxed) {
                 k += 32;
-                let answer =
-                    pool.ask(&shop(k, "wide"), "formula-read", None, 1, WAIT).await.expect("an answer");
+                let answer = pool
+                    .send_request(&shop(k, "wide"), "formula-read", None, 1, WAIT)
+                    .await
+                    .expect("an answer");
                 assert!(!matches!(answer, Answer::Failed(_)), "{answer:?}");
             }
         }));
     }
     let agent = town.agent.as_mut().expect("an agent");
-    agent.says("fills").await.expect("warned before");
-    agent.says("the spool is full").await.expect("told");
+    agent.wait_for_log("fills").await.expect("warned before");
+    agent.wait_for_log("the spool is full").await.expect("told");
     let before = status(&town).await.expect("a record");
     assert!(before.spool_bytes <= 1 << 20, "{before:?}");
     stop.store(true, Ordering::Relaxed);
@@ -277,7 +294,7 @@
     }
     kept.restart_server(at).await;
     let backend = kept.open().await;
-    let wanted: i64 = booked(&town).values().sum();
+    let wanted: i64 = units_by_shop(&town).values().sum();
     until("all landed", async || {
         let found: i64 = ledger(&*backend).await.values().map(|v| v.0).sum();
         assert!(found <= wanted, "{found} of {wanted}: counted twice");
@@ -298,8 +315,8 @@
 /// Kills of the database, the agent and gatekeepers at seeded moments under load. Afterwards the ledger is what the
 /// formula servers booked, less only what killed gatekeepers had not reported: never more, and each such life is a gap.
 async fn kills(schedules: u64, gatekeepers_too: bool) {
-    let mut kept = Kept::postgres().await;
-    let mut town = kept.town(2).await;
+    let mut kept = RecordHarness::postgres().await;
+    let mut town = kept.cluster(2).await;
     let load = Load::start(&town, 8);
     let mut seed = 20_261_201;
     let mut killed = 0u64;
@@ -345,7 +362,7 @@
         (empty && last.1.elapsed() > Duration::from_millis(500)).then_some(found)
     })
     .await;
-    let wanted = booked(&town);
+    let wanted = units_by_shop(&town);
     let mut missing = 0;
     for (shop, (passed, _)) in &found {
         let most = wanted.get(shop).copied().unwrap_or(0);
@@ -391,16 +408,16 @@
 /// A gatekeeper in a restart loop: its shop's ceiling holds over all lives together.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_restart_loop_gains_no_fresh_burst() {
-    let kept = Kept::sqlite();
-    let mut town = kept.town(1).await;
+    let kept = RecordHarness::sqlite();
+    let mut town = kept.cluster(1).await;
     let shop = Shop { id: SHOP.into(), ..shop(0, "capped") };
     let begun = Instant::now();
     for life in 0..20 {
-        let pool = Pool::new(town.gatekeepers[0].resp);
+        let pool = ClientPool::new(town.gatekeepers[0].resp);
         for _ in 0..60 {
             served(&pool, &shop).await;
         }
-        let passed = town.units().get(SHOP).copied().unwrap_or(0.0);
+        let passed = town.units_by_shop().get(SHOP).copied().unwrap_or(0.0);
         // Rate and burst 20, slack 4.
         let most = 20.0 * begun.elapsed().as_secs_f64() + 20.0 + 4.0;
         assert!(passed <= most, "{passed} units after {life} restarts, {most} at most");
@@ -414,24 +431,24 @@
 /// is not that one. The shop asks only once the restored stores have arrived, in each of four lives.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_killed_gatekeepers_slice_is_not_restored_as_it_was_last_told() {
-    let kept = Kept::sqlite();
-    let mut town = kept.town(1).await;
+    let kept = RecordHarness::sqlite();
+    let mut town = kept.cluster(1).await;
     let backend = kept.open().await;
     let shop = Shop { id: SHOP.into(), ..shop(0, "capped") };
     let begun = Instant::now();
-    let burst = async |town: &Town, what: &str| {
-        let pool = Pool::new(town.gatekeepers[0].resp);
+    let burst = async |town: &LocalCluster, what: &str| {
+        let pool = ClientPool::new(town.gatekeepers[0].resp);
         for _ in 0..60 {
             served(&pool, &shop).await;
         }
-        let passed = town.units().get(SHOP).copied().unwrap_or(0.0);
+        let passed = town.units_by_shop().get(SHOP).copied().unwrap_or(0.0);
         // Rate and burst 20, slack 4.
         let most = 20.0 * begun.elapsed().as_secs_f64() + 20.0 + 4.0;
         assert!(passed <= most, "{what}: {passed} units, {most} at the most");
     };
     for _ in 0..4 {
         // The slice fills, one request is seen to leave much of it, and that is told and kept.
-        let pool = Pool::new(town.gatekeepers[0].resp);
+        let pool = ClientPool::new(town.gatekeepers[0].resp);
         served(&pool, &shop).await;
         let first_ms = i64::try_from(unix_ms()).expect("a time");
         tokio::time::sleep(Duration::from_millis(1200)).await;
@@ -447,7 +464,7 @@
         town.gatekeepers[0].process.kill().await;
         town.restart_gatekeeper(0).await.expect("started");
         town.start_agent().await.expect("started");
-        town.agent.as_mut().expect("an agent").says("stores are restored").await.expect("restored");
+        town.agent.as_mut().expect("an agent").wait_for_log("stores are restored").await.expect("restored");
         // Until the restored stores have arrived it may be too early to ask.
         tokio::time::sleep(Duration::from_millis(200)).await;
         burst(&town, "after the restart").await;
@@ -458,20 +475,20 @@
 /// A quota's store is not full again after a restart, and after one in order it is exactly what it was.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_store_that_was_spent_is_still_spent_after_a_restart() {
-    let kept = Kept::sqlite();
-    let mut town = kept.town(1).await;
+    let kept = RecordHarness::sqlite();
+    let mut town = kept.cluster(1).await;
     let backend = kept.open().await;
     let ten = shop(5, "ten");
-    let pool = Pool::new(town.gatekeepers[0].resp);
+    let pool = ClientPool::new(town.gatekeepers[0].resp);
     for _ in 0..7 {
         assert!(served(&pool, &ten).await);
     }
     town.gatekeepers[0].process.signal("TERM").await;
-    town.gatekeepers[0].process.ended().await;
+    town.gatekeepers[0].process.wait().await;
     town.restart_gatekeeper(0).await.expect("started");
     let agent = town.agent.as_mut().expect("an agent");
-    agent.says("stores are restored").await.expect("restored");
-    let pool = Pool::new(town.gatekeepers[0].resp);
+    agent.wait_for_log("stores are restored").await.expect("restored");
+    let pool = ClientPool::new(town.gatekeepers[0].resp);
     // Until the restored stores have arrived it may be too early to ask.
     tokio::time::sleep(Duration::from_millis(200)).await;
     let mut left = 0;
@@ -490,9 +507,9 @@
     town.gatekeepers[0].process.kill().await;
     town.restart_gatekeeper(0).await.expect("started");
     town.start_agent().await.expect("started");
-    town.agent.as_mut().expect("an agent").says("stores are restored").await.expect("restored");
+    town.agent.as_mut().expect("an agent").wait_for_log("stores are restored").await.expect("restored");
     tokio::time::sleep(Duration::from_millis(200)).await;
-    let pool = Pool::new(town.gatekeepers[0].resp);
+    let pool = ClientPool::new(town.gatekeepers[0].resp);
     assert!(!served(&pool, &ten).await, "nothing is left, also by the database's word");
     town.stop().await;
 }
@@ -500,8 +517,8 @@
 /// Hosts whose clocks are 90 s ahead and 90 s behind: lives, batches and stores are told apart all the same.
 #[tokio::test(flavor = "multi_thread")]
 async fn clocks_that_are_ninety_seconds_off_lose_nothing_and_count_nothing_twice() {
-    let kept = Kept::sqlite();
-    let mut town = kept.town_of_clocks(vec![90_000, -90_000]).await;
+    let kept = RecordHarness::sqlite();
+    let mut town = kept.cluster_with_clocks(vec![90_000, -90_000]).await;
     let load = Load::start(&town, 4);
     load.more(100).await;
     for k in 0..2 {
@@ -509,7 +526,7 @@
         load.more(50).await;
         town.start_agent().await.expect("started");
         town.gatekeepers[k].process.signal("TERM").await;
-        town.gatekeepers[k].process.ended().await;
+        town.gatekeepers[k].process.wait().await;
         town.restart_gatekeeper(k).await.expect("started");
         load.more(100).await;
     }
@@ -517,16 +534,16 @@
     // A store that was spent stays spent over a life by a clock that is ahead, as by one that is behind.
     for k in 0..2 {
         let ten = Shop { first: k as u32, ..shop(60 + k as u64, "ten") };
-        let pool = Pool::new(town.gatekeepers[k].resp);
+        let pool = ClientPool::new(town.gatekeepers[k].resp);
         for _ in 0..7 {
             assert!(served(&pool, &ten).await);
         }
         town.gatekeepers[k].process.signal("TERM").await;
-        town.gatekeepers[k].process.ended().await;
+        town.gatekeepers[k].process.wait().await;
         town.restart_gatekeeper(k).await.expect("started");
         let agent = town.agent.as_mut().expect("an agent");
-        agent.says(&format!("n{}: ", k + 1)).await.expect("restored");
-        let pool = Pool::new(town.gatekeepers[k].resp);
+        agent.wait_for_log(&format!("n{}: ", k + 1)).await.expect("restored");
+        let pool = ClientPool::new(town.gatekeepers[k].resp);
         tokio::time::sleep(Duration::from_millis(200)).await;
         let mut left = 0;
         for _ in 0..10 {
@@ -542,7 +559,7 @@
         .map(|(shop, v)| (shop, v.0))
         .filter(|(_, passed)| *passed > 0)
         .collect();
-    assert_eq!(found, booked(&town));
+    assert_eq!(found, units_by_shop(&town));
     assert_eq!(backend.run(Op::Gaps).await, Ok(Reply::Gaps(Vec::new())));
 }
 
--- a/crates/agent/tests/kept/mod.rs
+++ b/crates/agent/tests/record_harness/mod.rs
@@ -3,12 +3,12 @@
 #![allow(dead_code, reason = "each test uses a part of it")]
 
 use frostvale_proto::agent::{Record, StatusRequest};
-use frostvale_record::{Backend, Op, Place, Reply};
-use frostvale_standin::formula::Options;
-use frostvale_standin::load::{Pool, Shop};
+use frostvale_record::{Backend, Op, RecordLocation, Reply};
+use frostvale_standin::client::{ClientPool, Shop};
+use frostvale_standin::formula_server::ServerOptions;
+use frostvale_standin::local_cluster::{ClusterOptions, LocalCluster, scratch_folder};
 use frostvale_standin::postgres::{Login, Postgres};
 use frostvale_standin::resp::Answer;
-use frostvale_standin::town::{Plan, Town, scratch_folder};
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -31,33 +31,33 @@
 }
 
 /// A database of a test, and the town over it.
-pub struct Kept {
+pub struct RecordHarness {
     pub folder: tempfile::TempDir,
     pub server: Option<Postgres>,
-    pub place: Place,
+    pub location: RecordLocation,
 }
 
-impl Kept {
-    pub fn sqlite() -> Kept {
+impl RecordHarness {
+    pub fn sqlite() -> RecordHarness {
         let folder = tempfile::tempdir_in(scratch_folder()).expect("a folder");
-        let place = Place::new(&format!("sqlite:{}", folder.path().join("record.db").display()));
-        Kept { folder, server: None, place }
+        let location = RecordLocation::new(&format!("sqlite:{}", folder.path().join("record.db").display()));
+        RecordHarness { folder, server: None, location }
     }
 
-    pub async fn postgres() -> Kept {
+    pub async fn postgres() -> RecordHarness {
         let folder = tempfile::tempdir_in(scratch_folder()).expect("a folder");
         let file = folder.path().join("pg.db");
         let server = Postgres::start(Ipv4Addr::LOCALHOST.into(), &file, PASSWORD, Login::Scram).await;
         let server = server.expect("started");
         let password = folder.path().join("password");
         std::fs::write(&password, PASSWORD).expect("written");
-        let place = Place {
+        let location = RecordLocation {
             password_file: Some(password),
-            connect: Duration::from_millis(500),
-            statement: Duration::from_millis(1000),
-            ..Place::new(&format!("postgres://agent@{}/frostvale", server.at))
+            connect_timeout: Duration::from_millis(500),
+            statement_timeout: Duration::from_millis(1000),
+            ..RecordLocation::new(&format!("postgres://agent@{}/frostvale", server.at))
         };
-        Kept { folder, server: Some(server), place }
+        RecordHarness { folder, server: Some(server), location }
     }
 
     pub fn path(&self, name: &str) -> PathBuf {
@@ -73,32 +73,32 @@
         self.server = Some(server.expect("started"));
     }
 
-    pub fn agent_extra(&self) -> String {
-        let password = self.place.password_file.as_ref();
+    pub fn agent_settings(&self) -> String {
+        let password = self.location.password_file.as_ref();
         let password = password.map_or(String::new(), |p| format!("password_file = {p:?}\n"));
         format!(
             "[record]\nurl = {:?}\n{password}spool = {:?}\nconnect_ms = 500\nstatement_ms = 1000\npoll_ms = 100\n",
-            self.place.url,
+            self.location.url,
             self.path("spool.db"),
         )
     }
 
-    pub async fn town(&self, gatekeepers: usize) -> Town {
-        self.town_under(gatekeepers, Vec::new()).await
+    pub async fn cluster(&self, gatekeepers: usize) -> LocalCluster {
+        self.cluster_under(gatekeepers, Vec::new()).await
     }
 
     /// With something in front of each program.
-    pub async fn town_under(&self, gatekeepers: usize, launcher: Vec<String>) -> Town {
+    pub async fn cluster_under(&self, gatekeepers: usize, launcher: Vec<String>) -> LocalCluster {
         self.start(gatekeepers, "[usage]\nreport_ms = 50\n", launcher, Vec::new()).await
     }
 
     /// One gatekeeper, with another section of its own file.
-    pub async fn town_with(&self, gatekeeper_extra: &str, launcher: Vec<String>) -> Town {
+    pub async fn cluster_with(&self, gatekeeper_extra: &str, launcher: Vec<String>) -> LocalCluster {
         self.start(1, gatekeeper_extra, launcher, Vec::new()).await
     }
 
     /// On hosts whose clocks are ahead by so many ms.
-    pub async fn town_of_clocks(&self, clocks_ahead_ms: Vec<i64>) -> Town {
+    pub async fn cluster_with_clocks(&self, clocks_ahead_ms: Vec<i64>) -> LocalCluster {
         self.start(clocks_ahead_ms.len(), "[usage]\nreport_ms = 50\n", Vec::new(), clocks_ahead_ms).await
     }
 
@@ -108,18 +108,23 @@
         gatekeeper_extra: &str,
         launcher: Vec<String>,
         clocks_ahead_ms: Vec<i64>,
-    ) -> Town {
-        let formula = Options { cores: 8, work: Duration::from_millis(2), queue: 1000, ..Options::default() };
-        Town::start(Plan {
+    ) -> LocalCluster {
+        let formula = ServerOptions {
+            cores: 8,
+            work: Duration::from_millis(2),
+            queue: 1000,
+            ..ServerOptions::default()
+        };
+        LocalCluster::start(ClusterOptions {
             gatekeepers,
             servers: 3,
             formula,
             plans: Some(plans()),
-            gatekeeper_extra: gatekeeper_extra.into(),
+            gatekeeper_settings: gatekeeper_extra.into(),
             clocks_ahead_ms,
-            agent_extra: self.agent_extra(),
+            agent_settings: self.agent_settings(),
             launcher,
-            ..Plan::default()
+            ..ClusterOptions::default()
         })
         .await
         .expect("started")
@@ -127,7 +132,7 @@
 
     /// A view of the database of its own.
     pub async fn open(&self) -> Arc<dyn Backend> {
-        let backend = self.place.open().await.expect("opened");
+        let backend = self.location.open().await.expect("opened");
         backend.migrate().await.expect("migrated");
         backend
     }
@@ -150,8 +155,8 @@
     all
 }
 
-pub fn booked(town: &Town) -> BTreeMap<String, i64> {
-    town.units().into_iter().map(|(shop, units)| (shop, (units * 1000.0).round() as i64)).collect()
+pub fn units_by_shop(town: &LocalCluster) -> BTreeMap<String, i64> {
+    town.units_by_shop().into_iter().map(|(shop, units)| (shop, (units * 1000.0).round() as i64)).collect()
 }
 
 /// Looks again until it is so.
@@ -166,7 +171,7 @@
     }
 }
 
-pub async fn status(town: &Town) -> Option<Record> {
+pub async fn status(town: &LocalCluster) -> Option<Record> {
     let mut agent = frostvale_agent::serve::control(&town.control).await.ok()?;
     agent.status(StatusRequest {}).await.ok()?.into_inner().record
 }
@@ -175,8 +180,8 @@
     Shop { id: format!("{:016x}", 0xb4d6_5521 + k), plan: plan.into(), first: 0, spread: 1 }
 }
 
-pub async fn served(pool: &Pool, shop: &Shop) -> bool {
-    match pool.ask(shop, "formula-read", None, 1, WAIT).await.expect("an answer") {
+pub async fn served(pool: &ClientPool, shop: &Shop) -> bool {
+    match pool.send_request(shop, "formula-read", None, 1, WAIT).await.expect("an answer") {
         Answer::Served(_) => true,
         Answer::Busy(_) => false,
         Answer::Failed(line) => panic!("{line}"),
@@ -191,17 +196,17 @@
 }
 
 impl Load {
-    pub fn start(town: &Town, clients: u64) -> Load {
+    pub fn start(town: &LocalCluster, clients: u64) -> Load {
         let (stop, served) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicU64::new(0)));
         let all: Vec<SocketAddr> = town.gatekeepers.iter().map(|g| g.resp).collect();
         let client = |k: u64| {
             let (stop, served) = (stop.clone(), served.clone());
             let at = k as usize % all.len();
-            let pool = Pool::new(all[at]);
+            let pool = ClientPool::new(all[at]);
             let shop = Shop { first: at as u32, ..shop(k, "wide") };
             tokio::spawn(async move {
                 while !stop.load(Ordering::Relaxed) {
-                    match pool.ask(&shop, "formula-read", None, 1, WAIT).await {
+                    match pool.send_request(&shop, "formula-read", None, 1, WAIT).await {
                         Ok(Answer::Served(_)) => drop(served.fetch_add(1, Ordering::Relaxed)),
                         Ok(_) => {}
                         Err(_) => tokio::time::sleep(Duration::from_millis(10)).await,
--- a/crates/agent/tests/stops.rs
+++ b/crates/agent/tests/shutdown.rs
@@ -1,15 +1,15 @@
 //! Ends in order, in any order: what gatekeepers passed until their last request is in the record, once.
 
-mod kept;
+mod record_harness;
 
-use frostvale_link::left;
+use frostvale_link::final_report;
 use frostvale_record::{Backend, Op, Reply};
-use frostvale_standin::load::Pool;
-use frostvale_standin::town::Town;
-use kept::{Kept, LONG, Load, booked, ledger, served, shop, status, until};
+use frostvale_standin::client::ClientPool;
+use frostvale_standin::local_cluster::LocalCluster;
 use rand::rngs::StdRng;
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
+use record_harness::{LONG, Load, RecordHarness, ledger, served, shop, status, units_by_shop, until};
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -35,16 +35,17 @@
     assert_eq!(backend.run(Op::Gaps).await, Ok(Reply::Gaps(Vec::new())), "{what}");
 }
 
-fn words(town: &Town, k: usize) -> Vec<PathBuf> {
-    left::find(&town.gatekeepers[k].socket).expect("a folder")
+fn words(town: &LocalCluster, k: usize) -> Vec<PathBuf> {
+    final_report::find_all(&town.gatekeepers[k].socket).expect("a folder")
 }
 
 /// Ends agent, gatekeepers and, where it is one of ours, the database in an order and with delays drawn from the seed,
 /// under load; then all begin again, and the record holds what was booked.
 async fn orderly_end(seed: u64) {
     let mut rng = StdRng::seed_from_u64(seed);
-    let mut kept = if rng.random_bool(0.5) { Kept::sqlite() } else { Kept::postgres().await };
-    let mut town = kept.town(2).await;
+    let mut kept =
+        if rng.random_bool(0.5) { RecordHarness::sqlite() } else { RecordHarness::postgres().await };
+    let mut town = kept.cluster(2).await;
     let load = Load::start(&town, 4);
     load.more(50).await;
     let mut parties = vec!["agent", "n1", "n2"];
@@ -71,11 +72,11 @@
         }
     }
     for g in &mut town.gatekeepers {
-        let ended = tokio::time::timeout(LONG, g.process.ended()).await.expect("it ends");
+        let ended = tokio::time::timeout(LONG, g.process.wait()).await.expect("it ends");
         assert!(ended.is_some_and(|how| how.success()), "{what}");
     }
     let agent = town.agent.as_mut().expect("an agent");
-    let ended = tokio::time::timeout(LONG, agent.ended()).await.expect("it ends");
+    let ended = tokio::time::timeout(LONG, agent.wait()).await.expect("it ends");
     assert!(ended.is_some_and(|how| how.success()), "{what}");
     load.stop().await;
     if let Some(at) = at {
@@ -87,7 +88,7 @@
     }
     town.start_agent().await.expect("started");
     let backend = kept.open().await;
-    lands(&*backend, &booked(&town), &what).await;
+    lands(&*backend, &units_by_shop(&town), &what).await;
     until("sound", async || status(&town).await.filter(|r| r.state == "sound" && r.spool_batches == 0)).await;
     no_gap(&*backend, &what).await;
     assert!((0..2).all(|k| words(&town, k).is_empty()), "{what}: taken up");
@@ -116,9 +117,9 @@
 }
 
 /// Serves some units, kills the agent, serves more, and ends the gatekeeper in order: its last word is left in a file.
-async fn left_alone(kept: &Kept, launcher: Vec<String>) -> (Town, PathBuf) {
-    let mut town = kept.town_under(1, launcher).await;
-    let pool = Pool::new(town.gatekeepers[0].resp);
+async fn left_alone(kept: &RecordHarness, launcher: Vec<String>) -> (LocalCluster, PathBuf) {
+    let mut town = kept.cluster_under(1, launcher).await;
+    let pool = ClientPool::new(town.gatekeepers[0].resp);
     for k in 0..9 {
         assert!(served(&pool, &shop(k % 3, "wide")).await);
     }
@@ -130,26 +131,26 @@
         served(&pool, &shop(9, "ten")).await;
     }
     town.gatekeepers[0].process.signal("TERM").await;
-    assert!(town.gatekeepers[0].process.ended().await.expect("ended").success());
+    assert!(town.gatekeepers[0].process.wait().await.expect("ended").success());
     let path = words(&town, 0).pop();
     (town, path.unwrap_or_default())
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn the_word_left_after_an_agent_was_killed_lands_once_with_the_next_also_if_found_twice() {
-    let kept = Kept::sqlite();
+    let kept = RecordHarness::sqlite();
     let (mut town, path) = left_alone(&kept, Vec::new()).await;
     let word = std::fs::read(&path).expect("left");
-    let wanted = booked(&town);
+    let wanted = units_by_shop(&town);
     town.restart_gatekeeper(0).await.expect("started");
     town.start_agent().await.expect("started");
     let backend = kept.open().await;
     lands(&*backend, &wanted, "the left word").await;
     assert!(!path.exists());
     // Ten units were there, seven are spent: the file says so, the new life goes on from it.
-    town.agent.as_mut().expect("an agent").says("stores are restored").await.expect("restored");
+    town.agent.as_mut().expect("an agent").wait_for_log("stores are restored").await.expect("restored");
     tokio::time::sleep(Duration::from_millis(200)).await;
-    let pool = Pool::new(town.gatekeepers[0].resp);
+    let pool = ClientPool::new(town.gatekeepers[0].resp);
     let mut more = 0;
     for _ in 0..6 {
         more += u32::from(served(&pool, &shop(9, "ten")).await);
@@ -158,7 +159,7 @@
     // Found again, as after a kill between spool and removal, by an agent that was there and by a new one.
     std::fs::write(&path, &word).expect("written");
     town.gatekeepers[0].process.signal("TERM").await;
-    town.gatekeepers[0].process.ended().await;
+    town.gatekeepers[0].process.wait().await;
     until("taken up again", async || (!path.exists()).then_some(())).await;
     std::fs::write(&path, &word).expect("written");
     town.agent.as_mut().expect("an agent").kill().await;
@@ -166,14 +167,14 @@
     town.start_agent().await.expect("started");
     until("taken up again", async || (!path.exists()).then_some(())).await;
     until("sound", async || status(&town).await.filter(|r| r.state == "sound" && r.spool_batches == 0)).await;
-    lands(&*backend, &booked(&town), "each batch once").await;
+    lands(&*backend, &units_by_shop(&town), "each batch once").await;
     no_gap(&*backend, "each life ended in order").await;
     town.stop().await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn of_a_torn_word_what_is_sound_counts_once_and_the_rest_is_a_gap() {
-    let kept = Kept::sqlite();
+    let kept = RecordHarness::sqlite();
     let (mut town, path) = left_alone(&kept, Vec::new()).await;
     let word = std::fs::read(&path).expect("left");
     std::fs::write(&path, &word[..word.len() - 3]).expect("torn");
@@ -181,35 +182,38 @@
     town.start_agent().await.expect("started");
     let backend = kept.open().await;
     // All batches stand before the tear.
-    lands(&*backend, &booked(&town), "what is sound").await;
+    lands(&*backend, &units_by_shop(&town), "what is sound").await;
     until("set aside", async || path.with_extension("torn").exists().then_some(())).await;
     // Torn within its first record it says nothing, not even whose it is.
     town.gatekeepers[0].process.signal("TERM").await;
-    town.gatekeepers[0].process.ended().await;
-    let other = left::place(&town.gatekeepers[0].socket, 5);
+    town.gatekeepers[0].process.wait().await;
+    let other = final_report::path_of(&town.gatekeepers[0].socket, 5);
     std::fs::write(&other, &word[..20]).expect("torn");
     town.restart_gatekeeper(0).await.expect("started");
     until("set aside", async || other.with_extension("torn").exists().then_some(())).await;
-    lands(&*backend, &booked(&town), "nothing twice").await;
+    lands(&*backend, &units_by_shop(&town), "nothing twice").await;
     town.stop().await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_word_of_another_instance_is_refused_and_kept() {
-    let kept = Kept::sqlite();
+    let kept = RecordHarness::sqlite();
     let (mut town, path) = left_alone(&kept, Vec::new()).await;
-    let wanted = booked(&town);
+    let wanted = units_by_shop(&town);
     // The same word, renamed as by an operator's copy, for a gatekeeper that is not its own.
-    let word = left::read(&path).expect("sound");
-    let foreign =
-        left::Left { welcome: frostvale_link::proto::Welcome { name: "n7".into(), ..word.welcome }, ..word };
+    let word = final_report::read(&path).expect("sound");
+    let foreign = final_report::FinalReport {
+        welcome: frostvale_link::proto::Welcome { name: "n7".into(), ..word.welcome },
+        ..word
+    };
     std::fs::remove_file(&path).expect("removed");
     let socket = &town.gatekeepers[0].socket;
-    let at = left::write(socket, &foreign.welcome, foreign.batches.iter(), &foreign.levels).expect("left");
+    let at =
+        final_report::write(socket, &foreign.welcome, foreign.batches.iter(), &foreign.levels).expect("left");
     town.restart_gatekeeper(0).await.expect("started");
     town.start_agent().await.expect("started");
     until("set aside", async || at.with_extension("refused").exists().then_some(())).await;
-    let pool = Pool::new(town.gatekeepers[0].resp);
+    let pool = ClientPool::new(town.gatekeepers[0].resp);
     assert!(served(&pool, &shop(50, "wide")).await);
     let backend = kept.open().await;
     until("later use lands", async || {
@@ -224,14 +228,14 @@
 /// No place for the last word: one line says what is lost, with figures, and the end is in order all the same.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_full_disk_where_the_last_word_is_left_is_one_line_with_figures() {
-    let kept = Kept::sqlite();
+    let kept = RecordHarness::sqlite();
     // Files of the gatekeeper may grow by nothing, as on a full disk; its log is a pipe.
     let script = "case \"$1\" in *frostvale) trap '' XFSZ; ulimit -f 0;; esac; exec \"$@\"";
     let launcher = ["sh", "-c", script, "sh"].map(String::from).to_vec();
     let (mut town, path) = left_alone(&kept, launcher).await;
     assert_eq!(path, Path::new(""), "nothing is left that could pass for a word");
     let process = &mut town.gatekeepers[0].process;
-    process.says("can't be left at").await.expect("told");
+    process.wait_for_log("can't be left at").await.expect("told");
     let log = process.log();
     let lines: Vec<&String> = log.iter().filter(|l| l.contains("lost to the record")).collect();
     assert_eq!(lines.len(), 1, "{log:#?}");
@@ -244,9 +248,9 @@
 }
 
 /// A town whose gatekeepers report once a minute: what is in the record was taken by the agent's own stop.
-async fn seldom_reported(kept: &Kept) -> Town {
-    let town = kept.town_with("[usage]\nreport_ms = 60000\n", Vec::new()).await;
-    let pool = Pool::new(town.gatekeepers[0].resp);
+async fn seldom_reported(kept: &RecordHarness) -> LocalCluster {
+    let town = kept.cluster_with("[usage]\nreport_ms = 60000\n", Vec::new()).await;
+    let pool = ClientPool::new(town.gatekeepers[0].resp);
     for k in 0..21 {
         assert!(served(&pool, &shop(k % 4, "wide")).await);
     }
@@ -255,17 +259,17 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_agent_that_stops_alone_takes_what_was_used_until_then() {
-    let kept = Kept::sqlite();
+    let kept = RecordHarness::sqlite();
     let mut town = seldom_reported(&kept).await;
     let backend = kept.open().await;
     let agent = town.agent.as_mut().expect("an agent");
     agent.signal("TERM").await;
-    assert!(agent.ended().await.expect("ended").success());
+    assert!(agent.wait().await.expect("ended").success());
     // Nobody else is there to land it.
     let found: i64 = ledger(&*backend).await.values().map(|v| v.0).sum();
     assert_eq!(found, 21_000);
     // The gatekeeper goes on, and the next agent gets what came since.
-    let pool = Pool::new(town.gatekeepers[0].resp);
+    let pool = ClientPool::new(town.gatekeepers[0].resp);
     assert!(served(&pool, &shop(9, "wide")).await);
     town.start_agent().await.expect("started");
     town.stop().await;
@@ -276,14 +280,14 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_agent_that_stops_with_its_gatekeepers_takes_their_last_words_first() {
-    let kept = Kept::sqlite();
+    let kept = RecordHarness::sqlite();
     let mut town = seldom_reported(&kept).await;
     let backend = kept.open().await;
     // The agent hears of it first: it waits, and the gatekeeper that stops a moment later still finds it.
     town.agent.as_ref().expect("an agent").signal("TERM").await;
     town.gatekeepers[0].process.signal("TERM").await;
-    assert!(town.gatekeepers[0].process.ended().await.expect("ended").success());
-    assert!(town.agent.as_mut().expect("an agent").ended().await.expect("ended").success());
+    assert!(town.gatekeepers[0].process.wait().await.expect("ended").success());
+    assert!(town.agent.as_mut().expect("an agent").wait().await.expect("ended").success());
     let found: i64 = ledger(&*backend).await.values().map(|v| v.0).sum();
     assert_eq!(
         (found, words(&town, 0)),
--- a/crates/agent/tests/tls.rs
+++ b/crates/agent/tests/tls.rs
@@ -1,8 +1,8 @@
 //! A listener off loopback wants mutual TLS. Here over loopback, with certificates made for the test.
 
 use frostvale_proto::envoy::service::ratelimit::v3::rate_limit_service_client::RateLimitServiceClient;
-use frostvale_standin::load::{Shop, call};
-use frostvale_standin::town::{Plan, Town};
+use frostvale_standin::client::{Shop, rate_limit_call};
+use frostvale_standin::local_cluster::{ClusterOptions, LocalCluster};
 use rcgen::{BasicConstraints, CertificateParams, IsCa, Issuer, KeyPair};
 use std::path::{Path, PathBuf};
 use tonic::transport::{Certificate, Channel, ClientTlsConfig, Endpoint, Identity};
@@ -50,7 +50,10 @@
     let key = write(&folder, "agent.key", &key);
     let client_ca = write(&folder, "ca.pem", &ca.pem);
     let tls = format!("[rls.tls]\ncert = {cert:?}\nkey = {key:?}\nclient_ca = {client_ca:?}\n");
-    let mut town = Town::start(Plan { gatekeepers: 1, rls: tls, ..Plan::default() }).await.expect("started");
+    let mut town =
+        LocalCluster::start(ClusterOptions { gatekeepers: 1, rls: tls, ..ClusterOptions::default() })
+            .await
+            .expect("started");
     let shop = Shop { id: "00000000b4d65521".into(), plan: "tienda".into(), first: 0, spread: 1 };
     let at = town.rls;
     let ask = |identity: Option<(String, String)>, plain: bool| {
@@ -65,7 +68,7 @@
             }
             let endpoint = if plain { endpoint } else { endpoint.tls_config(tls).expect("sound") };
             let channel: Channel = endpoint.connect_lazy();
-            RateLimitServiceClient::new(channel).should_rate_limit(call(&shop, true, 1)).await
+            RateLimitServiceClient::new(channel).should_rate_limit(rate_limit_call(&shop, true, 1)).await
         }
     };
     assert!(ask(Some(ca.issue(false)), false).await.is_ok());
--- a/crates/agent/tests/zones.rs
+++ b/crates/agent/tests/zones.rs
@@ -1,46 +1,47 @@
 //! Failover between zones over real agents, gatekeepers and servers in three zones, with gates between them. What was
 //! decided is read from the council, what was done from the servers' books and the clients' answers.
 
-mod kept;
-mod rig;
+mod fleet_harness;
+mod record_harness;
 
+use fleet_harness::leader;
 use frostvale_agent::serve::control;
 use frostvale_proto::agent::council_client::CouncilClient;
 use frostvale_proto::agent::{EvidenceMessage, ZoneActs, ZonesChange, ZonesRequest, ZonesResponse};
 use frostvale_standin::clock::unix_ms;
-use frostvale_standin::fleet::paced::Paced;
-use frostvale_standin::fleet::{Fleet, Plan};
-use frostvale_standin::formula::Options;
-use frostvale_standin::gate::Way;
-use frostvale_standin::town;
-use frostvale_zones::{Decision, Line, Place, Report, State};
-use kept::{plans, until};
-use rig::leader;
+use frostvale_standin::fleet::paced_load::PacedLoad;
+use frostvale_standin::fleet::{Fleet, FleetOptions};
+use frostvale_standin::formula_server::ServerOptions;
+use frostvale_standin::local_cluster;
+use frostvale_standin::proxy::ProxyMode;
+use frostvale_zones::{AttemptCounts, Decision, Report, ZoneCapacity, ZoneState};
+use record_harness::{plans, until};
 use std::time::Duration;
 use tokio::time::sleep;
 
 const A: usize = 0;
 const B: usize = 1;
 const C: usize = 2;
-const NAMES: [&str; 3] = town::views::ZONES;
+const NAMES: [&str; 3] = local_cluster::zone_views::ZONES;
 
 const ZONES: &str = "[zones]\nreport_ms = 100\nrenew_ms = 200\nhold_ms = 2000\nfade_ms = 1000\n[zones.judge]\nwindow_ms = 600\n\
     stale_ms = 1000\nslots_milli = 4000\nwarm_ms = 4000\nramp_ms = 2000\nhold_ms = 1000\nleast_ms = 2000\ndrain_ms = 2000\n";
 
 /// Three zones, each with an agent that votes, two gatekeepers and two servers of four cores and 20 ms a command.
-fn plan() -> Plan {
-    let formula = Options { cores: 4, work: Duration::from_millis(20), queue: 60, ..Options::default() };
+fn plan() -> FleetOptions {
+    let formula =
+        ServerOptions { cores: 4, work: Duration::from_millis(20), queue: 60, ..ServerOptions::default() };
     let folder = std::env::var_os("FLEET_FOLDER").map(Into::into);
-    Plan {
-        town: town::Plan {
+    FleetOptions {
+        cluster: local_cluster::ClusterOptions {
             gatekeepers: 6,
             servers: 6,
             formula,
             views: true,
             plans: Some(plans()),
-            gatekeeper_extra: "[zones]\nreport_ms = 100\n".into(),
+            gatekeeper_settings: "[zones]\nreport_ms = 100\n".into(),
             folder,
-            ..town::Plan::default()
+            ..local_cluster::ClusterOptions::default()
         },
         agents: 3,
         voters: 3,
@@ -48,13 +49,13 @@
         lease_ms: 600,
         drills: 0,
         record: false,
-        agent_extra: ZONES.into(),
-        ..Plan::default()
+        agent_settings: ZONES.into(),
+        ..FleetOptions::default()
     }
 }
 
-async fn fleet(plan: Plan) -> Fleet {
-    rig::turn::take(plan.agents);
+async fn fleet(plan: FleetOptions) -> Fleet {
+    fleet_harness::agent_limit::take(plan.agents);
     Fleet::start(plan).await.expect("started")
 }
 
@@ -67,7 +68,7 @@
     serde_json::from_str(&said.decision).unwrap_or_default()
 }
 
-fn state(said: &ZonesResponse, zone: usize) -> Option<State> {
+fn state(said: &ZonesResponse, zone: usize) -> Option<ZoneState> {
     decision(said).zones.iter().find(|z| z.zone == NAMES[zone]).map(|z| z.state)
 }
 
@@ -107,7 +108,7 @@
 async fn settled(fleet: &Fleet) -> u64 {
     let serving = |t: &ZonesResponse| {
         let d = decision(t);
-        d.zones.len() == 3 && d.zones.iter().all(|z| z.state == State::Serving)
+        d.zones.len() == 3 && d.zones.iter().all(|z| z.state == ZoneState::Serving)
     };
     let said = stands(fleet, 0, "all zones serve", serving).await;
     let version = all_act(fleet, 0, said.version, 6).await;
@@ -117,7 +118,7 @@
 
 async fn owner_of_zones(fleet: &Fleet, agent: usize) -> usize {
     until("zones have an owner", async || {
-        let all = rig::duties(fleet, agent).await;
+        let all = fleet_harness::duties(fleet, agent).await;
         let name = all.get("zones")?.owner.split('#').next()?.to_string();
         fleet.agents.iter().position(|a| a.name == name)
     })
@@ -130,24 +131,24 @@
 
 /// Each keyed mix took effect once at the most.
 fn once(fleet: &Fleet) {
-    let twice: Vec<_> = fleet.mixes().into_iter().filter(|(_, n)| *n > 1).collect();
+    let twice: Vec<_> = fleet.mixes_by_key().into_iter().filter(|(_, n)| *n > 1).collect();
     assert!(twice.is_empty(), "booked twice: {twice:?}");
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 16)]
 async fn a_lost_zone_is_out_for_all_in_one_decision_and_comes_back_cold_in_one() {
     let mut fleet = fleet(plan()).await;
-    let load = Paced::start(&fleet.town, &[50.0], 3);
+    let load = PacedLoad::start(&fleet.cluster, &[50.0], 3);
     let calm = settled(&fleet).await;
-    let before: Vec<u64> = (0..3).map(|z| fleet.town.views[A].passed(z)).collect();
+    let before: Vec<u64> = (0..3).map(|z| fleet.cluster.zone_views[A].forwarded_bytes(z)).collect();
     sleep(Duration::from_secs(2)).await;
-    let near: Vec<u64> = (0..3).map(|z| fleet.town.views[A].passed(z) - before[z]).collect();
+    let near: Vec<u64> = (0..3).map(|z| fleet.cluster.zone_views[A].forwarded_bytes(z) - before[z]).collect();
     let far = (near[B] + near[C]) as f64 / near.iter().sum::<u64>() as f64;
     assert!(far < 0.05, "in calm {far:.3} of its requests leave a zone: {near:?}");
 
     let lost_ms = load.now_ms();
-    fleet.lose_servers(B);
-    let out = stands(&fleet, A, "it is out", |t| state(t, B) == Some(State::Out)).await;
+    fleet.kill_servers(B);
+    let out = stands(&fleet, A, "it is out", |t| state(t, B) == Some(ZoneState::Out)).await;
     let version = all_act(&fleet, A, out.version, 6).await;
     let agreed_ms = load.now_ms() - lost_ms;
     println!("all act on one version {agreed_ms} ms after the loss");
@@ -161,19 +162,19 @@
     );
 
     // Back, cold: what comes to it at first is little, and grows.
-    fleet.return_servers(B).await.expect("back");
-    stands(&fleet, A, "it comes back", |t| state(t, B) == Some(State::ComingBack)).await;
-    let first = fleet.answered_in(B);
+    fleet.restart_servers(B).await.expect("back");
+    stands(&fleet, A, "it comes back", |t| state(t, B) == Some(ZoneState::ComingBack)).await;
+    let first = fleet.answered_by_zone(B);
     sleep(Duration::from_millis(600)).await;
-    let early = fleet.answered_in(B) - first;
+    let early = fleet.answered_by_zone(B) - first;
     // A quarter of eight cores at 20 ms a command does 100 a second.
     assert!(early < 60, "{early} commands in 0.6 s came to a cold zone");
     let back = until("it serves as before", async || {
         let now = load.now_ms();
         let (asked, served) = load.served(now.saturating_sub(1500), now.saturating_sub(500), |_| true);
-        let near = fleet.answered_in(B);
+        let near = fleet.answered_by_zone(B);
         sleep(Duration::from_millis(500)).await;
-        let rate = fleet.answered_in(B) - near;
+        let rate = fleet.answered_by_zone(B) - near;
         (served * 100 >= asked * 85 && rate > 35).then_some(now - lost_ms)
     })
     .await;
@@ -182,7 +183,10 @@
     // One for the loss and one for the way back, however often it was tried in vain; one for figures may come between.
     assert!(last.version - calm <= 3, "{calm} to {}: {:?}", last.version, last.history);
     let all = load.stop().await;
-    let failed = all.iter().filter(|o| o.came == frostvale_standin::fleet::paced::Came::Failed).count();
+    let failed = all
+        .iter()
+        .filter(|o| o.outcome == frostvale_standin::fleet::paced_load::RequestOutcome::Failed)
+        .count();
     assert!(failed * 10 < all.len(), "{failed} of {} failed", all.len());
     once(&fleet);
     fleet.stop().await;
@@ -191,7 +195,7 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 16)]
 async fn leader_and_owner_lost_with_their_zone_and_the_next_one_decides() {
     let mut fleet = fleet(plan()).await;
-    let load = Paced::start(&fleet.town, &[50.0], 3);
+    let load = PacedLoad::start(&fleet.cluster, &[50.0], 3);
     settled(&fleet).await;
     // The zone of the one that owns the duty, with the one that leads: agent, servers and all.
     let lost = owner_of_zones(&fleet, 0).await;
@@ -200,11 +204,11 @@
     let other = (0..3).find(|k| *k != lost && *k != leads).expect("another");
     let epoch = told(&fleet, other).await.expect("told").epoch;
     let lost_ms = load.now_ms();
-    fleet.lose_servers(zone);
+    fleet.kill_servers(zone);
     fleet.kill(lost).await;
     if leads != lost {
         fleet.kill(leads).await;
-        fleet.spawn(leads).await.expect("started");
+        fleet.start_agent(leads).await.expect("started");
     }
     let next = stands(&fleet, other, "the next owner has decided", |t| t.epoch > epoch).await;
     assert!(!next.owner.starts_with(&format!("{}#", fleet.agents[lost].name)));
@@ -221,8 +225,8 @@
     // And it goes on deciding: one zone more is lost.
     let second =
         (0..3).find(|z| *z != zone && fleet.agents[*z].zone != fleet.agents[other].zone).expect("one more");
-    fleet.lose_servers(second);
-    stands(&fleet, other, "the second is out", |t| state(t, second) == Some(State::Out)).await;
+    fleet.kill_servers(second);
+    stands(&fleet, other, "the second is out", |t| state(t, second) == Some(ZoneState::Out)).await;
     drop(load.stop().await);
     once(&fleet);
     fleet.stop().await;
@@ -231,12 +235,12 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 16)]
 async fn a_zone_that_is_cut_off_does_not_judge_the_others_and_goes_on_serving_its_own() {
     let mut fleet = fleet(plan()).await;
-    let load = Paced::start(&fleet.town, &[50.0], 3);
+    let load = PacedLoad::start(&fleet.cluster, &[50.0], 3);
     settled(&fleet).await;
     // Its servers are full, so that it needs the others, and the ways are cut in both directions.
-    fleet.zone_ways(C, Way::Cut, Way::Cut);
-    fleet.sicken(C, 1000, 0, 0);
-    let all_serve = |t: &ZonesResponse| [A, B].iter().all(|z| state(t, *z) == Some(State::Serving));
+    fleet.set_zone_links(C, ProxyMode::Cut, ProxyMode::Cut);
+    fleet.degrade_servers(C, 1000, 0, 0);
+    let all_serve = |t: &ZonesResponse| [A, B].iter().all(|z| state(t, *z) == Some(ZoneState::Serving));
     sleep(Duration::from_secs(3)).await;
     let said = told(&fleet, A).await.expect("told");
     assert!(all_serve(&said), "the cut-off zone's word counts for nothing: {:?}", decision(&said).zones);
@@ -245,18 +249,18 @@
         let (asked, served) = load.served(now - 2000, now - 500, in_zone(zone));
         assert!(served * 100 >= asked * 85, "zone {zone}: {served} of {asked}");
     }
-    fleet.zone_ways(C, Way::Open, Way::Open);
+    fleet.set_zone_links(C, ProxyMode::Forward, ProxyMode::Forward);
     // One way only: A does not reach B, B reaches A. B is not out, and A's row leaves it alone.
-    fleet.town.views[A].set(B, Way::Cut);
-    fleet.lose_servers(A);
+    fleet.cluster.zone_views[A].set_mode(B, ProxyMode::Cut);
+    fleet.kill_servers(A);
     let row = stands(&fleet, C, "A's own row leaves B out", |t| {
         let d = decision(t);
         let to_b =
             d.row(NAMES[A]).and_then(|r| r.spill.iter().find(|s| s.to == NAMES[B]).map(|s| s.share.start));
-        state(t, A) == Some(State::Out) && to_b.unwrap_or(0) == 0
+        state(t, A) == Some(ZoneState::Out) && to_b.unwrap_or(0) == 0
     })
     .await;
-    assert_eq!(state(&row, B), Some(State::Serving), "{:?}", decision(&row).zones);
+    assert_eq!(state(&row, B), Some(ZoneState::Serving), "{:?}", decision(&row).zones);
     sleep(Duration::from_millis(1500)).await;
     let now = load.now_ms();
     let (asked, served) = load.served(now - 1200, now - 400, in_zone(A));
@@ -269,16 +273,16 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 16)]
 async fn grey_zones_are_seen_by_what_requests_suffer() {
     let mut fleet = fleet(plan()).await;
-    let load = Paced::start(&fleet.town, &[50.0], 3);
+    let load = PacedLoad::start(&fleet.cluster, &[50.0], 3);
     settled(&fleet).await;
     let away = |t: &ZonesResponse, zone: usize| {
-        matches!(state(t, zone), Some(State::Out | State::Shedding)) && {
+        matches!(state(t, zone), Some(ZoneState::Out | ZoneState::Shedding)) && {
             let d = decision(t);
             d.row(NAMES[zone]).is_some_and(|r| r.near.start <= 200)
         }
     };
     for (slower, errors, mix_errors) in [(30_000, 0, 0), (0, 0, 1000), (0, 500, 0)] {
-        fleet.sicken(B, slower, errors, mix_errors);
+        fleet.degrade_servers(B, slower, errors, mix_errors);
         stands(&fleet, A, "it is sent next to nothing", |t| away(t, B)).await;
         sleep(Duration::from_millis(1500)).await;
         let now = load.now_ms();
@@ -287,10 +291,10 @@
             served * 100 >= asked * 80,
             "slower {slower}, errors {errors}, {mix_errors}: {served} of {asked}"
         );
-        fleet.sicken(B, 0, 0, 0);
+        fleet.degrade_servers(B, 0, 0, 0);
         stands(&fleet, A, "it is back", |t| {
             let d = decision(t);
-            d.row(NAMES[B]).is_some_and(|r| r.near.end >= 950) && state(t, B) != Some(State::Out)
+            d.row(NAMES[B]).is_some_and(|r| r.near.end >= 950) && state(t, B) != Some(ZoneState::Out)
         })
         .await;
         sleep(Duration::from_millis(3000)).await;
@@ -304,12 +308,13 @@
 async fn two_of_three_zones_lost_and_the_last_one_goes_on_standing() {
     let mut fleet = fleet(plan()).await;
     // 100 requests a second at six gatekeepers: 12 of 8 cores.
-    let load = Paced::start(&fleet.town, &[100.0], 3);
+    let load = PacedLoad::start(&fleet.cluster, &[100.0], 3);
     settled(&fleet).await;
-    fleet.lose_servers(A);
-    fleet.lose_servers(B);
+    fleet.kill_servers(A);
+    fleet.kill_servers(B);
     let said =
-        stands(&fleet, C, "two are out", |t| [A, B].iter().all(|z| state(t, *z) == Some(State::Out))).await;
+        stands(&fleet, C, "two are out", |t| [A, B].iter().all(|z| state(t, *z) == Some(ZoneState::Out)))
+            .await;
     let d = decision(&said);
     let to_c: u64 = d
         .rows
@@ -328,16 +333,19 @@
     assert!(to_c <= bears + bears / 20, "{to_c} of {bears} that it bears");
     all_act(&fleet, C, said.version, 6).await;
     sleep(Duration::from_millis(2500)).await;
-    let before = fleet.answered_in(C);
+    let before = fleet.answered_by_zone(C);
     let from = load.now_ms();
     sleep(Duration::from_millis(1500)).await;
-    let rate = (fleet.answered_in(C) - before) as f64 / 1.5;
+    let rate = (fleet.answered_by_zone(C) - before) as f64 / 1.5;
     // It does 400 a second; mixes are worth three reads.
     assert!(rate > 200.0, "the last zone stands and works: {rate} a second");
-    let all: Vec<_> = load.all().into_iter().filter(|o| o.at_ms >= from && o.at_ms < from + 1000).collect();
+    let all: Vec<_> =
+        load.results().into_iter().filter(|o| o.at_ms >= from && o.at_ms < from + 1000).collect();
     let part = |mix: bool| {
         let of: Vec<_> = all.iter().filter(|o| o.mix == mix).collect();
-        of.iter().filter(|o| o.came == frostvale_standin::fleet::paced::Came::Served).count() as f64
+        of.iter()
+            .filter(|o| o.outcome == frostvale_standin::fleet::paced_load::RequestOutcome::Served)
+            .count() as f64
             / of.len() as f64
     };
     assert!(part(true) > part(false), "worth decides: {} of mixes, {} of reads", part(true), part(false));
@@ -350,7 +358,7 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 16)]
 async fn a_decision_that_reaches_some_only_sends_no_zone_more_than_it_bears() {
     let mut fleet = fleet(plan()).await;
-    let load = Paced::start(&fleet.town, &[80.0], 3);
+    let load = PacedLoad::start(&fleet.cluster, &[80.0], 3);
     let calm = settled(&fleet).await;
     let owner = owner_of_zones(&fleet, 0).await;
     let leads = until("a leader", async || leader(&fleet, owner).await).await;
@@ -358,8 +366,8 @@
     let deaf = (0..3).find(|k| *k != owner && *k != leads).expect("one more");
     let lost = (0..3).find(|z| *z != fleet.agents[deaf].zone).expect("another");
     fleet.signal(deaf, "STOP").await;
-    fleet.lose_servers(lost);
-    let out = stands(&fleet, owner, "it is out", |t| state(t, lost) == Some(State::Out)).await;
+    fleet.kill_servers(lost);
+    let out = stands(&fleet, owner, "it is out", |t| state(t, lost) == Some(ZoneState::Out)).await;
     let told_all = all_act(&fleet, owner, out.version, 4).await;
     assert!(told_all > calm);
     // What waits or is worked on at each server that is left, by those who know and by those who don't, in 1.5 s: with four
@@ -367,7 +375,7 @@
     let left: Vec<usize> = (0..3).filter(|z| *z != lost).flat_map(|z| fleet.servers_in(z)).collect();
     let mut waits = Vec::new();
     for _ in 0..75 {
-        waits.extend(left.iter().map(|k| fleet.town.servers[*k].work().0));
+        waits.extend(left.iter().map(|k| fleet.cluster.servers[*k].work_counts().0));
         sleep(Duration::from_millis(20)).await;
     }
     waits.sort_unstable();
@@ -396,10 +404,10 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 16)]
 async fn a_zone_of_one_server_and_most_of_the_traffic_spills_to_both_others() {
     let base = plan();
-    let town = town::Plan { servers: 5, ..base.town.clone() };
-    let mut fleet = fleet(Plan { town, ..base }).await;
+    let cluster = local_cluster::ClusterOptions { servers: 5, ..base.cluster.clone() };
+    let mut fleet = fleet(FleetOptions { cluster, ..base }).await;
     // At two gatekeepers a zone: 200 a second in C, whose server does 200, and 50 in each of the others, which do 400.
-    let load = Paced::start(&fleet.town, &[25.0, 25.0, 100.0], 3);
+    let load = PacedLoad::start(&fleet.cluster, &[25.0, 25.0, 100.0], 3);
     let spills = stands(&fleet, A, "C spills to both", |t| {
         let d = decision(t);
         let to = |z: usize| {
@@ -411,16 +419,16 @@
     .await;
     all_act(&fleet, A, spills.version, 6).await;
     sleep(Duration::from_millis(2500)).await;
-    let before: Vec<u64> = [A, B].iter().map(|z| fleet.answered_in(*z)).collect();
+    let before: Vec<u64> = [A, B].iter().map(|z| fleet.answered_by_zone(*z)).collect();
     let from = load.now_ms();
     let mut waits = Vec::new();
     for _ in 0..75 {
-        waits.extend(fleet.servers_in(C).iter().map(|k| fleet.town.servers[*k].work().0));
+        waits.extend(fleet.servers_in(C).iter().map(|k| fleet.cluster.servers[*k].work_counts().0));
         sleep(Duration::from_millis(20)).await;
     }
     let seconds = (load.now_ms() - from) as f64 / 1000.0;
     for (z, before) in [A, B].iter().zip(before) {
-        let rate = (fleet.answered_in(*z) - before) as f64 / seconds;
+        let rate = (fleet.answered_by_zone(*z) - before) as f64 / seconds;
         assert!(rate > 55.0, "zone {z} answers {rate:.0} a second, 50 of them its own");
     }
     waits.sort_unstable();
@@ -431,8 +439,8 @@
     );
     let (asked, served) = load.served(from, from + 1000, |_| true);
     assert!(served * 100 >= asked * 85, "{served} of {asked}");
-    fleet.lose_servers(C);
-    let out = stands(&fleet, A, "C has none", |t| state(t, C) == Some(State::Out)).await;
+    fleet.kill_servers(C);
+    let out = stands(&fleet, A, "C has none", |t| state(t, C) == Some(ZoneState::Out)).await;
     all_act(&fleet, A, out.version, 6).await;
     sleep(Duration::from_millis(1500)).await;
     let now = load.now_ms();
@@ -446,12 +454,12 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 16)]
 async fn a_zone_that_flaps_is_not_followed() {
     let mut fleet = fleet(plan()).await;
-    let load = Paced::start(&fleet.town, &[50.0], 3);
+    let load = PacedLoad::start(&fleet.cluster, &[50.0], 3);
     let calm = settled(&fleet).await;
     for _ in 0..5 {
-        fleet.sicken(B, 0, 1000, 0);
+        fleet.degrade_servers(B, 0, 1000, 0);
         sleep(Duration::from_millis(1500)).await;
-        fleet.sicken(B, 0, 0, 0);
+        fleet.degrade_servers(B, 0, 0, 0);
         sleep(Duration::from_millis(1500)).await;
     }
     let last = told(&fleet, A).await.expect("told").version;
@@ -467,7 +475,7 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 16)]
 async fn what_each_acts_on_is_seen_while_an_agent_is_dead_and_the_council_gone() {
     let mut fleet = fleet(plan()).await;
-    let load = Paced::start(&fleet.town, &[50.0], 3);
+    let load = PacedLoad::start(&fleet.cluster, &[50.0], 3);
     settled(&fleet).await;
     let dead = (0..3).find(|k| *k != 0).expect("another");
     fleet.signal(dead, "STOP").await;
@@ -518,7 +526,7 @@
 }
 
 fn lie(number: u64, bad: u32) -> Report {
-    let place = |zone: &str| Place { zone: zone.into(), servers: 2, size: 2.0, warm: 2.0 };
+    let place = |zone: &str| ZoneCapacity { zone: zone.into(), servers: 2, size: 2.0, warm: 2.0 };
     Report {
         agent: "liar".into(),
         life: 1,
@@ -526,7 +534,7 @@
         zone: NAMES[A].into(),
         gatekeepers: 1,
         need: 1.0,
-        lines: vec![Line { to: NAMES[B].into(), class: 0, attempts: 1000, bad, late: 0 }],
+        lines: vec![AttemptCounts { to: NAMES[B].into(), class: 0, attempts: 1000, bad, late: 0 }],
         places: NAMES.iter().map(|z| place(z)).collect(),
     }
 }
@@ -534,7 +542,7 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 16)]
 async fn reports_that_lie_are_old_or_cannot_be_take_no_zone_out() {
     let mut fleet = fleet(plan()).await;
-    let load = Paced::start(&fleet.town, &[50.0], 3);
+    let load = PacedLoad::start(&fleet.cluster, &[50.0], 3);
     let calm = settled(&fleet).await;
     let to = owner_of_zones(&fleet, 0).await;
     let impossible = evidence(&fleet, to, 1, &[lie(1, 1001)]).await.expect("answered");
@@ -552,7 +560,7 @@
     assert!(late.contains("too long on its way"), "{late}");
     let said = told(&fleet, 0).await.expect("told");
     assert!(
-        [A, B, C].iter().all(|z| state(&said, *z) == Some(State::Serving)),
+        [A, B, C].iter().all(|z| state(&said, *z) == Some(ZoneState::Serving)),
         "{:?}",
         decision(&said).zones
     );
@@ -582,7 +590,7 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 16)]
 async fn a_drain_is_an_intent_with_an_end_and_is_refused_with_figures_where_it_cannot_be_borne() {
     let mut fleet = fleet(plan()).await;
-    let load = Paced::start(&fleet.town, &[50.0], 3);
+    let load = PacedLoad::start(&fleet.cluster, &[50.0], 3);
     let calm = settled(&fleet).await;
     let mut client = control(&fleet.agents[0].control).await.expect("an agent");
     let bad = ZonesChange {
@@ -602,14 +610,14 @@
     .await;
     all_act(&fleet, A, drained.version, 6).await;
     sleep(Duration::from_millis(2600)).await;
-    let before = fleet.answered_in(B);
+    let before = fleet.answered_by_zone(B);
     sleep(Duration::from_millis(800)).await;
-    let rest = fleet.answered_in(B) - before;
+    let rest = fleet.answered_by_zone(B) - before;
     assert!(rest <= 4, "{rest} commands still come to a drained zone");
     // A failure beside the drain: one decision for both, and the floor has the drained zone take what the last can't bear.
     let version = told(&fleet, A).await.expect("told").version;
-    fleet.lose_servers(C);
-    let both = stands(&fleet, A, "C is out too", |t| state(t, C) == Some(State::Out)).await;
+    fleet.kill_servers(C);
+    let both = stands(&fleet, A, "C is out too", |t| state(t, C) == Some(ZoneState::Out)).await;
     assert!(both.version - version <= 3, "{version} to {}", both.version);
     let refused = drain(&fleet, A, 6000, false).await.expect_err("the last one");
     assert!(
@@ -634,9 +642,9 @@
 #[ignore = "figures, dated in docs/zones.md"]
 async fn figures_of_a_town_of_twenty() {
     let base = plan();
-    let town = town::Plan { gatekeepers: 20, servers: 9, ..base.town.clone() };
-    let mut fleet = fleet(Plan { town, lease_ms: 3000, ..base }).await;
-    let load = Paced::start(&fleet.town, &[20.0], 3);
+    let cluster = local_cluster::ClusterOptions { gatekeepers: 20, servers: 9, ..base.cluster.clone() };
+    let mut fleet = fleet(FleetOptions { cluster, lease_ms: 3000, ..base }).await;
+    let load = PacedLoad::start(&fleet.cluster, &[20.0], 3);
     stands(&fleet, 0, "all zones serve", |t| decision(t).zones.len() == 3).await;
     sleep(Duration::from_secs(4)).await;
     let (mut agreed, mut back) = (Vec::new(), Vec::new());
@@ -646,15 +654,15 @@
         let calm = load.now_ms();
         let (asked, served) = load.served(calm - 2500, calm - 1500, |_| true);
         let before = served as f64 / asked as f64;
-        fleet.lose_servers(zone);
-        let out = stands(&fleet, 0, "it is out", |t| state(t, zone) == Some(State::Out)).await;
+        fleet.kill_servers(zone);
+        let out = stands(&fleet, 0, "it is out", |t| state(t, zone) == Some(ZoneState::Out)).await;
         all_act(&fleet, 0, out.version, 20).await;
         agreed.push(load.now_ms() - calm);
         sleep(Duration::from_millis(2000)).await;
         let now = load.now_ms();
         let lost = load.served(calm, calm + 1000, |_| true);
         let after = load.served(now - 1500, now - 500, |_| true);
-        fleet.return_servers(zone).await.expect("back");
+        fleet.restart_servers(zone).await.expect("back");
         let returned = load.now_ms();
         until("it serves as before", async || {
             let said = told(&fleet, 0).await?;
--- a/crates/audit/src/acts.rs
+++ b/crates/audit/src/applied_versions.rs
@@ -5,7 +5,7 @@
 use std::fmt;
 
 /// Kinds that one instance tells of.
-pub const KINDS_MOST: usize = 64;
+pub const MAX_KINDS: usize = 64;
 /// Bytes of a name.
 const NAME_MOST: usize = 64;
 /// Gatekeepers of a tier.
@@ -14,17 +14,17 @@
 const DIGEST: usize = 64;
 
 /// The program that runs.
-pub const BUILD: &str = "build";
+pub const KIND_BUILD: &str = "build";
 /// The platform's configuration.
-pub const PLATFORM: &str = "platform";
+pub const KIND_PLATFORM: &str = "platform";
 /// The gatekeeper's own file.
-pub const OWN: &str = "own";
+pub const KIND_LOCAL_SETTINGS: &str = "own";
 /// The plans' figures.
-pub const PLANS: &str = "plans";
+pub const KIND_PLANS: &str = "plans";
 /// The decision on zones; revision 0 is none, or one that has faded.
-pub const ZONES: &str = "zones";
+pub const KIND_ZONES: &str = "zones";
 /// The highest epoch known of a duty: this, and the duty's name.
-pub const EPOCH: &str = "epoch.";
+pub const KIND_EPOCH_PREFIX: &str = "epoch.";
 
 /// A revision, and the digest of what is in effect.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -57,7 +57,7 @@
 /// What one life of an instance acts on. Numbers go up with each change.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Acts {
+pub struct AppliedVersions {
     /// Its name.
     pub instance: String,
     /// When this life began, Unix time in ms by its own clock: tells lives apart.
@@ -78,15 +78,15 @@
 
 /// Why something was not taken: the field, and what it may be.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Refused(pub String);
+pub struct RejectedReport(pub String);
 
-impl fmt::Display for Refused {
+impl fmt::Display for RejectedReport {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(&self.0)
     }
 }
 
-impl std::error::Error for Refused {}
+impl std::error::Error for RejectedReport {}
 
 /// Whether a text can be a name.
 #[must_use]
@@ -95,13 +95,13 @@
     (1..=NAME_MOST).contains(&text.len()) && text.chars().all(fits)
 }
 
-impl Acts {
+impl AppliedVersions {
     /// Whether it can be.
     ///
     /// # Errors
     /// With the field and its range.
-    pub fn check(&self) -> Result<(), Refused> {
-        let bad = |text: String| Err(Refused(text));
+    pub fn check(&self) -> Result<(), RejectedReport> {
+        let bad = |text: String| Err(RejectedReport(text));
         if !is_name(&self.instance) {
             return bad(format!("instance: 1 to {NAME_MOST} letters, digits, dots, dashes or underscores"));
         }
@@ -117,8 +117,8 @@
                 self.me, self.gateways
             ));
         }
-        if self.versions.len() > KINDS_MOST {
-            return bad(format!("versions: {}; {KINDS_MOST} at the most", self.versions.len()));
+        if self.versions.len() > MAX_KINDS {
+            return bad(format!("versions: {}; {MAX_KINDS} at the most", self.versions.len()));
         }
         for (kind, version) in &self.versions {
             if !is_name(kind) {
@@ -134,7 +134,7 @@
 
     /// The version of a kind.
     #[must_use]
-    pub fn of(&self, kind: &str) -> Version {
+    pub fn version_of(&self, kind: &str) -> Version {
         self.versions.get(kind).cloned().unwrap_or_default()
     }
 }
@@ -146,7 +146,7 @@
     #[test]
     fn what_cannot_be_is_refused_with_the_field() {
         let version = Version { revision: 3, digest: "ab".repeat(32) };
-        let sound = Acts {
+        let sound = AppliedVersions {
             instance: "n1".into(),
             life: 1,
             number: 1,
@@ -154,17 +154,17 @@
             gateways: 2,
             zone: "z0".into(),
             at_ms: 0,
-            versions: [(PLANS.to_string(), version)].into(),
+            versions: [(KIND_PLANS.to_string(), version)].into(),
         };
         assert_eq!(sound.check(), Ok(()));
-        type Change = fn(&mut Acts);
+        type Change = fn(&mut AppliedVersions);
         let bad: [(&str, Change); 7] = [
             ("instance:", |a| a.instance = "a b".into()),
             ("zone:", |a| a.zone = "\n".into()),
             ("life, number", |a| a.life = 0),
             ("me: 2 of 2", |a| a.me = 2),
             ("versions: a kind", |a| drop(a.versions.insert(String::new(), Version::default()))),
-            ("versions.plans.digest", |a| a.versions.get_mut(PLANS).expect("there").digest.truncate(5)),
+            ("versions.plans.digest", |a| a.versions.get_mut(KIND_PLANS).expect("there").digest.truncate(5)),
             ("versions: 65", |a| {
                 a.versions = (0..65).map(|k| (format!("k{k}"), Version::default())).collect();
             }),
--- a/crates/audit/src/decision.rs
+++ b/crates/audit/src/decision.rs
@@ -1,22 +1,22 @@
 //! What the owner has decided for the fleet: who is shut out, and how far the history goes.
 
-use crate::acts::is_name;
-use crate::chain::Anchor;
+use crate::applied_versions::is_name;
+use crate::hash_chain::Checkpoint;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 
 /// Instances that may be shut out at once.
-pub const OUT_MOST: usize = 1024;
+pub const MAX_FENCED_OFF: usize = 1024;
 /// Anchors that are kept, the newest ones.
-pub const ANCHORS_MOST: usize = 16;
+pub const MAX_CHECKPOINTS: usize = 16;
 const WHY_MOST: usize = 200;
 /// Instances in a roster: it fits into the council's log.
-pub const ROSTER_MOST: usize = 512;
+pub const MAX_ROSTER_ENTRIES: usize = 512;
 
 /// One that is shut out.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Out {
+pub struct FencedOffInstance {
     /// Which.
     pub instance: String,
     /// Its number in the tier, by which others know its notes.
@@ -32,20 +32,20 @@
 #[serde(deny_unknown_fields)]
 pub struct Decision {
     /// Who is shut out, by name.
-    pub out: Vec<Out>,
+    pub out: Vec<FencedOffInstance>,
     /// When clients of one that is shut out should come back, in ms.
     pub retry_ms: u64,
     /// The history's end at some times, oldest first.
-    pub anchors: Vec<Anchor>,
+    pub anchors: Vec<Checkpoint>,
     /// All that are known, so that a new owner misses those whom nobody hears.
     #[serde(default)]
-    pub roster: Vec<Seat>,
+    pub roster: Vec<RosterEntry>,
 }
 
 /// One that is known.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Seat {
+pub struct RosterEntry {
     /// Which.
     pub instance: String,
     /// The agent that it is heard through.
@@ -66,9 +66,12 @@
     /// # Errors
     /// With what can't be.
     pub fn check(&self) -> Result<(), String> {
-        if self.out.len() > OUT_MOST || self.anchors.len() > ANCHORS_MOST || self.roster.len() > ROSTER_MOST {
+        if self.out.len() > MAX_FENCED_OFF
+            || self.anchors.len() > MAX_CHECKPOINTS
+            || self.roster.len() > MAX_ROSTER_ENTRIES
+        {
             return Err(format!(
-                "out, anchors, roster: {OUT_MOST}, {ANCHORS_MOST} and {ROSTER_MOST} at the most"
+                "out, anchors, roster: {MAX_FENCED_OFF}, {MAX_CHECKPOINTS} and {MAX_ROSTER_ENTRIES} at the most"
             ));
         }
         let names: BTreeSet<&str> = self.out.iter().map(|o| o.instance.as_str()).collect();
@@ -82,17 +85,17 @@
     }
 
     /// Adds an anchor, unless it is there.
-    pub fn anchor(&mut self, anchor: Anchor) {
+    pub fn add_checkpoint(&mut self, anchor: Checkpoint) {
         if anchor.number > self.anchors.last().map_or(0, |a| a.number) {
             self.anchors.push(anchor);
-            let over = self.anchors.len().saturating_sub(ANCHORS_MOST);
+            let over = self.anchors.len().saturating_sub(MAX_CHECKPOINTS);
             self.anchors.drain(..over);
         }
     }
 
     /// Whether one is shut out.
     #[must_use]
-    pub fn is_out(&self, instance: &str) -> bool {
+    pub fn is_fenced_off(&self, instance: &str) -> bool {
         self.out.iter().any(|o| o.instance == instance)
     }
 }
@@ -103,19 +106,24 @@
 
     #[test]
     fn bad_decisions_are_refused_and_anchors_are_bounded() {
-        let out = |name: &str| Out { instance: name.into(), me: 1, why: "old plans".into(), at_ms: 0 };
+        let out = |name: &str| FencedOffInstance {
+            instance: name.into(),
+            me: 1,
+            why: "old plans".into(),
+            at_ms: 0,
+        };
         let sound = Decision { out: vec![out("n1"), out("n2")], ..Decision::default() };
         assert_eq!(sound.check(), Ok(()));
-        assert!(sound.is_out("n2") && !sound.is_out("n3"));
+        assert!(sound.is_fenced_off("n2") && !sound.is_fenced_off("n3"));
         let twice = Decision { out: vec![out("n1"), out("n1")], ..Decision::default() };
         assert!(twice.check().is_err_and(|e| e.contains("twice")));
         let unnamed = Decision { out: vec![out("")], ..Decision::default() };
         assert!(unnamed.check().is_err_and(|e| e.contains("a name")));
         let mut decision = Decision::default();
         for number in [3, 2, 3].into_iter().chain(4..40) {
-            decision.anchor(Anchor { number, hash: String::new() });
+            decision.add_checkpoint(Checkpoint { number, hash: String::new() });
         }
-        assert_eq!((decision.anchors.len(), decision.anchors[15].number), (ANCHORS_MOST, 39));
+        assert_eq!((decision.anchors.len(), decision.anchors[15].number), (MAX_CHECKPOINTS, 39));
         assert!(decision.anchors.windows(2).all(|w| w[0].number < w[1].number));
     }
 }
--- a/crates/audit/src/ladder.rs
+++ b/crates/audit/src/escalation.rs
@@ -1,32 +1,32 @@
 //! What is done about those that are behind, step by step: told again, sent all anew, shut out; and how one comes back. An
 //! intent narrows, evidence weighs, a floor has the last word: never the last of a set, never more than a part of a zone.
 
-use crate::acts::{Version, ZONES};
-use crate::book::{Book, Known};
-use crate::decision::{Decision, Out};
+use crate::applied_version_table::{AppliedVersionTable, InstanceStatus};
+use crate::applied_versions::{KIND_ZONES, Version};
+use crate::decision::{Decision, FencedOffInstance};
 use crate::settings::Settings;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// What each should act on, of a kind.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Want {
+pub struct TargetRevision {
     /// The revision; one that acts on a lower one is behind.
     pub revision: u64,
     /// The digest: with the same revision and another digest it acts on something else.
-    pub digest: Digest,
+    pub digest: ExpectedDigest,
     /// Since when, by the owner's clock.
     pub since: u64,
 }
 
 /// The digest that those should tell who act on a revision.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Digest {
+pub enum ExpectedDigest {
     /// Digests of this kind say nothing: they differ from one to the other.
     NotCompared,
     /// It can't be said at present.
     Undecided,
     /// This one.
-    Usual(String),
+    Majority(String),
 }
 
 /// How one stands to what is wanted.
@@ -45,30 +45,30 @@
 
 /// Something to be done.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Act {
+pub enum Action {
     /// It is told again what stands.
-    Tell(String),
+    Notify(String),
     /// All that is decided is sent to it anew, as to one that has just come.
-    Snapshot(String),
+    SendSnapshot(String),
     /// It is to be shut out.
-    ShutOut(Out),
+    FenceOff(FencedOffInstance),
     /// It may come back.
-    LetIn(String),
+    Readmit(String),
     /// It should be shut out and can't be: why.
-    Alarm(String, String),
+    RaiseAlarm(String, String),
 }
 
 /// How far one has come.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Step {
+pub enum EscalationStep {
     /// Time to catch up.
-    Waits,
+    Waiting,
     /// It was told again.
-    Told,
+    Notified,
     /// All was sent to it anew.
-    Sent,
+    SnapshotSent,
     /// It is to be shut out, or is.
-    Over,
+    FenceOff,
 }
 
 /// One that is behind or unknown.
@@ -77,7 +77,7 @@
     /// Since when, by the owner's clock.
     pub since: u64,
     /// How far it has come.
-    pub step: Step,
+    pub step: EscalationStep,
     /// Why, for people.
     pub why: String,
     /// Whether nothing is heard of it, which is another thing than to be behind.
@@ -89,15 +89,15 @@
 }
 
 impl Straggler {
-    fn new(known: &Known, since: u64, why: String, by_digest: bool) -> Straggler {
-        let (unknown, life) = (known.silent, known.acts.life);
-        Straggler { since, step: Step::Waits, why, unknown, alarmed: false, by_digest, life }
+    fn new(known: &InstanceStatus, since: u64, why: String, by_digest: bool) -> Straggler {
+        let (unknown, life) = (known.is_silent, known.applied.life);
+        Straggler { since, step: EscalationStep::Waiting, why, unknown, alarmed: false, by_digest, life }
     }
 }
 
 /// All that are.
 #[derive(Debug, Clone)]
-pub struct Ladder {
+pub struct Escalation {
     s: Settings,
     all: BTreeMap<String, Straggler>,
     /// Those that can't be judged at present: they stay as they are, in or out, and no step is taken.
@@ -110,25 +110,25 @@
 
 /// What an operator intends of one instance.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum ByHand {
+pub enum InstanceOverride {
     /// It is to be shut out.
-    Out {
+    FenceOff {
         /// Who says so and why.
         why: String,
     },
     /// It is not to be, whatever it acts on.
-    In,
+    KeepInService,
 }
 
-fn judge(known: &Known, wanted: &BTreeMap<String, Want>) -> Judgement {
-    if known.acts.versions.is_empty() {
+fn judge(known: &InstanceStatus, wanted: &BTreeMap<String, TargetRevision>) -> Judgement {
+    if known.applied.versions.is_empty() {
         return Judgement::Undecided;
     }
     let mut judged = Judgement::UpToDate;
     for (kind, want) in wanted {
         // Without a decision on zones it acts by itself, as it should.
-        let acts_on = |v: &&Version| !(kind == ZONES && v.revision == 0);
-        let Some(is) = known.acts.versions.get(kind).filter(acts_on) else { continue };
+        let acts_on = |v: &&Version| !(kind == KIND_ZONES && v.revision == 0);
+        let Some(is) = known.applied.versions.get(kind).filter(acts_on) else { continue };
         let found = judge_kind(kind, is, want);
         judged = match (judged, found) {
             (Judgement::Behind { since, why, by_digest }, Judgement::Behind { since: other, .. })
@@ -145,7 +145,7 @@
     judged
 }
 
-fn judge_kind(kind: &str, is: &Version, want: &Want) -> Judgement {
+fn judge_kind(kind: &str, is: &Version, want: &TargetRevision) -> Judgement {
     let since = want.since;
     if is.revision < want.revision {
         let told = Version { revision: is.revision, digest: String::new() };
@@ -156,24 +156,30 @@
         return Judgement::UpToDate;
     }
     match &want.digest {
-        Digest::Usual(digest) if *digest != is.digest => {
+        ExpectedDigest::Majority(digest) if *digest != is.digest => {
             let why = format!("{kind} {} with the digest of something else", is.revision);
             Judgement::Behind { since, why, by_digest: true }
         }
-        Digest::Undecided => Judgement::Undecided,
-        Digest::Usual(_) | Digest::NotCompared => Judgement::UpToDate,
+        ExpectedDigest::Undecided => Judgement::Undecided,
+        ExpectedDigest::Majority(_) | ExpectedDigest::NotCompared => Judgement::UpToDate,
     }
 }
 
-impl Ladder {
+impl Escalation {
     /// Nobody is behind.
     #[must_use]
-    pub fn new(s: Settings) -> Ladder {
-        Ladder { s, all: BTreeMap::new(), undecided: BTreeSet::new(), sound: BTreeMap::new(), split: None }
+    pub fn new(s: Settings) -> Escalation {
+        Escalation {
+            s,
+            all: BTreeMap::new(),
+            undecided: BTreeSet::new(),
+            sound: BTreeMap::new(),
+            split: None,
+        }
     }
 
     /// Those that are behind or unknown.
-    pub fn all(&self) -> impl Iterator<Item = (&String, &Straggler)> {
+    pub fn stragglers(&self) -> impl Iterator<Item = (&String, &Straggler)> {
         self.all.iter()
     }
 
@@ -184,19 +190,19 @@
     }
 
     /// Time has passed. `sets`: the sets of shops, by first and how many; `stands`: who is shut out now.
-    pub fn turn(
+    pub fn tick(
         &mut self,
         now: u64,
         at_ms: u64,
-        book: &Book,
-        wanted: &BTreeMap<String, Want>,
-        (sets, hands): (&BTreeSet<(u32, u32)>, &BTreeMap<String, ByHand>),
+        book: &AppliedVersionTable,
+        wanted: &BTreeMap<String, TargetRevision>,
+        (sets, hands): (&BTreeSet<(u32, u32)>, &BTreeMap<String, InstanceOverride>),
         stands: &Decision,
-    ) -> Vec<Act> {
+    ) -> Vec<Action> {
         let mut acts = Vec::new();
         self.look(book, wanted);
         self.all.retain(|name, _| book.get(name).is_some());
-        self.sound.retain(|name, _| stands.is_out(name));
+        self.sound.retain(|name, _| stands.is_fenced_off(name));
         // The lower steps, for those that can be told anything.
         let undecided = &self.undecided;
         let may_be_told = |name: &str, s: &Straggler| !s.unknown && !undecided.contains(name);
@@ -204,9 +210,11 @@
             let gone = now.saturating_sub(straggler.since);
             let due = |ms: u64| gone >= ms;
             let next = match straggler.step {
-                Step::Waits if due(self.s.tell_ms) => Some((Step::Told, Act::Tell(name.clone()))),
-                Step::Told if due(self.s.tell_ms + self.s.snapshot_ms) => {
-                    Some((Step::Sent, Act::Snapshot(name.clone())))
+                EscalationStep::Waiting if due(self.s.tell_ms) => {
+                    Some((EscalationStep::Notified, Action::Notify(name.clone())))
+                }
+                EscalationStep::Notified if due(self.s.tell_ms + self.s.snapshot_ms) => {
+                    Some((EscalationStep::SnapshotSent, Action::SendSnapshot(name.clone())))
                 }
                 _ => None,
             };
@@ -221,12 +229,12 @@
     }
 
     /// Who is behind, who is unknown, and who no longer is either.
-    fn look(&mut self, book: &Book, wanted: &BTreeMap<String, Want>) {
+    fn look(&mut self, book: &AppliedVersionTable, wanted: &BTreeMap<String, TargetRevision>) {
         self.undecided.clear();
-        for (name, known) in book.all() {
-            if known.silent {
+        for (name, known) in book.instances() {
+            if known.is_silent {
                 let why = "nothing is heard of it".to_string();
-                self.put(name, Straggler::new(known, known.heard, why, false));
+                self.put(name, Straggler::new(known, known.last_report_at, why, false));
                 continue;
             }
             match judge(known, wanted) {
@@ -239,7 +247,7 @@
                 }
                 // It had its time from when it was heard again, or from when something new was wanted.
                 Judgement::Behind { since, why, by_digest } => {
-                    self.put(name, Straggler::new(known, since.max(known.since), why, by_digest));
+                    self.put(name, Straggler::new(known, since.max(known.reporting_since), why, by_digest));
                 }
             }
         }
@@ -260,10 +268,10 @@
     fn back(
         &mut self,
         now: u64,
-        book: &Book,
-        hands: &BTreeMap<String, ByHand>,
+        book: &AppliedVersionTable,
+        hands: &BTreeMap<String, InstanceOverride>,
         stands: &Decision,
-        acts: &mut Vec<Act>,
+        acts: &mut Vec<Action>,
     ) {
         for out in &stands.out {
             let name = &out.instance;
@@ -273,14 +281,16 @@
             let well = !gone
                 && judged
                 && !self.all.contains_key(name)
-                && !matches!(by_hand, Some(ByHand::Out { .. }));
-            if !(well || by_hand == Some(&ByHand::In)) {
+                && !matches!(by_hand, Some(InstanceOverride::FenceOff { .. }));
+            if !(well || by_hand == Some(&InstanceOverride::KeepInService)) {
                 self.sound.remove(name);
                 continue;
             }
             let since = *self.sound.entry(name.clone()).or_insert(now);
-            if now.saturating_sub(since) >= self.s.back_ms || by_hand == Some(&ByHand::In) {
-                acts.push(Act::LetIn(name.clone()));
+            if now.saturating_sub(since) >= self.s.back_ms
+                || by_hand == Some(&InstanceOverride::KeepInService)
+            {
+                acts.push(Action::Readmit(name.clone()));
             }
         }
     }
@@ -290,13 +300,14 @@
         &mut self,
         now: u64,
         at_ms: u64,
-        book: &Book,
-        (sets, hands): (&BTreeSet<(u32, u32)>, &BTreeMap<String, ByHand>),
+        book: &AppliedVersionTable,
+        (sets, hands): (&BTreeSet<(u32, u32)>, &BTreeMap<String, InstanceOverride>),
         stands: &Decision,
-        acts: &mut Vec<Act>,
+        acts: &mut Vec<Action>,
     ) {
         let after = self.s.tell_ms + self.s.snapshot_ms + self.s.out_ms;
-        let (unknown_ms, kept_in) = (self.s.unknown_ms, |name: &str| hands.get(name) == Some(&ByHand::In));
+        let (unknown_ms, kept_in) =
+            (self.s.unknown_ms, |name: &str| hands.get(name) == Some(&InstanceOverride::KeepInService));
         let due = |s: &Straggler| now.saturating_sub(s.since) >= if s.unknown { unknown_ms } else { after };
         let judged = |name: &str| !self.undecided.contains(name);
         let mut wanted: Vec<(u64, String, String, bool)> = Vec::new();
@@ -304,18 +315,18 @@
             wanted.push((s.since, name.clone(), s.why.clone(), s.unknown));
         }
         for (name, hand) in hands {
-            if let ByHand::Out { why } = hand
+            if let InstanceOverride::FenceOff { why } = hand
                 && book.get(name).is_some()
                 && !wanted.iter().any(|w| w.1 == *name)
             {
                 wanted.push((0, name.clone(), why.clone(), false));
             }
         }
-        wanted.retain(|w| !stands.is_out(&w.1));
+        wanted.retain(|w| !stands.is_fenced_off(&w.1));
         wanted.sort();
         // Many that are unknown at once are far more often cut off than gone: it is not for this side to judge them. All count
         // that are, not those alone whose time has come: a cut is not noticed of all at the same instant.
-        if self.unknown() > self.most(book.all().count()) {
+        if self.unknown() > self.most(book.instances().count()) {
             self.split = Some(now);
         }
         // Nor do they come back at the same instant: who is the last to be heard again has its time from the end of it.
@@ -326,7 +337,7 @@
                 Err(format!(
                     "{} of {} are unknown at once: a split, as it seems",
                     self.unknown(),
-                    book.all().count()
+                    book.instances().count()
                 ))
             } else {
                 floor.may(&name, sets, |many| self.most(many))
@@ -334,17 +345,27 @@
             let Some(straggler) = self.all.get_mut(&name) else {
                 // By hand alone.
                 match said {
-                    Ok(me) => acts.push(Act::ShutOut(Out { instance: name, me, why: short(&why), at_ms })),
-                    Err(said) => acts.push(Act::Alarm(name, said)),
+                    Ok(me) => acts.push(Action::FenceOff(FencedOffInstance {
+                        instance: name,
+                        me,
+                        why: short(&why),
+                        at_ms,
+                    })),
+                    Err(said) => acts.push(Action::RaiseAlarm(name, said)),
                 }
                 continue;
             };
-            straggler.step = Step::Over;
+            straggler.step = EscalationStep::FenceOff;
             match said {
-                Ok(me) => acts.push(Act::ShutOut(Out { instance: name, me, why: short(&why), at_ms })),
+                Ok(me) => acts.push(Action::FenceOff(FencedOffInstance {
+                    instance: name,
+                    me,
+                    why: short(&why),
+                    at_ms,
+                })),
                 Err(said) if !straggler.alarmed => {
                     straggler.alarmed = true;
-                    acts.push(Act::Alarm(name, format!("{why}; it stays: {said}")));
+                    acts.push(Action::RaiseAlarm(name, format!("{why}; it stays: {said}")));
                 }
                 Err(_) => {}
             }
@@ -367,20 +388,20 @@
 
 /// What is left, as more are shut out.
 struct Floor<'a> {
-    book: &'a Book,
+    book: &'a AppliedVersionTable,
     out: BTreeSet<String>,
     /// Numbers of those that serve and are known to.
     well: BTreeSet<u32>,
 }
 
 impl<'a> Floor<'a> {
-    fn new(book: &'a Book, stands: &Decision, ladder: &Ladder) -> Floor<'a> {
+    fn new(book: &'a AppliedVersionTable, stands: &Decision, ladder: &Escalation) -> Floor<'a> {
         let out: BTreeSet<String> = stands.out.iter().map(|o| o.instance.clone()).collect();
-        let serves = |(name, k): (&String, &Known)| {
+        let serves = |(name, k): (&String, &InstanceStatus)| {
             let sound = !ladder.all.get(name).is_some_and(|s| s.unknown);
-            (sound && !out.contains(name)).then_some(k.acts.me)
+            (sound && !out.contains(name)).then_some(k.applied.me)
         };
-        Floor { book, well: book.all().filter_map(serves).collect(), out }
+        Floor { book, well: book.instances().filter_map(serves).collect(), out }
     }
 
     /// Whether it may go as well; gives its number and counts it out.
@@ -391,10 +412,10 @@
         most: impl Fn(usize) -> usize,
     ) -> Result<u32, String> {
         let Some(known) = self.book.get(name) else { return Err("it is not known".into()) };
-        let (me, many) = (known.acts.me, known.acts.gateways);
-        let zone = &known.acts.zone;
-        let of = |n: &String| self.book.get(n).is_some_and(|k| k.acts.zone == *zone);
-        let there = self.book.all().filter(|(n, _)| of(n)).count();
+        let (me, many) = (known.applied.me, known.applied.gateways);
+        let zone = &known.applied.zone;
+        let of = |n: &String| self.book.get(n).is_some_and(|k| k.applied.zone == *zone);
+        let there = self.book.instances().filter(|(n, _)| of(n)).count();
         let gone = self.out.iter().filter(|n| of(n)).count();
         if gone + 1 > most(there) {
             return Err(format!("{gone} of {there} in zone {zone:?} are out, and {} may be", most(there)));
@@ -419,11 +440,11 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::acts::{Acts, PLANS};
+    use crate::applied_versions::{AppliedVersions, KIND_PLANS};
     use proptest::prelude::*;
 
-    fn acts(k: u32, many: u32, zones: u32, plans: u64) -> Acts {
-        Acts {
+    fn acts(k: u32, many: u32, zones: u32, plans: u64) -> AppliedVersions {
+        AppliedVersions {
             instance: format!("n{k}"),
             life: 7,
             number: plans.max(1),
@@ -431,16 +452,16 @@
             gateways: many,
             zone: format!("z{}", k % zones),
             at_ms: 0,
-            versions: [(PLANS.to_string(), Version { revision: plans, digest: "a".repeat(64) })].into(),
+            versions: [(KIND_PLANS.to_string(), Version { revision: plans, digest: "a".repeat(64) })].into(),
         }
     }
 
     struct World {
-        book: Book,
-        ladder: Ladder,
-        wanted: BTreeMap<String, Want>,
+        book: AppliedVersionTable,
+        ladder: Escalation,
+        wanted: BTreeMap<String, TargetRevision>,
         sets: BTreeSet<(u32, u32)>,
-        hands: BTreeMap<String, ByHand>,
+        hands: BTreeMap<String, InstanceOverride>,
         stands: Decision,
         now: u64,
         /// Revision of each, and whether its agent is heard.
@@ -448,15 +469,15 @@
         zones: u32,
         /// Of all of them.
         life: u64,
-        done: Vec<(u64, Act)>,
+        done: Vec<(u64, Action)>,
     }
 
     impl World {
         fn new(many: u32, zones: u32) -> World {
             let s = Settings::default();
             World {
-                book: Book::new(s),
-                ladder: Ladder::new(s),
+                book: AppliedVersionTable::new(s),
+                ladder: Escalation::new(s),
                 wanted: BTreeMap::new(),
                 sets: BTreeSet::new(),
                 hands: BTreeMap::new(),
@@ -470,7 +491,10 @@
         }
 
         fn want(&mut self, revision: u64) {
-            self.wanted.insert(PLANS.into(), Want { revision, digest: Digest::NotCompared, since: self.now });
+            self.wanted.insert(
+                KIND_PLANS.into(),
+                TargetRevision { revision, digest: ExpectedDigest::NotCompared, since: self.now },
+            );
         }
 
         fn run(&mut self, ms: u64) {
@@ -480,17 +504,18 @@
                 let many = self.fleet.len() as u32;
                 for (k, (plans, heard)) in self.fleet.iter().enumerate() {
                     if *heard {
-                        let told = Acts { life: self.life, ..acts(k as u32, many, self.zones, *plans) };
-                        let _ = self.book.heard(self.now, "a", told, 0);
+                        let told =
+                            AppliedVersions { life: self.life, ..acts(k as u32, many, self.zones, *plans) };
+                        let _ = self.book.record_report(self.now, "a", told, 0);
                     }
                 }
-                self.book.turn(self.now, |_| true);
+                self.book.tick(self.now, |_| true);
                 let hands = (&self.sets, &self.hands);
-                let acts = self.ladder.turn(self.now, 0, &self.book, &self.wanted, hands, &self.stands);
+                let acts = self.ladder.tick(self.now, 0, &self.book, &self.wanted, hands, &self.stands);
                 for act in &acts {
                     match act {
-                        Act::ShutOut(out) => self.stands.out.push(out.clone()),
-                        Act::LetIn(name) => self.stands.out.retain(|o| o.instance != *name),
+                        Action::FenceOff(out) => self.stands.out.push(out.clone()),
+                        Action::Readmit(name) => self.stands.out.retain(|o| o.instance != *name),
                         _ => {}
                     }
                 }
@@ -510,8 +535,11 @@
         world.want(2);
         world.fleet.iter_mut().skip(1).for_each(|f| f.0 = 2);
         world.run(20_000);
-        let kinds: Vec<&Act> = world.done.iter().map(|d| &d.1).collect();
-        assert!(matches!(kinds[..], [Act::Tell(_), Act::Snapshot(_), Act::ShutOut(_)]), "{kinds:?}");
+        let kinds: Vec<&Action> = world.done.iter().map(|d| &d.1).collect();
+        assert!(
+            matches!(kinds[..], [Action::Notify(_), Action::SendSnapshot(_), Action::FenceOff(_)]),
+            "{kinds:?}"
+        );
         assert_eq!(world.out(), ["n0"]);
         assert!(world.stands.out[0].why.contains("plans 1 where 2 is wanted"), "{:?}", world.stands.out);
         // It comes back by catching up, and in no other way.
@@ -525,9 +553,9 @@
     #[test]
     fn a_new_owner_lets_nobody_in_before_it_can_judge_and_shuts_nobody_out() {
         let s = Settings::default();
-        let (mut book, mut ladder) = (Book::new(s), Ladder::new(s));
+        let (mut book, mut ladder) = (AppliedVersionTable::new(s), Escalation::new(s));
         let names = ["n0", "n1", "n2", "n3", "n4", "n5"];
-        let seat = |(me, name): (usize, &&str)| crate::decision::Seat {
+        let seat = |(me, name): (usize, &&str)| crate::decision::RosterEntry {
             instance: (*name).into(),
             agent: "a".into(),
             zone: "z0".into(),
@@ -536,7 +564,7 @@
             life: 7,
         };
         book.resume(0, &names.iter().enumerate().map(seat).collect::<Vec<_>>());
-        let out = Out { instance: "n5".into(), me: 5, why: "another digest".into(), at_ms: 0 };
+        let out = FencedOffInstance { instance: "n5".into(), me: 5, why: "another digest".into(), at_ms: 0 };
         let mut stands = Decision { out: vec![out], ..Decision::default() };
         let mut now = 0;
         let mut play = |letter: &str, others: &str, turns: u32| {
@@ -549,16 +577,21 @@
                         continue;
                     }
                     let version = Version { revision: 2, digest: digest.repeat(64) };
-                    let told =
-                        Acts { versions: [(PLANS.to_string(), version)].into(), ..acts(k as u32, 6, 1, now) };
-                    book.heard(now, "a", told, 0).expect("taken");
+                    let told = AppliedVersions {
+                        versions: [(KIND_PLANS.to_string(), version)].into(),
+                        ..acts(k as u32, 6, 1, now)
+                    };
+                    book.record_report(now, "a", told, 0).expect("taken");
                 }
-                book.turn(now, |_| true);
-                let digest = book.usual(PLANS, 2, |name| stands.is_out(name));
-                let wanted = BTreeMap::from([(PLANS.to_string(), Want { revision: 2, digest, since: 0 })]);
+                book.tick(now, |_| true);
+                let digest = book.majority_digest(KIND_PLANS, 2, |name| stands.is_fenced_off(name));
+                let wanted = BTreeMap::from([(
+                    KIND_PLANS.to_string(),
+                    TargetRevision { revision: 2, digest, since: 0 },
+                )]);
                 let hands = (&BTreeSet::new(), &BTreeMap::new());
-                for act in ladder.turn(now, 0, &book, &wanted, hands, &stands) {
-                    if let Act::LetIn(name) = &act {
+                for act in ladder.tick(now, 0, &book, &wanted, hands, &stands) {
+                    if let Action::Readmit(name) = &act {
                         stands.out.retain(|o| o.instance != *name);
                     }
                     done.push(act);
@@ -568,8 +601,10 @@
         };
         let turns = u32::try_from(s.stale_ms / 100 - 1).expect("a few");
         assert_eq!(play("b", "", turns), [], "nothing is heard but by the one that is out");
-        assert!(!play("b", "a", 100).iter().any(|act| matches!(act, Act::LetIn(_) | Act::ShutOut(_))));
-        assert!(play("a", "a", 100).contains(&Act::LetIn("n5".into())));
+        assert!(
+            !play("b", "a", 100).iter().any(|act| matches!(act, Action::Readmit(_) | Action::FenceOff(_)))
+        );
+        assert!(play("a", "a", 100).contains(&Action::Readmit("n5".into())));
     }
 
     #[test]
@@ -598,9 +633,9 @@
         world.fleet.iter_mut().skip(2).for_each(|f| f.0 = 2);
         world.run(40_000);
         assert_eq!(world.out(), ["n0"]);
-        let alarms: Vec<_> = world.done.iter().filter(|d| matches!(d.1, Act::Alarm(..))).collect();
+        let alarms: Vec<_> = world.done.iter().filter(|d| matches!(d.1, Action::RaiseAlarm(..))).collect();
         assert!(
-            matches!(&alarms[..], [(_, Act::Alarm(name, why))] if name == "n1" && why.contains("the last of the set")),
+            matches!(&alarms[..], [(_, Action::RaiseAlarm(name, why))] if name == "n1" && why.contains("the last of the set")),
             "{alarms:?}"
         );
     }
@@ -629,23 +664,25 @@
         }
         world.run(5000);
         assert!(world.out().is_empty(), "{:?}", world.out());
-        assert!(world.done.iter().any(|d| matches!(&d.1, Act::Alarm(_, why) if why.contains("a split"))));
+        assert!(
+            world.done.iter().any(|d| matches!(&d.1, Action::RaiseAlarm(_, why) if why.contains("a split")))
+        );
     }
 
     #[test]
     fn by_hand_within_the_floors_and_kept_in_by_hand() {
         let mut world = World::new(3, 3);
-        world.hands.insert("n1".into(), ByHand::Out { why: "ana: broken disk".into() });
+        world.hands.insert("n1".into(), InstanceOverride::FenceOff { why: "ana: broken disk".into() });
         world.run(2000);
         assert!(world.out().is_empty(), "the only one of its zone");
         let mut world = World::new(6, 2);
-        world.hands.insert("n1".into(), ByHand::Out { why: "ana: broken disk".into() });
+        world.hands.insert("n1".into(), InstanceOverride::FenceOff { why: "ana: broken disk".into() });
         world.run(2000);
         assert_eq!(world.out(), ["n1"]);
         world.hands.clear();
         world.run(4000);
         assert!(world.out().is_empty(), "its time is over");
-        world.hands.insert("n2".into(), ByHand::In);
+        world.hands.insert("n2".into(), InstanceOverride::KeepInService);
         world.want(9);
         world.run(60_000);
         assert!(!world.out().contains(&"n2") && !world.out().is_empty(), "{:?}", world.out());
--- a/crates/audit/src/lib.rs
+++ b/crates/audit/src/lib.rs
@@ -7,24 +7,24 @@
 //! revision and digest; one owner keeps the book, sees who is behind, has it brought up step by step, and shuts it out by a
 //! decision in common where nothing else has helped.
 //!
-//! - [`acts`]: what an instance acts on, as it told.
-//! - [`book`]: what is known of whom, and since when of whom nothing.
-//! - [`ladder`]: what is done about those that are behind, within floors.
+//! - [`applied_versions`]: what an instance acts on, as it told.
+//! - [`applied_version_table`]: what is known of whom, and since when of whom nothing.
+//! - [`escalation`]: what is done about those that are behind, within floors.
 //! - [`decision`]: who is shut out, and the history's anchor.
-//! - [`chain`]: a history of rows, each with the digest of all before it.
+//! - [`hash_chain`]: a history of rows, each with the digest of all before it.
 //! - [`replay`]: what each instance acted on at a time, and what can't be told.
 
-pub mod acts;
-pub mod book;
-pub mod chain;
+pub mod applied_version_table;
+pub mod applied_versions;
 pub mod decision;
-pub mod ladder;
+pub mod escalation;
+pub mod hash_chain;
 pub mod replay;
 pub mod settings;
 
-pub use acts::{Acts, Refused, Version};
-pub use book::{Book, Event};
-pub use chain::{Anchor, Broken, Row};
-pub use decision::{Decision, Out, Seat};
-pub use ladder::{Act, Ladder};
+pub use applied_version_table::{AppliedVersionTable, HistoryEvent};
+pub use applied_versions::{AppliedVersions, RejectedReport, Version};
+pub use decision::{Decision, FencedOffInstance, RosterEntry};
+pub use escalation::{Action, Escalation};
+pub use hash_chain::{ChainError, ChainRow, Checkpoint};
 pub use settings::Settings;
--- a/crates/audit/src/replay.rs
+++ b/crates/audit/src/replay.rs
@@ -2,13 +2,13 @@
 //! known to lie between when the instance was last heard before it and when it was entered. What falls between is shown as
 //! such, and not guessed.
 
-use crate::chain::Row;
+use crate::hash_chain::ChainRow;
 use serde::Serialize;
 use std::collections::BTreeMap;
 
 /// An instance at a time.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize)]
-pub struct Then {
+pub struct ReplayedInstance {
     /// Its life.
     pub life: u64,
     /// What it acted on, by kind: revision and digest.
@@ -25,7 +25,7 @@
 #[derive(Debug, Clone)]
 pub struct Replay {
     at_ms: u64,
-    all: BTreeMap<String, Then>,
+    all: BTreeMap<String, ReplayedInstance>,
     only: String,
 }
 
@@ -37,7 +37,7 @@
     }
 
     /// The next row, by number.
-    pub fn row(&mut self, row: &Row) {
+    pub fn apply_row(&mut self, row: &ChainRow) {
         if row.instance.is_empty() || !self.only.is_empty() && row.instance != self.only {
             return;
         }
@@ -55,7 +55,12 @@
         }
         match row.kind.as_str() {
             "life" => {
-                *then = Then { life: row.life, heard: true, out: then.out, ..Then::default() };
+                *then = ReplayedInstance {
+                    life: row.life,
+                    heard: true,
+                    out: then.out,
+                    ..ReplayedInstance::default()
+                };
             }
             "heard" => then.heard = row.now_is != "silent" && row.now_is != "forgotten",
             "out" => then.out = row.now_is != "in",
@@ -69,7 +74,7 @@
 
     /// By instance.
     #[must_use]
-    pub fn end(self) -> BTreeMap<String, Then> {
+    pub fn finish(self) -> BTreeMap<String, ReplayedInstance> {
         self.all
     }
 }
@@ -78,8 +83,8 @@
 mod tests {
     use super::*;
 
-    fn row(number: u64, at_ms: u64, kind: &str, now_is: &str, within_ms: u64) -> Row {
-        Row {
+    fn row(number: u64, at_ms: u64, kind: &str, now_is: &str, within_ms: u64) -> ChainRow {
+        ChainRow {
             number,
             at_ms,
             instance: "n1".into(),
@@ -87,7 +92,7 @@
             kind: kind.into(),
             now_is: now_is.into(),
             within_ms,
-            ..Row::default()
+            ..ChainRow::default()
         }
     }
 
@@ -102,8 +107,8 @@
         ];
         let at = |ms: u64| {
             let mut replay = Replay::new(ms, "");
-            rows.iter().for_each(|r| replay.row(r));
-            replay.end().remove("n1").unwrap_or_default()
+            rows.iter().for_each(|r| replay.apply_row(r));
+            replay.finish().remove("n1").unwrap_or_default()
         };
         assert_eq!(at(1500).versions["plans"], "41:aa");
         assert!(at(1500).between.is_empty());
@@ -112,6 +117,6 @@
         assert!(between.between[0].1.contains("42:bb"));
         assert_eq!(at(5000).versions["plans"], "42:bb");
         assert!(at(8999).heard && !at(9000).heard && !at(9400).out && at(9500).out);
-        assert_eq!(at(500), Then::default());
+        assert_eq!(at(500), ReplayedInstance::default());
     }
 }
--- a/crates/checks/src/answer.rs
+++ b/crates/checks/src/answer.rs
@@ -1,7 +1,7 @@
 //! One answer of all decisions.
 
-use crate::read::Ask;
-use crate::{Mode, Plan};
+use crate::read::CheckRequest;
+use crate::{FailureMode, Plan};
 use frostvale_proto::envoy::config::core::v3::HeaderValue;
 use frostvale_proto::envoy::service::ratelimit::v3::RateLimitResponse;
 use frostvale_proto::envoy::service::ratelimit::v3::rate_limit_response::rate_limit::Unit;
@@ -11,7 +11,7 @@
 
 /// What came of one descriptor.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Found {
+pub enum CheckResult {
     /// It matches no plan.
     Unmatched,
     /// Another of its call is over, so it was not asked for.
@@ -24,21 +24,21 @@
         reset_ms: u64,
     },
     /// A gatekeeper refused.
-    Over {
+    OverLimit {
         /// Left to the shop, in thousandths.
         remaining_milli: Option<u64>,
         /// Until the units fit, in ms.
         reset_ms: u64,
     },
     /// Nobody decided: by the failure mode.
-    Undecided(Mode),
+    Undecided(FailureMode),
 }
 
-impl Found {
+impl CheckResult {
     /// Whether it stands in the way of the call.
     #[must_use]
-    pub fn over(&self) -> bool {
-        matches!(self, Found::Over { .. } | Found::Undecided(Mode::Deny))
+    pub fn is_over_limit(&self) -> bool {
+        matches!(self, CheckResult::OverLimit { .. } | CheckResult::Undecided(FailureMode::Deny))
     }
 }
 
@@ -63,8 +63,8 @@
 }
 
 /// Puts an answer together: over the limit if any descriptor is, with headers of the tightest one.
-pub fn answer<'a>(
-    found: impl IntoIterator<Item = (Found, Option<(&'a Ask, &'a Plan)>)>,
+pub fn build_response<'a>(
+    found: impl IntoIterator<Item = (CheckResult, Option<(&'a CheckRequest, &'a Plan)>)>,
 ) -> RateLimitResponse {
     let mut statuses = Vec::new();
     let (mut over, mut by_mode, mut back_ms) = (false, None, 0);
@@ -73,18 +73,20 @@
     for (found, of) in found {
         let current_limit = of.and_then(|(ask, plan)| limit(&ask.plan, plan.rate_milli));
         let (code, remaining, reset) = match found {
-            Found::Unmatched | Found::NotAsked => (Code::Ok, None, None),
-            Found::Granted { remaining_milli, reset_ms } => (Code::Ok, remaining_milli, Some(reset_ms)),
-            Found::Over { remaining_milli, reset_ms } => (Code::OverLimit, remaining_milli, Some(reset_ms)),
-            Found::Undecided(mode) => {
-                by_mode = Some(by_mode.map_or(mode, |m| if m == Mode::Deny { m } else { mode }));
+            CheckResult::Unmatched | CheckResult::NotAsked => (Code::Ok, None, None),
+            CheckResult::Granted { remaining_milli, reset_ms } => (Code::Ok, remaining_milli, Some(reset_ms)),
+            CheckResult::OverLimit { remaining_milli, reset_ms } => {
+                (Code::OverLimit, remaining_milli, Some(reset_ms))
+            }
+            CheckResult::Undecided(mode) => {
+                by_mode = Some(by_mode.map_or(mode, |m| if m == FailureMode::Deny { m } else { mode }));
                 match mode {
-                    Mode::Allow => (Code::Ok, None, None),
-                    Mode::Deny => (Code::OverLimit, Some(0), Some(UNDECIDED_MS)),
+                    FailureMode::Allow => (Code::Ok, None, None),
+                    FailureMode::Deny => (Code::OverLimit, Some(0), Some(UNDECIDED_MS)),
                 }
             }
         };
-        if found.over() {
+        if found.is_over_limit() {
             over = true;
             back_ms = back_ms.max(reset.unwrap_or(0));
         }
@@ -119,7 +121,7 @@
         header("retry-after", back_ms.div_ceil(1000).max(1).to_string());
     }
     if let Some(mode) = by_mode {
-        header("x-frostvale-undecided", if mode == Mode::Deny { "deny" } else { "allow" }.into());
+        header("x-frostvale-undecided", if mode == FailureMode::Deny { "deny" } else { "allow" }.into());
     }
     let overall = if over { Code::OverLimit } else { Code::Ok };
     RateLimitResponse {
--- a/crates/checks/src/lib.rs
+++ b/crates/checks/src/lib.rs
@@ -42,7 +42,7 @@
 
 /// What is answered where nobody decided.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub enum Mode {
+pub enum FailureMode {
     /// OK.
     Allow,
     /// Over the limit.
@@ -53,7 +53,7 @@
 impl Plan {
     /// What is answered for this plan where nobody decided: a hard ceiling is never left to chance.
     #[must_use]
-    pub fn mode(&self, configured: Mode) -> Mode {
-        if self.ceiling_rate_milli > 0 { Mode::Deny } else { configured }
+    pub fn failure_mode(&self, configured: FailureMode) -> FailureMode {
+        if self.ceiling_rate_milli > 0 { FailureMode::Deny } else { configured }
     }
 }
--- a/crates/checks/src/read.rs
+++ b/crates/checks/src/read.rs
@@ -6,17 +6,17 @@
 use std::fmt;
 
 /// Descriptors in one call, at the most.
-pub const DESCRIPTORS_MOST: usize = 16;
+pub const MAX_DESCRIPTORS: usize = 16;
 /// Entries in one descriptor, at the most.
-pub const ENTRIES_MOST: usize = 32;
+pub const MAX_ENTRIES: usize = 32;
 /// Bytes of a key or a value, at the most.
-pub const TEXT_MOST: usize = 256;
+pub const MAX_TEXT_BYTES: usize = 256;
 /// Customers are numbers below this (PROTOCOL: a number below 2^33 in 16 hex digits).
 const SHOPS: u64 = 1 << 33;
 
 /// The names that entries go by, and the domains that are answered for.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Names {
+pub struct EntryKeys {
     /// The domains with limits; any other is answered OK.
     pub domains: Vec<String>,
     /// The entry that names the shop.
@@ -31,10 +31,10 @@
     pub spread: String,
 }
 
-impl Default for Names {
+impl Default for EntryKeys {
     fn default() -> Self {
         let text = str::to_string;
-        Names {
+        EntryKeys {
             domains: vec![text("frostvale")],
             shop: text("shop"),
             plan: text("plan"),
@@ -47,7 +47,7 @@
 
 /// What one descriptor asks for.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Ask {
+pub struct CheckRequest {
     /// 16 hex digits, lower case.
     pub shop: String,
     /// The plan's name.
@@ -62,33 +62,37 @@
 
 /// Why a call can't be answered.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Invalid(pub String);
+pub struct InvalidRequest(pub String);
 
-impl fmt::Display for Invalid {
+impl fmt::Display for InvalidRequest {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(&self.0)
     }
 }
 
-impl std::error::Error for Invalid {}
+impl std::error::Error for InvalidRequest {}
 
 /// Reads a call: for each descriptor what it asks for, or none where it matches no plan.
 ///
 /// # Errors
 /// With the field that is wrong and what it may be. Nothing of the call is to be asked for then.
-pub fn read(call: &RateLimitRequest, names: &Names, tier: &Tier) -> Result<Vec<Option<Ask>>, Invalid> {
-    let bad = |text: String| Err(Invalid(text));
+pub fn parse_request(
+    call: &RateLimitRequest,
+    names: &EntryKeys,
+    tier: &Tier,
+) -> Result<Vec<Option<CheckRequest>>, InvalidRequest> {
+    let bad = |text: String| Err(InvalidRequest(text));
     if call.domain.is_empty() {
         return bad("domain: empty; it names whose limits are asked for".into());
     }
-    if call.descriptors.is_empty() || call.descriptors.len() > DESCRIPTORS_MOST {
-        return bad(format!("descriptors: {} of them; 1 to {DESCRIPTORS_MOST}", call.descriptors.len()));
+    if call.descriptors.is_empty() || call.descriptors.len() > MAX_DESCRIPTORS {
+        return bad(format!("descriptors: {} of them; 1 to {MAX_DESCRIPTORS}", call.descriptors.len()));
     }
     let known = names.domains.contains(&call.domain);
     let mut asks = Vec::with_capacity(call.descriptors.len());
     for (k, descriptor) in call.descriptors.iter().enumerate() {
         let ask = one(descriptor, call.hits_addend, names, tier)
-            .map_err(|what| Invalid(format!("descriptors[{k}].{what}")))?;
+            .map_err(|what| InvalidRequest(format!("descriptors[{k}].{what}")))?;
         asks.push(ask.filter(|_| known));
     }
     Ok(asks)
@@ -97,20 +101,20 @@
 fn one(
     descriptor: &RateLimitDescriptor,
     call_addend: u32,
-    names: &Names,
+    names: &EntryKeys,
     tier: &Tier,
-) -> Result<Option<Ask>, String> {
+) -> Result<Option<CheckRequest>, String> {
     let entries = &descriptor.entries;
-    if entries.is_empty() || entries.len() > ENTRIES_MOST {
-        return Err(format!("entries: {} of them; 1 to {ENTRIES_MOST}", entries.len()));
+    if entries.is_empty() || entries.len() > MAX_ENTRIES {
+        return Err(format!("entries: {} of them; 1 to {MAX_ENTRIES}", entries.len()));
     }
     let (mut shop, mut plan, mut class, mut first, mut spread) = (None, None, None, None, None);
     for (k, entry) in entries.iter().enumerate() {
-        if entry.key.is_empty() || entry.key.len() > TEXT_MOST {
-            return Err(format!("entries[{k}].key: {} bytes; 1 to {TEXT_MOST}", entry.key.len()));
+        if entry.key.is_empty() || entry.key.len() > MAX_TEXT_BYTES {
+            return Err(format!("entries[{k}].key: {} bytes; 1 to {MAX_TEXT_BYTES}", entry.key.len()));
         }
-        if entry.value.len() > TEXT_MOST {
-            return Err(format!("entries[{k}].value: {} bytes; at most {TEXT_MOST}", entry.value.len()));
+        if entry.value.len() > MAX_TEXT_BYTES {
+            return Err(format!("entries[{k}].value: {} bytes; at most {MAX_TEXT_BYTES}", entry.value.len()));
         }
         let place = match &entry.key {
             key if *key == names.shop => &mut shop,
@@ -167,7 +171,7 @@
     if hits > largest {
         return Err(format!("hits_addend: {hits}; 0 to {largest} (0 counts as 1)"));
     }
-    Ok(Some(Ask {
+    Ok(Some(CheckRequest {
         shop: text.to_ascii_lowercase(),
         plan: plan.to_string(),
         class,
--- a/crates/checks/src/route.rs
+++ b/crates/checks/src/route.rs
@@ -7,23 +7,23 @@
 use std::collections::HashMap;
 
 /// Shops whose sets are remembered, in each of two generations.
-pub const SETS_MOST: usize = 100_000;
+pub const MAX_SHOP_SETS: usize = 100_000;
 
 /// The sets of shops, as gatekeepers last saw them.
 #[derive(Default)]
-pub struct Sets {
+pub struct ShopSets {
     young: HashMap<u64, (u32, u32)>,
     old: HashMap<u64, (u32, u32)>,
 }
 
-impl Sets {
+impl ShopSets {
     /// A gatekeeper saw a shop's request with this set. What can't be a set is passed over.
-    pub fn seen(&mut self, shop: &str, first: u32, spread: u32, gatekeepers: u32) {
+    pub fn record(&mut self, shop: &str, first: u32, spread: u32, gatekeepers: u32) {
         let Ok(shop) = u64::from_str_radix(shop, 16) else { return };
         if first >= gatekeepers || spread == 0 || spread > gatekeepers {
             return;
         }
-        if self.young.len() >= SETS_MOST && !self.young.contains_key(&shop) {
+        if self.young.len() >= MAX_SHOP_SETS && !self.young.contains_key(&shop) {
             self.old = std::mem::take(&mut self.young);
         }
         self.young.insert(shop, (first, spread));
@@ -64,7 +64,7 @@
 /// The gatekeepers that may decide, in the order in which they are to be tried. `turn` goes up with each check;
 /// `usable` says which can be asked.
 #[must_use]
-pub fn order(
+pub fn candidates(
     shop: &str,
     (first, spread): (u32, u32),
     gatekeepers: u32,
@@ -101,7 +101,7 @@
         ) {
             let first = first % gatekeepers;
             let name = format!("{shop:016x}");
-            let order = order(&name, (first, spread), gatekeepers, ceiling, turn, |g| g != dead);
+            let order = candidates(&name, (first, spread), gatekeepers, ceiling, turn, |g| g != dead);
             let spread = spread.clamp(1, gatekeepers);
             let mut set: Vec<u32> = (0..spread).map(|k| (first + k) % gatekeepers).filter(|g| *g != dead).collect();
             let mut sorted = order.clone();
@@ -114,23 +114,24 @@
     #[test]
     fn a_ceiling_goes_round_the_set_and_other_plans_go_to_the_keeper() {
         let shop = "00000000b4d65521";
-        let firsts: Vec<u32> = (0..6).map(|turn| order(shop, (1, 3), 4, true, turn, |_| true)[0]).collect();
+        let firsts: Vec<u32> =
+            (0..6).map(|turn| candidates(shop, (1, 3), 4, true, turn, |_| true)[0]).collect();
         assert_eq!(firsts, [1, 2, 3, 1, 2, 3]);
         let keeper = frostvale::quota_owner_of(shop, 1, 3, 4);
-        assert!((0..6).all(|turn| order(shop, (1, 3), 4, false, turn, |_| true)[0] == keeper));
-        assert_ne!(order(shop, (1, 3), 4, false, 0, |g| g != keeper)[0], keeper);
+        assert!((0..6).all(|turn| candidates(shop, (1, 3), 4, false, turn, |_| true)[0] == keeper));
+        assert_ne!(candidates(shop, (1, 3), 4, false, 0, |g| g != keeper)[0], keeper);
     }
 
     #[test]
     fn sets_are_bounded_and_the_latest_stays() {
-        let mut sets = Sets::default();
-        for k in 0..3 * SETS_MOST as u64 {
-            sets.seen(&format!("{k:016x}"), 0, 2, 3);
+        let mut sets = ShopSets::default();
+        for k in 0..3 * MAX_SHOP_SETS as u64 {
+            sets.record(&format!("{k:016x}"), 0, 2, 3);
         }
-        assert!(sets.len() <= 2 * SETS_MOST);
-        sets.seen("0000000000000007", 2, 2, 3);
-        sets.seen("0000000000000007", 3, 2, 3);
-        sets.seen("0000000000000007", 0, 0, 3);
+        assert!(sets.len() <= 2 * MAX_SHOP_SETS);
+        sets.record("0000000000000007", 2, 2, 3);
+        sets.record("0000000000000007", 3, 2, 3);
+        sets.record("0000000000000007", 0, 0, 3);
         assert_eq!(sets.get("0000000000000007"), Some((2, 2)));
     }
 }
--- a/crates/checks/tests/read.rs
+++ b/crates/checks/tests/read.rs
@@ -1,8 +1,8 @@
 //! What is read of a call, and what is made of the decisions.
 
-use frostvale_checks::answer::{Found, answer};
-use frostvale_checks::read::{Ask, DESCRIPTORS_MOST, ENTRIES_MOST, Names, read};
-use frostvale_checks::{Mode, Plan, Tier};
+use frostvale_checks::answer::{CheckResult, build_response};
+use frostvale_checks::read::{CheckRequest, EntryKeys, MAX_DESCRIPTORS, MAX_ENTRIES, parse_request};
+use frostvale_checks::{FailureMode, Plan, Tier};
 use frostvale_proto::envoy::extensions::common::ratelimit::v3::RateLimitDescriptor;
 use frostvale_proto::envoy::extensions::common::ratelimit::v3::rate_limit_descriptor::Entry;
 use frostvale_proto::envoy::service::ratelimit::v3::RateLimitRequest;
@@ -39,8 +39,8 @@
     RateLimitRequest { domain: "frostvale".into(), descriptors, hits_addend: 0 }
 }
 
-fn one(entries: &[(&str, &str)]) -> Result<Vec<Option<Ask>>, String> {
-    read(&call(vec![descriptor(entries)]), &Names::default(), &tier()).map_err(|e| e.0)
+fn one(entries: &[(&str, &str)]) -> Result<Vec<Option<CheckRequest>>, String> {
+    parse_request(&call(vec![descriptor(entries)]), &EntryKeys::default(), &tier()).map_err(|e| e.0)
 }
 
 #[test]
@@ -52,7 +52,7 @@
     let mut own = call(vec![descriptor(&[("shop", SHOP), ("plan", "basico")]); 2]);
     own.hits_addend = 3;
     own.descriptors[1].hits_addend = Some(2);
-    let asks = read(&own, &Names::default(), &tier()).expect("sound");
+    let asks = parse_request(&own, &EntryKeys::default(), &tier()).expect("sound");
     let units: Vec<u64> = asks.into_iter().flatten().map(|a| a.units_milli).collect();
     assert_eq!(units, [3000, 2000], "a descriptor's own addend stands over the call's");
 }
@@ -66,7 +66,7 @@
     }
     let mut elsewhere = call(vec![descriptor(&[("shop", SHOP), ("plan", "basico")])]);
     elsewhere.domain = "another".into();
-    assert_eq!(read(&elsewhere, &Names::default(), &tier()), Ok(vec![None]));
+    assert_eq!(parse_request(&elsewhere, &EntryKeys::default(), &tier()), Ok(vec![None]));
 }
 
 #[test]
@@ -92,14 +92,15 @@
         let said = one(entries).expect_err("bad");
         assert!(said.contains(word), "{entries:?}: {said}");
     }
-    let refused = |call: RateLimitRequest| read(&call, &Names::default(), &tier()).expect_err("bad").0;
+    let refused =
+        |call: RateLimitRequest| parse_request(&call, &EntryKeys::default(), &tier()).expect_err("bad").0;
     let sound = descriptor(&[("shop", SHOP), ("plan", "basico")]);
     assert!(
         refused(RateLimitRequest { domain: String::new(), ..call(vec![sound.clone()]) }).contains("domain")
     );
     assert!(refused(call(vec![])).contains("descriptors: 0 of them; 1 to 16"));
-    assert!(refused(call(vec![sound.clone(); DESCRIPTORS_MOST + 1])).contains("descriptors: 17"));
-    let many = vec![("other", "x"); ENTRIES_MOST + 1];
+    assert!(refused(call(vec![sound.clone(); MAX_DESCRIPTORS + 1])).contains("descriptors: 17"));
+    let many = vec![("other", "x"); MAX_ENTRIES + 1];
     assert!(refused(call(vec![descriptor(&many)])).contains("entries: 33"));
     let mut much = call(vec![sound]);
     much.hits_addend = 5;
@@ -109,38 +110,38 @@
 #[test]
 fn the_answer_is_over_if_any_is_and_says_when_to_come_back() {
     let (ask, plan) = (
-        Ask { shop: SHOP.into(), plan: "basico".into(), class: 0, units_milli: 1000, set: None },
+        CheckRequest { shop: SHOP.into(), plan: "basico".into(), class: 0, units_milli: 1000, set: None },
         tier().plans["basico"].clone(),
     );
     let of = Some((&ask, &plan));
-    let granted = Found::Granted { remaining_milli: Some(2500), reset_ms: 900 };
-    let over = Found::Over { remaining_milli: Some(400), reset_ms: 1400 };
+    let granted = CheckResult::Granted { remaining_milli: Some(2500), reset_ms: 900 };
+    let over = CheckResult::OverLimit { remaining_milli: Some(400), reset_ms: 1400 };
     let header = |a: &frostvale_proto::envoy::service::ratelimit::v3::RateLimitResponse, key: &str| {
         a.response_headers_to_add.iter().find(|h| h.key == key).map(|h| h.value.clone())
     };
-    let good = answer([(granted, of), (Found::Unmatched, None)]);
+    let good = build_response([(granted, of), (CheckResult::Unmatched, None)]);
     assert_eq!(good.overall_code(), Code::Ok);
     assert_eq!(good.statuses[0].limit_remaining, 2);
     let limit = good.statuses[0].current_limit.clone().expect("a limit");
     assert_eq!((limit.requests_per_unit, limit.unit()), (84, Unit::Minute), "1.4 a second");
     assert_eq!(header(&good, "retry-after"), None);
-    let bad = answer([(granted, of), (over, of)]);
+    let bad = build_response([(granted, of), (over, of)]);
     assert_eq!(bad.overall_code(), Code::OverLimit);
     assert_eq!(header(&bad, "retry-after").as_deref(), Some("2"));
     assert_eq!(header(&bad, "x-ratelimit-remaining").as_deref(), Some("0"));
     let reset = bad.statuses[1].duration_until_reset.expect("a time");
     assert_eq!((reset.seconds, reset.nanos), (1, 400_000_000));
-    let denied = answer([(Found::Undecided(Mode::Deny), of)]);
+    let denied = build_response([(CheckResult::Undecided(FailureMode::Deny), of)]);
     assert_eq!(denied.overall_code(), Code::OverLimit);
     assert_eq!(header(&denied, "x-frostvale-undecided").as_deref(), Some("deny"));
     assert!(header(&denied, "retry-after").is_some());
-    assert_eq!(answer([(Found::Undecided(Mode::Allow), of)]).overall_code(), Code::Ok);
+    assert_eq!(build_response([(CheckResult::Undecided(FailureMode::Allow), of)]).overall_code(), Code::Ok);
 }
 
 #[test]
 fn a_plan_with_a_ceiling_denies_whatever_is_configured() {
-    assert_eq!(tier().plans["ferreteria"].mode(Mode::Allow), Mode::Deny);
-    assert_eq!(tier().plans["basico"].mode(Mode::Allow), Mode::Allow);
+    assert_eq!(tier().plans["ferreteria"].failure_mode(FailureMode::Allow), FailureMode::Deny);
+    assert_eq!(tier().plans["basico"].failure_mode(FailureMode::Allow), FailureMode::Allow);
 }
 
 proptest! {
@@ -157,7 +158,7 @@
             .map(|e| descriptor(&e.iter().map(|(k, v)| (k.as_str(), v.as_str())).collect::<Vec<_>>()))
             .collect();
         let call = RateLimitRequest { domain, descriptors, hits_addend: addend };
-        if let Ok(asks) = read(&call, &Names::default(), &tier()) {
+        if let Ok(asks) = parse_request(&call, &EntryKeys::default(), &tier()) {
             prop_assert_eq!(asks.len(), call.descriptors.len());
             for ask in asks.into_iter().flatten() {
                 prop_assert!(tier().plans.contains_key(&ask.plan));
