--- a/crates/council/src/file.rs
+++ b/crates/council/src/file.rs
@@ -14,7 +14,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-use crate::store::{Entry, Member, Whole};
+use crate::store::{AgreedState, Entry, Member};
 
 /// Who a member is.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -31,15 +31,15 @@
 
 /// Why a file can't be used, or a write was not done.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Problem {
+pub enum FileError {
     /// It can't be opened, read or written: what the system says.
     Unusable(String),
     /// Another process holds it.
-    Held,
+    Locked,
     /// It is damaged.
-    Torn(String),
+    Corrupt(String),
     /// It is older than what this agent has promised.
-    Older {
+    Outdated {
         /// Writes that it has seen.
         has: u64,
         /// Writes that are known of.
@@ -49,44 +49,46 @@
     Foreign(String),
 }
 
-impl std::fmt::Display for Problem {
+impl std::fmt::Display for FileError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Problem::Unusable(what) => write!(f, "council.file: {what}; this agent does not vote"),
-            Problem::Held => f.write_str("council.file: another process holds it; this agent does not vote"),
-            Problem::Torn(what) => write!(
+            FileError::Unusable(what) => write!(f, "council.file: {what}; this agent does not vote"),
+            FileError::Locked => {
+                f.write_str("council.file: another process holds it; this agent does not vote")
+            }
+            FileError::Corrupt(what) => write!(
                 f,
                 "council.file: it is damaged ({what}); this agent does not vote: move the file away, and have this agent \
                  removed and added anew"
             ),
-            Problem::Older { has, known } => write!(
+            FileError::Outdated { has, known } => write!(
                 f,
                 "council.file: an older copy: it has seen {has} writes, and {known} are known of; it has forgotten what \
                  it promised, so this agent does not vote: move it away, and have this agent removed and added anew"
             ),
-            Problem::Foreign(what) => write!(f, "council.file: it is of {what}, not of this agent"),
+            FileError::Foreign(what) => write!(f, "council.file: it is of {what}, not of this agent"),
         }
     }
 }
 
-impl std::error::Error for Problem {}
+impl std::error::Error for FileError {}
 
-fn meaning(e: &rusqlite::Error) -> Problem {
+fn meaning(e: &rusqlite::Error) -> FileError {
     use rusqlite::ErrorCode;
     match e.sqlite_error_code() {
-        Some(ErrorCode::DatabaseBusy | ErrorCode::DatabaseLocked) => Problem::Held,
-        Some(ErrorCode::DatabaseCorrupt | ErrorCode::NotADatabase) => Problem::Torn(e.to_string()),
-        _ => Problem::Unusable(e.to_string()),
+        Some(ErrorCode::DatabaseBusy | ErrorCode::DatabaseLocked) => FileError::Locked,
+        Some(ErrorCode::DatabaseCorrupt | ErrorCode::NotADatabase) => FileError::Corrupt(e.to_string()),
+        _ => FileError::Unusable(e.to_string()),
     }
 }
 
-fn unreadable(e: &serde_json::Error) -> Problem {
-    Problem::Torn(e.to_string())
+fn unreadable(e: &serde_json::Error) -> FileError {
+    FileError::Corrupt(e.to_string())
 }
 
 /// The log as far as it is there.
 #[derive(Debug, Clone, Default)]
-pub struct Ends {
+pub struct LogBounds {
     /// The last entry that was let go.
     pub purged: Option<LogId<u64>>,
     /// The last entry there is or was.
@@ -94,7 +96,7 @@
 }
 
 /// A snapshot: what it is of, and the whole as JSON.
-pub(crate) type Kept = (SnapshotMeta<u64, Member>, Vec<u8>);
+pub(crate) type StoredSnapshot = (SnapshotMeta<u64, Member>, Vec<u8>);
 
 struct Open {
     db: Connection,
@@ -103,7 +105,7 @@
 
 /// The file.
 #[derive(Clone)]
-pub struct File {
+pub struct CouncilFile {
     open: Arc<Mutex<Open>>,
     writes: Arc<AtomicU64>,
     path: PathBuf,
@@ -128,21 +130,21 @@
     mark.write_all(format!("{writes:020}\n").as_bytes())
 }
 
-impl File {
+impl CouncilFile {
     /// Opens or makes it; looks whether it is whole and no older than its mark.
     ///
     /// # Errors
     /// When it can't be used; then this agent must not take part.
-    pub fn open(path: &Path) -> Result<File, Problem> {
-        File::open_as(path, false)
+    pub fn open(path: &Path) -> Result<CouncilFile, FileError> {
+        CouncilFile::open_with_mode(path, false)
     }
 
     /// The same, if so wanted as on a disk that can't be written.
     ///
     /// # Errors
     /// When it can't be used; on such a disk it never can.
-    pub fn open_as(path: &Path, read_only: bool) -> Result<File, Problem> {
-        let at = |what: String| Problem::Unusable(format!("{}: {what}", path.display()));
+    pub fn open_with_mode(path: &Path, read_only: bool) -> Result<CouncilFile, FileError> {
+        let at = |what: String| FileError::Unusable(format!("{}: {what}", path.display()));
         let access = match read_only {
             true => OpenFlags::SQLITE_OPEN_READ_ONLY,
             false => OpenFlags::SQLITE_OPEN_READ_WRITE | OpenFlags::SQLITE_OPEN_CREATE,
@@ -161,7 +163,7 @@
         };
         match ready() {
             Ok(said) if said == "ok" => {}
-            Ok(said) => return Err(Problem::Torn(said)),
+            Ok(said) => return Err(FileError::Corrupt(said)),
             Err(e) => return Err(meaning(&e)),
         }
         let mut mark = fs::OpenOptions::new()
@@ -182,10 +184,10 @@
             .try_into()
             .unwrap_or(0);
         if known > has {
-            return Err(Problem::Older { has, known });
+            return Err(FileError::Outdated { has, known });
         }
         let open = Arc::new(Mutex::new(Open { db, mark }));
-        let file = File { open, writes: Arc::new(AtomicU64::new(has)), path: path.to_path_buf() };
+        let file = CouncilFile { open, writes: Arc::new(AtomicU64::new(has)), path: path.to_path_buf() };
         file.look_through()?;
         Ok(file)
     }
@@ -195,7 +197,7 @@
     }
 
     /// The log has to be of one piece, and to begin where the purged part ends.
-    fn look_through(&self) -> Result<(), Problem> {
+    fn look_through(&self) -> Result<(), FileError> {
         let open = self.lock();
         let (first, last, count): (Option<i64>, Option<i64>, i64) = open
             .db
@@ -206,11 +208,13 @@
         let purged: Option<LogId<u64>> = word(&open.db, "purged")?;
         if let (Some(first), Some(last)) = (first, last) {
             if last - first + 1 != count {
-                return Err(Problem::Torn(format!("the log has {count} entries from {first} to {last}")));
+                return Err(FileError::Corrupt(format!(
+                    "the log has {count} entries from {first} to {last}"
+                )));
             }
             let from = purged.map_or(0, |p| p.index + 1);
             if i64::try_from(from).ok() != Some(first) {
-                return Err(Problem::Torn(format!("the log begins at {first}, not at {from}")));
+                return Err(FileError::Corrupt(format!("the log begins at {first}, not at {from}")));
             }
         }
         Ok(())
@@ -229,7 +233,7 @@
     }
 
     /// Does something in one transaction, which counts as a write.
-    fn write<T>(&self, work: impl FnOnce(&Transaction<'_>) -> Result<T, Problem>) -> Result<T, Problem> {
+    fn write<T>(&self, work: impl FnOnce(&Transaction<'_>) -> Result<T, FileError>) -> Result<T, FileError> {
         let mut open = self.lock();
         let Open { db, mark } = &mut *open;
         let tx = db.transaction().map_err(|e| meaning(&e))?;
@@ -246,7 +250,7 @@
     ///
     /// # Errors
     /// When it can't be read.
-    pub fn identity(&self) -> Result<Option<Identity>, Problem> {
+    pub fn identity(&self) -> Result<Option<Identity>, FileError> {
         let open = self.lock();
         let row =
             open.db.query_row("SELECT fleet, member, name, generation FROM meta WHERE id = 1", [], |r| {
@@ -267,12 +271,12 @@
     ///
     /// # Errors
     /// When it is another's already, or can't be written.
-    pub fn set_identity(&self, identity: &Identity) -> Result<(), Problem> {
+    pub fn set_identity(&self, identity: &Identity) -> Result<(), FileError> {
         if let Some(known) = self.identity()? {
             if known == *identity {
                 return Ok(());
             }
-            return Err(Problem::Foreign(format!(
+            return Err(FileError::Foreign(format!(
                 "member {} ({}) of fleet {}",
                 known.id, known.name, known.fleet
             )));
@@ -289,20 +293,20 @@
         })
     }
 
-    pub(crate) fn vote(&self) -> Result<Option<Vote<u64>>, Problem> {
+    pub(crate) fn vote(&self) -> Result<Option<Vote<u64>>, FileError> {
         word(&self.lock().db, "vote")
     }
 
-    pub(crate) fn set_vote(&self, vote: &Vote<u64>) -> Result<(), Problem> {
+    pub(crate) fn set_vote(&self, vote: &Vote<u64>) -> Result<(), FileError> {
         self.write(|tx| set_word(tx, "vote", &serde_json::to_string(vote).map_err(|e| unreadable(&e))?))
     }
 
-    pub(crate) fn committed(&self) -> Result<Option<LogId<u64>>, Problem> {
+    pub(crate) fn committed(&self) -> Result<Option<LogId<u64>>, FileError> {
         Ok(word::<Option<LogId<u64>>>(&self.lock().db, "committed")?.flatten())
     }
 
     /// Only saves work at a start: it is not synced, nor counted.
-    pub(crate) fn set_committed(&self, committed: Option<LogId<u64>>) -> Result<(), Problem> {
+    pub(crate) fn set_committed(&self, committed: Option<LogId<u64>>) -> Result<(), FileError> {
         let text = serde_json::to_string(&committed).map_err(|e| unreadable(&e))?;
         let open = self.lock();
         let _ = open.db.pragma_update(None, "synchronous", "OFF");
@@ -311,7 +315,7 @@
         done.and(synced).map_err(|e| meaning(&e))
     }
 
-    pub(crate) fn ends(&self) -> Result<Ends, Problem> {
+    pub(crate) fn log_bounds(&self) -> Result<LogBounds, FileError> {
         let open = self.lock();
         let purged: Option<LogId<u64>> = word(&open.db, "purged")?;
         let last: Option<String> = open
@@ -321,10 +325,10 @@
             .map_err(|e| meaning(&e))?;
         let last =
             last.map(|text| serde_json::from_str::<Entry>(&text)).transpose().map_err(|e| unreadable(&e))?;
-        Ok(Ends { purged, last: last.map(|e| e.log_id).or(purged) })
+        Ok(LogBounds { purged, last: last.map(|e| e.log_id).or(purged) })
     }
 
-    pub(crate) fn entries(&self, from: u64, to: u64) -> Result<Vec<Entry>, Problem> {
+    pub(crate) fn entries(&self, from: u64, to: u64) -> Result<Vec<Entry>, FileError> {
         let open = self.lock();
         let mut rows = open
             .db
@@ -339,7 +343,7 @@
         texts.map(read).collect()
     }
 
-    pub(crate) fn append(&self, entries: &[Entry]) -> Result<(), Problem> {
+    pub(crate) fn append(&self, entries: &[Entry]) -> Result<(), FileError> {
         self.write(|tx| {
             for entry in entries {
                 let text = serde_json::to_string(entry).map_err(|e| unreadable(&e))?;
@@ -352,21 +356,21 @@
     }
 
     /// Lets go of this entry and those after it.
-    pub(crate) fn truncate(&self, from: u64) -> Result<(), Problem> {
+    pub(crate) fn truncate(&self, from: u64) -> Result<(), FileError> {
         self.write(|tx| {
             tx.execute("DELETE FROM log WHERE at >= ?1", [int(from)]).map(drop).map_err(|e| meaning(&e))
         })
     }
 
     /// Lets go of this entry and those before it.
-    pub(crate) fn purge(&self, to: &LogId<u64>) -> Result<(), Problem> {
+    pub(crate) fn purge(&self, to: &LogId<u64>) -> Result<(), FileError> {
         self.write(|tx| {
             set_word(tx, "purged", &serde_json::to_string(to).map_err(|e| unreadable(&e))?)?;
             tx.execute("DELETE FROM log WHERE at <= ?1", [int(to.index)]).map(drop).map_err(|e| meaning(&e))
         })
     }
 
-    pub(crate) fn snapshot(&self) -> Result<Option<Kept>, Problem> {
+    pub(crate) fn snapshot(&self) -> Result<Option<StoredSnapshot>, FileError> {
         let open = self.lock();
         let row: Option<(String, String)> = open
             .db
@@ -379,9 +383,13 @@
         .transpose()
     }
 
-    pub(crate) fn set_snapshot(&self, meta: &SnapshotMeta<u64, Member>, whole: &[u8]) -> Result<(), Problem> {
+    pub(crate) fn set_snapshot(
+        &self,
+        meta: &SnapshotMeta<u64, Member>,
+        whole: &[u8],
+    ) -> Result<(), FileError> {
         let meta = serde_json::to_string(meta).map_err(|e| unreadable(&e))?;
-        let whole = std::str::from_utf8(whole).map_err(|e| Problem::Torn(e.to_string()))?;
+        let whole = std::str::from_utf8(whole).map_err(|e| FileError::Corrupt(e.to_string()))?;
         self.write(|tx| put_snapshot(tx, &meta, whole))
     }
 
@@ -390,11 +398,11 @@
     ///
     /// # Errors
     /// When the file is nobody's yet, or can't be written.
-    pub fn recover(&self, by: &str, at_ms: u64) -> Result<Identity, Problem> {
+    pub fn recover(&self, by: &str, at_ms: u64) -> Result<Identity, FileError> {
         let Some(identity) = self.identity()? else {
-            return Err(Problem::Unusable("it is of no member: there is nothing to go on from".into()));
+            return Err(FileError::Unusable("it is of no member: there is nothing to go on from".into()));
         };
-        let mut whole = Whole::default();
+        let mut whole = AgreedState::default();
         let mut membership = StoredMembership::<u64, Member>::default();
         let mut last = None;
         if let Some((meta, text)) = self.snapshot()? {
@@ -412,11 +420,11 @@
         }
         let me = membership.nodes().find(|(id, _)| **id == identity.id).map(|(_, node)| node.clone());
         let Some(me) = me else {
-            return Err(Problem::Unusable("this agent is no member of the council it knows".into()));
+            return Err(FileError::Unusable("this agent is no member of the council it knows".into()));
         };
         let recover = frostvale_owner::Command::Recover { by: by.to_string(), at_ms };
         if let frostvale_owner::Outcome::Refused(why) = whole.owner.apply(&recover) {
-            return Err(Problem::Unusable(why.to_string()));
+            return Err(FileError::Unusable(why.to_string()));
         }
         let voters = std::collections::BTreeSet::from([identity.id]);
         let nodes = std::collections::BTreeMap::from([(identity.id, me)]);
@@ -450,7 +458,7 @@
     ///
     /// # Errors
     /// As the database says.
-    pub fn limit_pages(&self, pages: u32) -> Result<(), Problem> {
+    pub fn limit_pages(&self, pages: u32) -> Result<(), FileError> {
         self.lock().db.pragma_update(None, "max_page_count", pages).map_err(|e| meaning(&e))
     }
 }
@@ -459,18 +467,18 @@
     i64::try_from(n).unwrap_or(i64::MAX)
 }
 
-fn word<T: serde::de::DeserializeOwned>(db: &Connection, column: &str) -> Result<Option<T>, Problem> {
+fn word<T: serde::de::DeserializeOwned>(db: &Connection, column: &str) -> Result<Option<T>, FileError> {
     let sql = format!("SELECT {column} FROM meta WHERE id = 1");
     let text: Option<String> = db.query_row(&sql, [], |r| r.get(0)).map_err(|e| meaning(&e))?;
     text.map(|t| serde_json::from_str(&t)).transpose().map_err(|e| unreadable(&e))
 }
 
-fn set_word(tx: &Transaction<'_>, column: &str, text: &str) -> Result<(), Problem> {
+fn set_word(tx: &Transaction<'_>, column: &str, text: &str) -> Result<(), FileError> {
     let sql = format!("UPDATE meta SET {column} = ?1 WHERE id = 1");
     tx.execute(&sql, [text]).map(drop).map_err(|e| meaning(&e))
 }
 
-fn put_snapshot(tx: &Transaction<'_>, meta: &str, whole: &str) -> Result<(), Problem> {
+fn put_snapshot(tx: &Transaction<'_>, meta: &str, whole: &str) -> Result<(), FileError> {
     let sql = "INSERT OR REPLACE INTO snapshot (id, meta, whole) VALUES (1, ?1, ?2)";
     tx.execute(sql, [meta, whole]).map(drop).map_err(|e| meaning(&e))
 }
--- a/crates/council/src/lib.rs
+++ b/crates/council/src/lib.rs
@@ -19,13 +19,13 @@
 pub mod file;
 pub mod member;
 mod net;
-mod pulse;
+mod quorum_check;
 mod store;
 pub mod wire;
 
-pub use member::{Admin, Council, Error, Settings, Status};
-pub use store::{Member, Request, Response, Whole};
-pub use wire::{Envelope, Kind, Refused};
+pub use member::{Council, Error, MembershipChange, Settings, Status};
+pub use store::{AgreedState, Member, Request, Response};
+pub use wire::{Envelope, MessageKind, Rejection};
 
 use async_trait::async_trait;
 
--- a/crates/council/src/member.rs
+++ b/crates/council/src/member.rs
@@ -1,11 +1,11 @@
 //! One member of the council.
 
 use crate::Transport;
-use crate::file::{File, Identity, Problem};
-use crate::net::Ways;
-use crate::pulse::Pulse;
-use crate::store::{Log, Machine, Member, Request, Response, TypeConfig, Whole};
-use crate::wire::{self, BODY_MOST, Envelope, Kind, Refused, VERSION};
+use crate::file::{CouncilFile, FileError, Identity};
+use crate::net::NetworkFactory;
+use crate::quorum_check::QuorumCheck;
+use crate::store::{AgreedState, LogStore, Member, Request, Response, StateMachine, TypeConfig};
+use crate::wire::{self, Envelope, MAX_BODY_BYTES, MessageKind, Rejection, VERSION};
 use frostvale_owner::registry::is_name;
 use frostvale_owner::{Command, Outcome};
 use openraft::error::{ClientWriteError, ForwardToLeader, RaftError};
@@ -28,7 +28,7 @@
 /// A new member has caught up within this time, or is not made a voter.
 const CATCH_UP: Duration = Duration::from_secs(10);
 /// Changes of members take this long at the most.
-pub const ADMIN: Duration = Duration::from_secs(15);
+pub const MEMBERSHIP_CHANGE_TIMEOUT: Duration = Duration::from_secs(15);
 /// A compaction after so many entries; so many are kept for members that are a little behind.
 const COMPACT: u64 = 2_000;
 const KEEP: u64 = 200;
@@ -119,7 +119,7 @@
 
 /// A change of members.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Admin {
+pub enum MembershipChange {
     /// One more voter: a follower, or an agent whose council file is new.
     Add {
         /// Its name.
@@ -136,7 +136,7 @@
 
 /// A member as operators see it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Seen {
+pub struct MemberStatus {
     /// Its number.
     pub id: u64,
     /// Its name.
@@ -144,9 +144,9 @@
     /// Its address.
     pub at: String,
     /// Whether it votes.
-    pub votes: bool,
+    pub is_voter: bool,
     /// How far its log goes, as the leader knows.
-    pub matched: Option<u64>,
+    pub matched_index: Option<u64>,
 }
 
 /// The council as this member sees it.
@@ -163,17 +163,17 @@
     /// The term.
     pub term: u64,
     /// The last entry of its log, and the last that was carried out.
-    pub last: u64,
+    pub last_index: u64,
     /// The same, carried out.
-    pub applied: u64,
+    pub applied_index: u64,
     /// The members.
-    pub members: Vec<Seen>,
+    pub members: Vec<MemberStatus>,
     /// The file's size, in bytes.
     pub file_bytes: u64,
     /// Messages refused, since the start.
-    pub refused: u64,
+    pub rejected: u64,
     /// The same by cause.
-    pub refused_by: BTreeMap<&'static str, u64>,
+    pub rejected_by: BTreeMap<&'static str, u64>,
     /// How often the council was taken up by one member alone.
     pub generation: u64,
 }
@@ -205,24 +205,24 @@
 /// What a member and its ways to others share.
 pub struct Shared {
     settings: Settings,
-    file: Option<File>,
+    file: Option<CouncilFile>,
     transport: Arc<dyn Transport>,
     identity: Mutex<Option<Identity>>,
     heard: Mutex<BTreeMap<u64, u64>>,
     stopped: watch::Sender<Option<String>>,
     refused: Mutex<BTreeMap<&'static str, u64>>,
-    pulse: Mutex<Pulse>,
+    pulse: Mutex<QuorumCheck>,
 }
 
 impl Shared {
-    /// Whether a leader's message may go out; see [`Pulse`].
+    /// Whether a leader's message may go out; see [`QuorumCheck`].
     pub(crate) fn may_lead(&self) -> bool {
-        lock(&self.pulse).may(std::time::Instant::now())
+        lock(&self.pulse).may_send(std::time::Instant::now())
     }
 
     /// A member has answered its leader.
-    pub(crate) fn answered(&self, id: u64) {
-        lock(&self.pulse).answered(std::time::Instant::now(), id);
+    pub(crate) fn record_answer(&self, id: u64) {
+        lock(&self.pulse).record_answer(std::time::Instant::now(), id);
     }
 
     fn number(&self) -> (u64, u64) {
@@ -230,10 +230,10 @@
     }
 
     fn writes(&self) -> u64 {
-        self.file.as_ref().map_or(0, File::writes)
+        self.file.as_ref().map_or(0, CouncilFile::writes)
     }
 
-    fn message(&self, to: u64, kind: Kind, body: Vec<u8>) -> Envelope {
+    fn message(&self, to: u64, kind: MessageKind, body: Vec<u8>) -> Envelope {
         let (from, generation) = self.number();
         let heard = lock(&self.heard).get(&to).copied().unwrap_or(0);
         let (version, fleet, writes) = (VERSION, self.settings.fleet.clone(), self.writes());
@@ -245,7 +245,7 @@
         &self,
         at: &str,
         to: u64,
-        kind: Kind,
+        kind: MessageKind,
         body: Vec<u8>,
         most: Duration,
     ) -> Result<Envelope, String> {
@@ -259,22 +259,22 @@
     }
 
     /// Whether a message is for this member to look into.
-    fn look(&self, message: &Envelope) -> Result<(), Refused> {
+    fn look(&self, message: &Envelope) -> Result<(), Rejection> {
         let (id, generation) = self.number();
         if message.version != VERSION {
-            return Err(Refused::Version(message.version));
+            return Err(Rejection::Version(message.version));
         }
         if message.fleet != self.settings.fleet {
-            return Err(Refused::Fleet(message.fleet.clone()));
+            return Err(Rejection::Fleet(message.fleet.clone()));
         }
-        if message.body.len() > BODY_MOST {
-            return Err(Refused::Long(message.body.len()));
+        if message.body.len() > MAX_BODY_BYTES {
+            return Err(Rejection::TooLong(message.body.len()));
         }
         if message.to != 0 && message.to != id {
-            return Err(Refused::NotMe(message.to));
+            return Err(Rejection::OtherMember(message.to));
         }
         if message.from != 0 && id != 0 && message.generation != generation {
-            return Err(Refused::Generation { theirs: message.generation, ours: generation });
+            return Err(Rejection::Generation { theirs: message.generation, ours: generation });
         }
         if message.from != 0 {
             let mut heard = lock(&self.heard);
@@ -287,9 +287,9 @@
         }
         let writes = self.writes();
         if id != 0 && message.heard > writes {
-            let why = Problem::Older { has: writes, known: message.heard }.to_string();
+            let why = FileError::Outdated { has: writes, known: message.heard }.to_string();
             self.stop(&why);
-            return Err(Refused::Stopped(why));
+            return Err(Rejection::Stopped(why));
         }
         Ok(())
     }
@@ -311,7 +311,7 @@
 pub struct Council {
     shared: Arc<Shared>,
     raft: watch::Sender<Option<Raft<TypeConfig>>>,
-    seen: watch::Sender<Arc<Whole>>,
+    seen: watch::Sender<Arc<AgreedState>>,
     state: Mutex<&'static str>,
     /// One change of members at a time.
     changing: tokio::sync::Mutex<()>,
@@ -325,21 +325,22 @@
     /// When the settings can't be used, or the file is another's.
     pub fn start(settings: Settings, transport: Arc<dyn Transport>) -> Result<Arc<Council>, String> {
         settings.check()?;
-        let (file, problem) = match File::open_as(&settings.file, settings.read_only) {
+        let (file, problem) = match CouncilFile::open_with_mode(&settings.file, settings.read_only) {
             Ok(file) => (Some(file), None),
-            Err(e @ Problem::Foreign(_)) => return Err(e.to_string()),
+            Err(e @ FileError::Foreign(_)) => return Err(e.to_string()),
             Err(e) => (None, Some(e.to_string())),
         };
-        let identity = file.as_ref().map(File::identity).transpose().map_err(|e| e.to_string())?.flatten();
+        let identity =
+            file.as_ref().map(CouncilFile::identity).transpose().map_err(|e| e.to_string())?.flatten();
         if let Some(known) = &identity
             && (known.fleet != settings.fleet || known.name != settings.name)
         {
             let whose = format!("{} of fleet {}", known.name, known.fleet);
-            return Err(Problem::Foreign(whose).to_string());
+            return Err(FileError::Foreign(whose).to_string());
         }
         let beat = Duration::from_millis(settings.heartbeat_ms);
         let shared = Arc::new(Shared {
-            pulse: Mutex::new(Pulse::new(beat, beat * 8)),
+            pulse: Mutex::new(QuorumCheck::new(beat, beat * 8)),
             settings,
             file,
             transport,
@@ -364,13 +365,13 @@
 
     /// All that is agreed on, as far as this member knows; changes each time something is.
     #[must_use]
-    pub fn watch(&self) -> watch::Receiver<Arc<Whole>> {
+    pub fn watch(&self) -> watch::Receiver<Arc<AgreedState>> {
         self.seen.subscribe()
     }
 
     /// Why it takes no part, if so.
     #[must_use]
-    pub fn stopped(&self) -> Option<String> {
+    pub fn stop_reason(&self) -> Option<String> {
         self.shared.stopped.borrow().clone()
     }
 
@@ -380,7 +381,7 @@
 
     /// Whether this member leads.
     #[must_use]
-    pub fn leads(&self) -> bool {
+    pub fn is_leader(&self) -> bool {
         self.raft().is_some_and(|r| r.metrics().borrow().state == ServerState::Leader)
     }
 
@@ -412,7 +413,7 @@
         for other in self.others() {
             let (shared, body) = (self.shared.clone(), body.clone());
             asked.push(tokio::spawn(async move {
-                let answer = shared.ask(&other.at, 0, Kind::Hello, body, HELLO).await.ok()?;
+                let answer = shared.ask(&other.at, 0, MessageKind::Hello, body, HELLO).await.ok()?;
                 Some((other, wire::read::<Known>(&answer.body).ok()?))
             }));
         }
@@ -427,14 +428,14 @@
         if lock(&self.shared.identity).is_some() {
             // Whoever has heard more of this member than its file holds says so now, before it votes.
             self.hello().await;
-            if self.stopped().is_some() {
+            if self.stop_reason().is_some() {
                 return;
             }
             self.begin().await;
         }
         let mut said = false;
         loop {
-            if self.stopped().is_some() {
+            if self.stop_reason().is_some() {
                 return;
             }
             let blank = match self.raft() {
@@ -485,7 +486,7 @@
         }
         for (k, voter) in voters.iter().enumerate().skip(1) {
             let body = wire::body(&Number { id: k as u64 + 1, generation: 0 });
-            if self.shared.ask(&voter.at, 0, Kind::Invite, body, HELLO).await.is_err() {
+            if self.shared.ask(&voter.at, 0, MessageKind::Invite, body, HELLO).await.is_err() {
                 return;
             }
         }
@@ -507,7 +508,7 @@
         let settings = &self.shared.settings;
         let me = Member { name: settings.name.clone(), at: settings.at.clone() };
         for voter in self.others() {
-            let answer = self.shared.ask(&voter.at, 0, Kind::Join, wire::body(&me), CATCH_UP).await;
+            let answer = self.shared.ask(&voter.at, 0, MessageKind::Join, wire::body(&me), CATCH_UP).await;
             let number = answer.ok().and_then(|a| wire::read::<Result<Number, Error>>(&a.body).ok());
             match number {
                 Some(Ok(number)) => match self.become_member(number.id, number.generation).await {
@@ -563,8 +564,8 @@
         };
         let config = Arc::new(config.validate().map_err(|e| e.to_string())?);
         let file = self.shared.file.clone().ok_or("it has no file")?;
-        let machine = Machine::open(file.clone(), self.seen.clone()).map_err(|e| e.to_string())?;
-        Raft::new(id, config, Ways(self.shared.clone()), Log(file), machine)
+        let machine = StateMachine::open(file.clone(), self.seen.clone()).map_err(|e| e.to_string())?;
+        Raft::new(id, config, NetworkFactory(self.shared.clone()), LogStore(file), machine)
             .await
             .map_err(|e| format!("council.file: {e}; this agent does not vote"))
     }
@@ -580,7 +581,7 @@
                 let m = metrics.borrow_and_update();
                 let others = m.membership_config.membership().voter_ids().filter(|v| *v != m.id).collect();
                 let leads = m.state == ServerState::Leader;
-                lock(&self.shared.pulse).leads(std::time::Instant::now(), leads, others);
+                lock(&self.shared.pulse).set_leadership(std::time::Instant::now(), leads, others);
                 (m.current_leader, m.running_state.as_ref().err().map(ToString::to_string), m.current_term)
             };
             if let Some(why) = fatal {
@@ -620,27 +621,27 @@
     ///
     /// # Errors
     /// When it is not looked into; then nothing has changed.
-    pub async fn serve(self: &Arc<Self>, message: Envelope) -> Result<Envelope, Refused> {
+    pub async fn handle_message(self: &Arc<Self>, message: Envelope) -> Result<Envelope, Rejection> {
         let done = self.served(message).await;
         if let Err(why) = &done {
-            self.refused(why);
+            self.count_rejected(why);
         }
         done
     }
 
     /// Counts a message that was not looked into.
-    pub fn refused(&self, why: &Refused) {
+    pub fn count_rejected(&self, why: &Rejection) {
         *lock(&self.shared.refused).entry(why.cause()).or_default() += 1;
     }
 
-    async fn served(self: &Arc<Self>, message: Envelope) -> Result<Envelope, Refused> {
-        if let Some(why) = self.stopped() {
-            return Err(Refused::Stopped(why));
+    async fn served(self: &Arc<Self>, message: Envelope) -> Result<Envelope, Rejection> {
+        if let Some(why) = self.stop_reason() {
+            return Err(Rejection::Stopped(why));
         }
         self.shared.look(&message)?;
         let Envelope { kind, from, body, .. } = message;
         let answer = match kind {
-            Kind::Hello => {
+            MessageKind::Hello => {
                 let _: Hello = wire::read(&body)?;
                 let blank = match self.raft() {
                     Some(raft) => !raft.is_initialized().await.unwrap_or(true),
@@ -649,36 +650,40 @@
                 let voters = self.shared.settings.voters.clone();
                 wire::body(&Known { id: self.shared.number().0, blank, voters })
             }
-            Kind::Invite => {
+            MessageKind::Invite => {
                 let number: Number = wire::read(&body)?;
                 if self.shared.settings.follow && self.raft().is_some() {
-                    return Err(Refused::Stopped("it follows already".into()));
+                    return Err(Rejection::Stopped("it follows already".into()));
                 }
-                self.become_member(number.id, number.generation).await.map_err(Refused::Stopped)?;
+                self.become_member(number.id, number.generation).await.map_err(Rejection::Stopped)?;
                 Vec::new()
             }
-            Kind::Join => {
+            MessageKind::Join => {
                 let member: Member = wire::read(&body)?;
                 wire::body(
-                    &self.at_leader(Kind::Join, &member, CATCH_UP, || self.admit(member.clone())).await,
+                    &self
+                        .at_leader(MessageKind::Join, &member, CATCH_UP, || self.admit(member.clone()))
+                        .await,
                 )
             }
-            Kind::Propose => {
+            MessageKind::Propose => {
                 let request: Request = wire::read(&body)?;
                 wire::body(&self.write_here(request).await.map_err(Failed::told))
             }
-            Kind::Read => wire::body(&self.read_here().await.map_err(Failed::told)),
-            Kind::Admin => {
-                let admin: Admin = wire::read(&body)?;
+            MessageKind::Read => wire::body(&self.read_here().await.map_err(Failed::told)),
+            MessageKind::Admin => {
+                let admin: MembershipChange = wire::read(&body)?;
                 wire::body(&self.change_here(admin).await.map_err(Failed::told))
             }
-            Kind::Append | Kind::Vote | Kind::Snapshot => self.raft_asks(kind, from, &body).await?,
+            MessageKind::Append | MessageKind::Vote | MessageKind::Snapshot => {
+                self.raft_asks(kind, from, &body).await?
+            }
         };
         Ok(self.shared.message(from, kind, answer))
     }
 
-    async fn raft_asks(&self, kind: Kind, from: u64, body: &[u8]) -> Result<Vec<u8>, Refused> {
-        let Some(raft) = self.raft() else { return Err(Refused::Stopped("it has not begun".into())) };
+    async fn raft_asks(&self, kind: MessageKind, from: u64, body: &[u8]) -> Result<Vec<u8>, Rejection> {
+        let Some(raft) = self.raft() else { return Err(Rejection::Stopped("it has not begun".into())) };
         // Before it has heard of any members, a member takes the word of whoever gave it its number.
         let known = {
             let metrics = raft.metrics();
@@ -687,12 +692,12 @@
             nodes.peek().is_none() || nodes.any(|(id, _)| *id == from)
         };
         // An entry that takes a leader in may be on its way: only voters can be held to be known.
-        if !known && kind == Kind::Vote {
-            return Err(Refused::Unknown(from));
+        if !known && kind == MessageKind::Vote {
+            return Err(Rejection::UnknownSender(from));
         }
         Ok(match kind {
-            Kind::Append => wire::body(&raft.append_entries(wire::read(body)?).await),
-            Kind::Vote => wire::body(&raft.vote(wire::read(body)?).await),
+            MessageKind::Append => wire::body(&raft.append_entries(wire::read(body)?).await),
+            MessageKind::Vote => wire::body(&raft.vote(wire::read(body)?).await),
             _ => wire::body(&raft.install_snapshot(wire::read(body)?).await),
         })
     }
@@ -705,7 +710,8 @@
     /// When it was not, or when that is not known.
     pub async fn propose(&self, command: Command, most: Duration) -> Result<Outcome, Error> {
         let request = Request::Owner(command);
-        let done = self.at_leader(Kind::Propose, &request, most, || self.write_here(request.clone())).await?;
+        let done =
+            self.at_leader(MessageKind::Propose, &request, most, || self.write_here(request.clone())).await?;
         match done {
             Response::Owner(outcome) => Ok(outcome),
             other => Err(Error::Refused(format!("an answer to something else: {other:?}"))),
@@ -716,9 +722,9 @@
     ///
     /// # Errors
     /// When nobody can tell how far that is: what is known here may be old.
-    pub async fn current(&self, most: Duration) -> Result<Arc<Whole>, Error> {
+    pub async fn read_current(&self, most: Duration) -> Result<Arc<AgreedState>, Error> {
         let until = Instant::now() + most;
-        let index: Option<u64> = self.at_leader(Kind::Read, &(), most, || self.read_here()).await?;
+        let index: Option<u64> = self.at_leader(MessageKind::Read, &(), most, || self.read_here()).await?;
         let Some(raft) = self.raft() else { return Err(Error::NoLeader) };
         let mut metrics = raft.metrics();
         let reached = metrics.wait_for(|m| m.last_applied.map(|l| l.index) >= index);
@@ -733,10 +739,11 @@
     ///
     /// # Errors
     /// When that was not done, or is not known.
-    pub async fn change(&self, admin: Admin, most: Duration) -> Result<String, Error> {
+    pub async fn change_members(&self, admin: MembershipChange, most: Duration) -> Result<String, Error> {
         let until = Instant::now() + most;
         let was_so = self.is_done(&admin).is_some();
-        let answer = self.at_leader(Kind::Admin, &admin, most, || self.change_here(admin.clone())).await;
+        let answer =
+            self.at_leader(MessageKind::Admin, &admin, most, || self.change_here(admin.clone())).await;
         match answer {
             Err(why @ (Error::Refused(_) | Error::InDoubt(_))) if !was_so => {
                 self.done_by_now(&admin, until).await.ok_or(why)
@@ -746,10 +753,10 @@
     }
 
     /// What operators are told of a change that is done as soon as whoever leads can say what the members are.
-    async fn done_by_now(&self, admin: &Admin, until: Instant) -> Option<String> {
+    async fn done_by_now(&self, admin: &MembershipChange, until: Instant) -> Option<String> {
         while Instant::now() < until {
             let left = until.saturating_duration_since(Instant::now());
-            if self.current(left).await.is_ok() {
+            if self.read_current(left).await.is_ok() {
                 return self.is_done(admin);
             }
             sleep(LOOK).await;
@@ -758,16 +765,16 @@
     }
 
     /// What operators are told if the members are, as far as this one knows, what a change makes of them.
-    fn is_done(&self, admin: &Admin) -> Option<String> {
+    fn is_done(&self, admin: &MembershipChange) -> Option<String> {
         let raft = self.raft()?;
         let members = Self::members(&raft);
         match admin {
-            Admin::Add { name, at } => {
+            MembershipChange::Add { name, at } => {
                 let member = members.iter().find(|m| m.name == *name && (at.is_empty() || m.at == *at))?;
-                let votes = member.votes && !Self::changes(&raft);
+                let votes = member.is_voter && !Self::changes(&raft);
                 votes.then(|| Self::after(&raft, &format!("{name} votes, as member {}", member.id)))
             }
-            Admin::Remove { name } => {
+            MembershipChange::Remove { name } => {
                 let gone = !members.is_empty() && members.iter().all(|m| m.name != *name);
                 gone.then(|| Self::after(&raft, &format!("{name} is no member any more")))
             }
@@ -780,7 +787,13 @@
     }
 
     /// Does something here if this member leads, or has the leader do it; while there is none it waits for one.
-    async fn at_leader<Q, A, W, F>(&self, kind: Kind, ask: &Q, most: Duration, here: W) -> Result<A, Error>
+    async fn at_leader<Q, A, W, F>(
+        &self,
+        kind: MessageKind,
+        ask: &Q,
+        most: Duration,
+        here: W,
+    ) -> Result<A, Error>
     where
         Q: Serialize,
         A: Serialize + for<'a> Deserialize<'a>,
@@ -789,7 +802,7 @@
     {
         let until = Instant::now() + most;
         loop {
-            if let Some(why) = self.stopped() {
+            if let Some(why) = self.stop_reason() {
                 return Err(Error::Stopped(why));
             }
             let leader = match timeout_at(until, here()).await {
@@ -838,10 +851,10 @@
 
     // ---- members ----
 
-    async fn change_here(&self, admin: Admin) -> Result<String, Failed> {
+    async fn change_here(&self, admin: MembershipChange) -> Result<String, Failed> {
         match admin {
-            Admin::Add { name, at } => self.add(&name, &at).await,
-            Admin::Remove { name } => self.remove(&name).await,
+            MembershipChange::Add { name, at } => self.add(&name, &at).await,
+            MembershipChange::Remove { name } => self.remove(&name).await,
         }
     }
 
@@ -860,16 +873,16 @@
         }
     }
 
-    fn members(raft: &Raft<TypeConfig>) -> Vec<Seen> {
+    fn members(raft: &Raft<TypeConfig>) -> Vec<MemberStatus> {
         let metrics = raft.metrics();
         let m = metrics.borrow();
         let voters: BTreeSet<u64> = m.membership_config.membership().voter_ids().collect();
-        let one = |(id, node): (&u64, &Member)| Seen {
+        let one = |(id, node): (&u64, &Member)| MemberStatus {
             id: *id,
             name: node.name.clone(),
             at: node.at.clone(),
-            votes: voters.contains(id),
-            matched: m.replication.as_ref().and_then(|r| r.get(id).copied().flatten()).map(|l| l.index),
+            is_voter: voters.contains(id),
+            matched_index: m.replication.as_ref().and_then(|r| r.get(id).copied().flatten()).map(|l| l.index),
         };
         m.membership_config.nodes().map(one).collect()
     }
@@ -893,7 +906,7 @@
             return refused("another change of members is under way".into());
         };
         let old = Self::members(&raft).into_iter().find(|m| m.name == member.name);
-        if old.as_ref().is_some_and(|m| m.votes) {
+        if old.as_ref().is_some_and(|m| m.is_voter) {
             return refused(format!("{} votes in this council: remove it first", member.name));
         }
         if let Some(old) = old {
@@ -912,7 +925,9 @@
         };
         let id = match Self::members(&raft).into_iter().find(|m| m.name == name) {
             // A leader that lost its place may have left its addition half done: that is gone on with.
-            Some(m) if m.votes && !Self::changes(&raft) => return refused(format!("{name} votes already")),
+            Some(m) if m.is_voter && !Self::changes(&raft) => {
+                return refused(format!("{name} votes already"));
+            }
             Some(m) => m.id,
             None if !is_name(name) || at.is_empty() => {
                 return refused(format!("{name} does not follow this council: say where it is (--at)"));
@@ -921,7 +936,7 @@
                 let id = self.number(&raft).await?;
                 let member = Member { name: name.to_string(), at: at.to_string() };
                 let body = wire::body(&Number { id, generation: self.shared.number().1 });
-                let asked = self.shared.ask(at, 0, Kind::Invite, body, CATCH_UP).await;
+                let asked = self.shared.ask(at, 0, MessageKind::Invite, body, CATCH_UP).await;
                 if let Err(e) = asked {
                     return refused(format!("{name} at {at} does not come in: {e}"));
                 }
@@ -960,11 +975,11 @@
         let Some(member) = members.iter().find(|m| m.name == name) else {
             return refused(format!("{name} is no member"));
         };
-        let votes = members.iter().filter(|m| m.votes).count();
-        if member.votes && votes == 1 {
+        let votes = members.iter().filter(|m| m.is_voter).count();
+        if member.is_voter && votes == 1 {
             return refused(format!("{name} is the only one that votes"));
         }
-        if member.votes {
+        if member.is_voter {
             // Not kept as a follower: its number is not given out again.
             let gone = ChangeMembers::RemoveVoters(BTreeSet::from([member.id]));
             raft.change_membership(gone, false).await.map_err(failed)?;
@@ -982,7 +997,7 @@
 
     /// What was done, and how many vote now.
     fn after(raft: &Raft<TypeConfig>, said: &str) -> String {
-        let votes = Self::members(raft).iter().filter(|m| m.votes).count();
+        let votes = Self::members(raft).iter().filter(|m| m.is_voter).count();
         let even = if votes % 2 == 0 { "; an even number bears no more losses than one less" } else { "" };
         format!("{said}; {votes} vote{even}")
     }
@@ -991,7 +1006,7 @@
     ///
     /// # Errors
     /// As the database says.
-    pub fn limit_file(&self, pages: u32) -> Result<(), Problem> {
+    pub fn limit_file_size(&self, pages: u32) -> Result<(), FileError> {
         self.shared.file.as_ref().map_or(Ok(()), |file| file.limit_pages(pages))
     }
 
@@ -999,14 +1014,14 @@
     #[must_use]
     pub fn status(&self) -> Status {
         let (id, generation) = self.shared.number();
-        let refused_by = lock(&self.shared.refused).clone();
+        let rejected_by = lock(&self.shared.refused).clone();
         let mut status = Status {
             id,
             generation,
             state: (*lock(&self.state)).into(),
-            file_bytes: self.shared.file.as_ref().map_or(0, File::size),
-            refused: refused_by.values().sum(),
-            refused_by,
+            file_bytes: self.shared.file.as_ref().map_or(0, CouncilFile::size),
+            rejected: rejected_by.values().sum(),
+            rejected_by,
             ..Status::default()
         };
         if let Some(raft) = self.raft() {
@@ -1015,12 +1030,12 @@
             let m = metrics.borrow();
             status.state = format!("{:?}", m.state).to_lowercase();
             status.term = m.current_term;
-            status.last = m.last_log_index.unwrap_or(0);
-            status.applied = m.last_applied.map_or(0, |l| l.index);
+            status.last_index = m.last_log_index.unwrap_or(0);
+            status.applied_index = m.last_applied.map_or(0, |l| l.index);
             let leader = m.current_leader.and_then(|l| status.members.iter().find(|s| s.id == l));
             status.leader = leader.map_or(String::new(), |s| s.name.clone());
         }
-        if let Some(why) = self.stopped() {
+        if let Some(why) = self.stop_reason() {
             (status.state, status.problem) = ("stopped".into(), why);
         }
         status
--- a/crates/council/src/net.rs
+++ b/crates/council/src/net.rs
@@ -2,7 +2,7 @@
 
 use crate::member::Shared;
 use crate::store::{Member, TypeConfig};
-use crate::wire::{self, Kind};
+use crate::wire::{self, MessageKind};
 use openraft::error::{InstallSnapshotError, NetworkError, RPCError, RaftError, RemoteError, Unreachable};
 use openraft::network::{Backoff, RPCOption, RaftNetwork, RaftNetworkFactory};
 use openraft::raft::{
@@ -16,18 +16,18 @@
 use std::time::Duration;
 
 /// Makes ways to members.
-pub struct Ways(pub Arc<Shared>);
+pub struct NetworkFactory(pub Arc<Shared>);
 
-impl RaftNetworkFactory<TypeConfig> for Ways {
-    type Network = Way;
+impl RaftNetworkFactory<TypeConfig> for NetworkFactory {
+    type Network = NetworkClient;
 
-    async fn new_client(&mut self, target: u64, node: &Member) -> Way {
-        Way { shared: self.0.clone(), target, at: node.at.clone() }
+    async fn new_client(&mut self, target: u64, node: &Member) -> NetworkClient {
+        NetworkClient { shared: self.0.clone(), target, at: node.at.clone() }
     }
 }
 
 /// A way to one member.
-pub struct Way {
+pub struct NetworkClient {
     shared: Arc<Shared>,
     target: u64,
     at: String,
@@ -38,14 +38,14 @@
 
 type Lost<E> = RPCError<u64, Member, E>;
 
-impl Way {
-    async fn send<Q, A, E>(&self, kind: Kind, ask: &Q, option: &RPCOption) -> Result<A, Lost<E>>
+impl NetworkClient {
+    async fn send<Q, A, E>(&self, kind: MessageKind, ask: &Q, option: &RPCOption) -> Result<A, Lost<E>>
     where
         Q: Serialize,
         A: DeserializeOwned,
         E: Error + DeserializeOwned,
     {
-        if kind != Kind::Vote && !self.shared.may_lead() {
+        if kind != MessageKind::Vote && !self.shared.may_lead() {
             let silent = std::io::Error::other("it leads, and too few answer: it falls silent");
             return Err(RPCError::Unreachable(Unreachable::new(&silent)));
         }
@@ -55,20 +55,20 @@
             answer.map_err(|e| RPCError::Unreachable(Unreachable::new(&std::io::Error::other(e))))?;
         let answer: Result<A, E> =
             wire::read(&answer.body).map_err(|e| RPCError::Network(NetworkError::new(&e)))?;
-        if kind != Kind::Vote {
-            self.shared.answered(self.target);
+        if kind != MessageKind::Vote {
+            self.shared.record_answer(self.target);
         }
         answer.map_err(|e| RPCError::RemoteError(RemoteError::new(self.target, e)))
     }
 }
 
-impl RaftNetwork<TypeConfig> for Way {
+impl RaftNetwork<TypeConfig> for NetworkClient {
     async fn append_entries(
         &mut self,
         rpc: AppendEntriesRequest<TypeConfig>,
         option: RPCOption,
     ) -> Result<AppendEntriesResponse<u64>, Lost<RaftError<u64>>> {
-        self.send(Kind::Append, &rpc, &option).await
+        self.send(MessageKind::Append, &rpc, &option).await
     }
 
     async fn install_snapshot(
@@ -76,7 +76,7 @@
         rpc: InstallSnapshotRequest<TypeConfig>,
         option: RPCOption,
     ) -> Result<InstallSnapshotResponse<u64>, Lost<RaftError<u64, InstallSnapshotError>>> {
-        self.send(Kind::Snapshot, &rpc, &option).await
+        self.send(MessageKind::Snapshot, &rpc, &option).await
     }
 
     async fn vote(
@@ -84,7 +84,7 @@
         rpc: VoteRequest<u64>,
         option: RPCOption,
     ) -> Result<VoteResponse<u64>, Lost<RaftError<u64>>> {
-        self.send(Kind::Vote, &rpc, &option).await
+        self.send(MessageKind::Vote, &rpc, &option).await
     }
 
     fn backoff(&self) -> Backoff {
--- a/crates/council/src/pulse.rs
+++ b/crates/council/src/quorum_check.rs
@@ -7,7 +7,7 @@
 
 /// Who has answered a leader, and when.
 #[derive(Debug)]
-pub struct Pulse {
+pub struct QuorumCheck {
     /// The longest time after which others choose a leader when they hear of none.
     election: Duration,
     beat: Duration,
@@ -16,14 +16,14 @@
     answered: BTreeMap<u64, Instant>,
 }
 
-impl Pulse {
+impl QuorumCheck {
     /// Of a member that does not lead.
-    pub fn new(beat: Duration, election: Duration) -> Pulse {
-        Pulse { election, beat, leads_since: None, voters: BTreeSet::new(), answered: BTreeMap::new() }
+    pub fn new(beat: Duration, election: Duration) -> QuorumCheck {
+        QuorumCheck { election, beat, leads_since: None, voters: BTreeSet::new(), answered: BTreeMap::new() }
     }
 
     /// Whether it leads, and whom.
-    pub fn leads(&mut self, now: Instant, leads: bool, others: BTreeSet<u64>) {
+    pub fn set_leadership(&mut self, now: Instant, leads: bool, others: BTreeSet<u64>) {
         match (leads, self.leads_since) {
             (true, None) => {
                 self.leads_since = Some(now);
@@ -36,14 +36,14 @@
     }
 
     /// A member has answered.
-    pub fn answered(&mut self, now: Instant, id: u64) {
+    pub fn record_answer(&mut self, now: Instant, id: u64) {
         if self.voters.contains(&id) {
             self.answered.insert(id, now);
         }
     }
 
     /// Whether a leader may be heard.
-    pub fn may(&self, now: Instant) -> bool {
+    pub fn may_send(&self, now: Instant) -> bool {
         let Some(since) = self.leads_since else { return true };
         let patience = self.election * 2;
         let recent =
@@ -66,21 +66,21 @@
     #[test]
     fn a_leader_that_nobody_answers_falls_silent_and_tries_now_and_then() {
         let ms = Duration::from_millis;
-        let (begun, mut pulse) = (Instant::now(), Pulse::new(ms(50), ms(400)));
-        assert!(pulse.may(begun), "who does not lead may say what it likes");
-        pulse.leads(begun, true, BTreeSet::from([2, 3]));
-        assert!(pulse.may(begun + ms(700)), "it has time to be answered");
-        assert!(!pulse.may(begun + ms(900)));
-        pulse.answered(begun + ms(900), 9);
-        assert!(!pulse.may(begun + ms(900)), "one that does not vote is no help");
-        pulse.answered(begun + ms(900), 3);
-        assert!(pulse.may(begun + ms(1600)));
-        assert!(!pulse.may(begun + ms(1800)));
-        let tries = (0..64).filter(|k| pulse.may(begun + ms(2000 + 100 * k))).count();
+        let (begun, mut pulse) = (Instant::now(), QuorumCheck::new(ms(50), ms(400)));
+        assert!(pulse.may_send(begun), "who does not lead may say what it likes");
+        pulse.set_leadership(begun, true, BTreeSet::from([2, 3]));
+        assert!(pulse.may_send(begun + ms(700)), "it has time to be answered");
+        assert!(!pulse.may_send(begun + ms(900)));
+        pulse.record_answer(begun + ms(900), 9);
+        assert!(!pulse.may_send(begun + ms(900)), "one that does not vote is no help");
+        pulse.record_answer(begun + ms(900), 3);
+        assert!(pulse.may_send(begun + ms(1600)));
+        assert!(!pulse.may_send(begun + ms(1800)));
+        let tries = (0..64).filter(|k| pulse.may_send(begun + ms(2000 + 100 * k))).count();
         assert!((1..=4).contains(&tries), "{tries} of 64");
-        pulse.leads(begun + ms(9000), false, BTreeSet::from([2, 3]));
-        assert!(pulse.may(begun + ms(9001)));
-        pulse.leads(begun + ms(9002), true, BTreeSet::new());
-        assert!(pulse.may(begun + ms(99_999)), "one alone needs nobody's answer");
+        pulse.set_leadership(begun + ms(9000), false, BTreeSet::from([2, 3]));
+        assert!(pulse.may_send(begun + ms(9001)));
+        pulse.set_leadership(begun + ms(9002), true, BTreeSet::new());
+        assert!(pulse.may_send(begun + ms(99_999)), "one alone needs nobody's answer");
     }
 }
--- a/crates/council/src/store.rs
+++ b/crates/council/src/store.rs
@@ -1,6 +1,6 @@
 //! What is replicated, and how `openraft` keeps it in the file.
 
-use crate::file::{File, Problem};
+use crate::file::{CouncilFile, FileError};
 use frostvale_owner::{Command, Outcome, State};
 use openraft::storage::{LogFlushed, RaftLogStorage, RaftStateMachine};
 use openraft::{
@@ -58,14 +58,14 @@
 
 /// All that is agreed on.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Whole {
+pub struct AgreedState {
     /// Sessions and duties.
     pub owner: State,
     /// The last member's number given out.
     pub last_id: u64,
 }
 
-impl Whole {
+impl AgreedState {
     /// Carries a request out.
     pub fn apply(&mut self, request: &Request) -> Response {
         match request {
@@ -80,28 +80,28 @@
 
 type Fault = StorageError<u64>;
 
-fn fault(subject: ErrorSubject<u64>, verb: ErrorVerb, problem: &Problem) -> Fault {
+fn fault(subject: ErrorSubject<u64>, verb: ErrorVerb, problem: &FileError) -> Fault {
     StorageIOError::new(subject, verb, openraft::AnyError::new(problem)).into()
 }
 
 /// Does something with the file away from the runtime's threads: it waits for the disk.
 async fn off<T: Send + 'static>(
-    file: &File,
+    file: &CouncilFile,
     subject: ErrorSubject<u64>,
     verb: ErrorVerb,
-    work: impl FnOnce(&File) -> Result<T, Problem> + Send + 'static,
+    work: impl FnOnce(&CouncilFile) -> Result<T, FileError> + Send + 'static,
 ) -> Result<T, Fault> {
     let file = file.clone();
     let done = spawn_blocking(move || work(&file)).await;
-    let done = done.unwrap_or_else(|e| Err(Problem::Unusable(e.to_string())));
+    let done = done.unwrap_or_else(|e| Err(FileError::Unusable(e.to_string())));
     done.map_err(|e| fault(subject, verb, &e))
 }
 
 /// The log.
 #[derive(Clone)]
-pub struct Log(pub File);
+pub struct LogStore(pub CouncilFile);
 
-impl RaftLogReader<TypeConfig> for Log {
+impl RaftLogReader<TypeConfig> for LogStore {
     async fn try_get_log_entries<RB: RangeBounds<u64> + Clone + Debug + OptionalSend>(
         &mut self,
         range: RB,
@@ -120,15 +120,15 @@
     }
 }
 
-impl RaftLogStorage<TypeConfig> for Log {
-    type LogReader = Log;
+impl RaftLogStorage<TypeConfig> for LogStore {
+    type LogReader = LogStore;
 
     async fn get_log_state(&mut self) -> Result<LogState<TypeConfig>, Fault> {
-        let ends = off(&self.0, ErrorSubject::Logs, ErrorVerb::Read, File::ends).await?;
+        let ends = off(&self.0, ErrorSubject::Logs, ErrorVerb::Read, CouncilFile::log_bounds).await?;
         Ok(LogState { last_purged_log_id: ends.purged, last_log_id: ends.last })
     }
 
-    async fn get_log_reader(&mut self) -> Log {
+    async fn get_log_reader(&mut self) -> LogStore {
         self.clone()
     }
 
@@ -138,7 +138,7 @@
     }
 
     async fn read_vote(&mut self) -> Result<Option<Vote<u64>>, Fault> {
-        off(&self.0, ErrorSubject::Vote, ErrorVerb::Read, File::vote).await
+        off(&self.0, ErrorSubject::Vote, ErrorVerb::Read, CouncilFile::vote).await
     }
 
     async fn save_committed(&mut self, committed: Option<LogId<u64>>) -> Result<(), Fault> {
@@ -146,7 +146,7 @@
     }
 
     async fn read_committed(&mut self) -> Result<Option<LogId<u64>>, Fault> {
-        off(&self.0, ErrorSubject::Store, ErrorVerb::Read, File::committed).await
+        off(&self.0, ErrorSubject::Store, ErrorVerb::Read, CouncilFile::committed).await
     }
 
     async fn append<I>(&mut self, entries: I, callback: LogFlushed<TypeConfig>) -> Result<(), Fault>
@@ -171,32 +171,32 @@
 
 #[derive(Default)]
 struct Applied {
-    whole: Whole,
+    whole: AgreedState,
     last: Option<LogId<u64>>,
     membership: StoredMembership<u64, Member>,
 }
 
 /// The state machine. Whoever follows `seen` gets all that is agreed on, each time something was.
 #[derive(Clone)]
-pub struct Machine {
-    file: File,
+pub struct StateMachine {
+    file: CouncilFile,
     applied: Arc<Mutex<Applied>>,
-    seen: watch::Sender<Arc<Whole>>,
+    seen: watch::Sender<Arc<AgreedState>>,
 }
 
-impl Machine {
+impl StateMachine {
     /// From the file's snapshot.
     ///
     /// # Errors
     /// When it can't be read.
-    pub fn open(file: File, seen: watch::Sender<Arc<Whole>>) -> Result<Machine, Problem> {
+    pub fn open(file: CouncilFile, seen: watch::Sender<Arc<AgreedState>>) -> Result<StateMachine, FileError> {
         let mut applied = Applied::default();
         if let Some((meta, text)) = file.snapshot()? {
-            applied.whole = serde_json::from_slice(&text).map_err(|e| Problem::Torn(e.to_string()))?;
+            applied.whole = serde_json::from_slice(&text).map_err(|e| FileError::Corrupt(e.to_string()))?;
             (applied.last, applied.membership) = (meta.last_log_id, meta.last_membership);
             seen.send_replace(Arc::new(applied.whole.clone()));
         }
-        Ok(Machine { file, applied: Arc::new(Mutex::new(applied)), seen })
+        Ok(StateMachine { file, applied: Arc::new(Mutex::new(applied)), seen })
     }
 
     fn with<T>(&self, work: impl FnOnce(&mut Applied) -> T) -> T {
@@ -204,7 +204,7 @@
     }
 }
 
-impl RaftSnapshotBuilder<TypeConfig> for Machine {
+impl RaftSnapshotBuilder<TypeConfig> for StateMachine {
     async fn build_snapshot(&mut self) -> Result<Snapshot<TypeConfig>, Fault> {
         let (text, meta) = self.with(|a| {
             let text = serde_json::to_vec(&a.whole);
@@ -214,15 +214,16 @@
             (text, meta)
         });
         let subject = || ErrorSubject::Snapshot(Some(meta.signature()));
-        let text = text.map_err(|e| fault(subject(), ErrorVerb::Write, &Problem::Unusable(e.to_string())))?;
+        let text =
+            text.map_err(|e| fault(subject(), ErrorVerb::Write, &FileError::Unusable(e.to_string())))?;
         let (kept, whole) = (meta.clone(), text.clone());
         off(&self.file, subject(), ErrorVerb::Write, move |f| f.set_snapshot(&kept, &whole)).await?;
         Ok(Snapshot { meta, snapshot: Box::new(Cursor::new(text)) })
     }
 }
 
-impl RaftStateMachine<TypeConfig> for Machine {
-    type SnapshotBuilder = Machine;
+impl RaftStateMachine<TypeConfig> for StateMachine {
+    type SnapshotBuilder = StateMachine;
 
     async fn applied_state(&mut self) -> Result<(Option<LogId<u64>>, StoredMembership<u64, Member>), Fault> {
         Ok(self.with(|a| (a.last, a.membership.clone())))
@@ -258,7 +259,7 @@
         Ok(answers)
     }
 
-    async fn get_snapshot_builder(&mut self) -> Machine {
+    async fn get_snapshot_builder(&mut self) -> StateMachine {
         self.clone()
     }
 
@@ -273,8 +274,8 @@
     ) -> Result<(), Fault> {
         let text = snapshot.into_inner();
         let subject = || ErrorSubject::Snapshot(Some(meta.signature()));
-        let whole: Whole = serde_json::from_slice(&text)
-            .map_err(|e| fault(subject(), ErrorVerb::Read, &Problem::Torn(e.to_string())))?;
+        let whole: AgreedState = serde_json::from_slice(&text)
+            .map_err(|e| fault(subject(), ErrorVerb::Read, &FileError::Corrupt(e.to_string())))?;
         let kept = meta.clone();
         off(&self.file, subject(), ErrorVerb::Write, move |f| f.set_snapshot(&kept, &text)).await?;
         let whole = self.with(|a| {
@@ -287,7 +288,8 @@
     }
 
     async fn get_current_snapshot(&mut self) -> Result<Option<Snapshot<TypeConfig>>, Fault> {
-        let kept = off(&self.file, ErrorSubject::Snapshot(None), ErrorVerb::Read, File::snapshot).await?;
+        let kept =
+            off(&self.file, ErrorSubject::Snapshot(None), ErrorVerb::Read, CouncilFile::snapshot).await?;
         Ok(kept.map(|(meta, text)| Snapshot { meta, snapshot: Box::new(Cursor::new(text)) }))
     }
 }
--- a/crates/council/src/wire.rs
+++ b/crates/council/src/wire.rs
@@ -7,11 +7,11 @@
 /// The version of what is said here.
 pub const VERSION: u32 = 1;
 /// The longest body, in bytes: a whole state and some.
-pub const BODY_MOST: usize = 16 << 20;
+pub const MAX_BODY_BYTES: usize = 16 << 20;
 
 /// What a message is about.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Kind {
+pub enum MessageKind {
     /// Who are you, and what have you heard of me?
     Hello,
     /// A follower asks for a number.
@@ -33,16 +33,16 @@
 }
 
 /// All kinds, by their numbers on the wire.
-pub const KINDS: [Kind; 9] = [
-    Kind::Hello,
-    Kind::Join,
-    Kind::Invite,
-    Kind::Append,
-    Kind::Vote,
-    Kind::Snapshot,
-    Kind::Propose,
-    Kind::Read,
-    Kind::Admin,
+pub const MESSAGE_KINDS: [MessageKind; 9] = [
+    MessageKind::Hello,
+    MessageKind::Join,
+    MessageKind::Invite,
+    MessageKind::Append,
+    MessageKind::Vote,
+    MessageKind::Snapshot,
+    MessageKind::Propose,
+    MessageKind::Read,
+    MessageKind::Admin,
 ];
 
 /// A message.
@@ -63,14 +63,14 @@
     /// The most writes that the sender has heard of the receiver's file.
     pub heard: u64,
     /// What it is about.
-    pub kind: Kind,
+    pub kind: MessageKind,
     /// The rest.
     pub body: Vec<u8>,
 }
 
 /// Why a message is not looked into.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Refused {
+pub enum Rejection {
     /// Of another version.
     Version(u32),
     /// Of another fleet.
@@ -83,62 +83,62 @@
         ours: u64,
     },
     /// For another member.
-    NotMe(u64),
+    OtherMember(u64),
     /// From nobody that is known.
-    Unknown(u64),
+    UnknownSender(u64),
     /// Longer than there can be.
-    Long(usize),
+    TooLong(usize),
     /// It can't be read.
     Unreadable(String),
     /// This member has stopped taking part.
     Stopped(String),
 }
 
-impl Refused {
+impl Rejection {
     /// The cause in a word, as messages are counted by.
     #[must_use]
     pub fn cause(&self) -> &'static str {
         match self {
-            Refused::Version(_) => "version",
-            Refused::Fleet(_) => "fleet",
-            Refused::Generation { .. } => "generation",
-            Refused::NotMe(_) => "other member",
-            Refused::Unknown(_) => "unknown member",
-            Refused::Long(_) => "size",
-            Refused::Unreadable(_) => "unreadable",
-            Refused::Stopped(_) => "stopped",
+            Rejection::Version(_) => "version",
+            Rejection::Fleet(_) => "fleet",
+            Rejection::Generation { .. } => "generation",
+            Rejection::OtherMember(_) => "other member",
+            Rejection::UnknownSender(_) => "unknown member",
+            Rejection::TooLong(_) => "size",
+            Rejection::Unreadable(_) => "unreadable",
+            Rejection::Stopped(_) => "stopped",
         }
     }
 }
 
-impl fmt::Display for Refused {
+impl fmt::Display for Rejection {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Refused::Version(v) => write!(f, "version {v}: this program speaks {VERSION}"),
-            Refused::Fleet(name) => {
+            Rejection::Version(v) => write!(f, "version {v}: this program speaks {VERSION}"),
+            Rejection::Fleet(name) => {
                 let name: String = name.chars().filter(char::is_ascii_graphic).take(64).collect();
                 write!(f, "fleet {name}: not this one")
             }
-            Refused::Generation { theirs, ours } if theirs < ours => write!(
+            Rejection::Generation { theirs, ours } if theirs < ours => write!(
                 f,
                 "generation {theirs}: this council was taken up again without that member (generation {ours}); add it anew"
             ),
-            Refused::Generation { theirs, ours } => {
+            Rejection::Generation { theirs, ours } => {
                 write!(
                     f,
                     "generation {theirs}: this member is of {ours}, the council was taken up without it"
                 )
             }
-            Refused::NotMe(id) => write!(f, "member {id}: that is not this one"),
-            Refused::Unknown(id) => write!(f, "member {id}: not known here"),
-            Refused::Long(bytes) => write!(f, "{bytes} bytes: {BODY_MOST} at the most"),
-            Refused::Unreadable(what) => write!(f, "it can't be read: {what}"),
-            Refused::Stopped(why) => write!(f, "this member takes no part: {why}"),
+            Rejection::OtherMember(id) => write!(f, "member {id}: that is not this one"),
+            Rejection::UnknownSender(id) => write!(f, "member {id}: not known here"),
+            Rejection::TooLong(bytes) => write!(f, "{bytes} bytes: {MAX_BODY_BYTES} at the most"),
+            Rejection::Unreadable(what) => write!(f, "it can't be read: {what}"),
+            Rejection::Stopped(why) => write!(f, "this member takes no part: {why}"),
         }
     }
 }
 
-impl std::error::Error for Refused {}
+impl std::error::Error for Rejection {}
 
 /// Writes a body.
 pub(crate) fn body<T: Serialize>(it: &T) -> Vec<u8> {
@@ -147,6 +147,6 @@
 }
 
 /// Reads a body.
-pub(crate) fn read<'a, T: Deserialize<'a>>(body: &'a [u8]) -> Result<T, Refused> {
-    serde_json::from_slice(body).map_err(|e| Refused::Unreadable(e.to_string()))
+pub(crate) fn read<'a, T: Deserialize<'a>>(body: &'a [u8]) -> Result<T, Rejection> {
+    serde_json::from_slice(body).map_err(|e| Rejection::Unreadable(e.to_string()))
 }
--- a/crates/council/tests/council.rs
+++ b/crates/council/tests/council.rs
@@ -1,9 +1,11 @@
 //! Members of a council in one process, over ways that can be cut by direction: forming, leaders that go, files that are
 //! old, torn or full, members that come and go, and messages that are none.
 
-use frostvale_council::file::{File, Problem};
-use frostvale_council::wire::{self, BODY_MOST, VERSION};
-use frostvale_council::{Admin, Council, Envelope, Error, Kind, Member, Refused, Settings, Transport};
+use frostvale_council::file::{CouncilFile, FileError};
+use frostvale_council::wire::{self, MAX_BODY_BYTES, VERSION};
+use frostvale_council::{
+    Council, Envelope, Error, Member, MembershipChange, MessageKind, Rejection, Settings, Transport,
+};
 use frostvale_owner::fence::Owner;
 use frostvale_owner::{Command, Outcome};
 use std::collections::{BTreeMap, BTreeSet};
@@ -40,7 +42,7 @@
             sleep(LONG).await;
         }
         let member = self.bus.members.lock().unwrap().get(at).cloned().ok_or("nobody there")?;
-        let answer = member.serve(message).await.map_err(|e| e.to_string())?;
+        let answer = member.handle_message(message).await.map_err(|e| e.to_string())?;
         if cut(at, &self.from) {
             return Err("the answer was cut".into());
         }
@@ -106,7 +108,7 @@
             member.shutdown().await;
         }
         let until = Instant::now() + LONG;
-        while let Err(e @ Problem::Held) = File::open(&self.file(k)) {
+        while let Err(e @ FileError::Locked) = CouncilFile::open(&self.file(k)) {
             assert!(Instant::now() < until, "its file is never free: {e}");
             sleep(Duration::from_millis(20)).await;
         }
@@ -127,7 +129,7 @@
             let members: Vec<(String, Arc<Council>)> =
                 self.bus.members.lock().unwrap().iter().map(|(a, c)| (a.clone(), c.clone())).collect();
             for (at, member) in members {
-                if member.leads() && member.current(Duration::from_millis(300)).await.is_ok() {
+                if member.is_leader() && member.read_current(Duration::from_millis(300)).await.is_ok() {
                     return at[2..].parse().expect("a number");
                 }
             }
@@ -170,7 +172,7 @@
     town.stop(1).await;
     town.start(1);
     town.leader().await;
-    let known = town.get(1).current(ASK).await.expect("read");
+    let known = town.get(1).read_current(ASK).await.expect("read");
     assert_eq!((known.owner.epoch, known.owner.duties["gaps"].epoch), (1, 1));
 }
 
@@ -186,7 +188,7 @@
         assert_ne!(next, leader);
         // By whoever does not lead: it is carried to who does.
         let other = (1..=3).find(|k| *k != leader && *k != next).expect("a third");
-        let seen = town.get(next).current(ASK).await.expect("read").owner.duties["gaps"].epoch;
+        let seen = town.get(next).read_current(ASK).await.expect("read").owner.duties["gaps"].epoch;
         let release = Command::Close { owner: Owner { agent: "a".into(), life: epoch + 1 }, at_ms: 0 };
         let granted = town.get(other).propose(claim("a", epoch + 1, seen), ASK).await;
         epoch += 1;
@@ -203,7 +205,7 @@
         town.start(k);
     }
     let leader = town.leader().await;
-    let known = town.get(leader).current(ASK).await.expect("read");
+    let known = town.get(leader).read_current(ASK).await.expect("read");
     assert_eq!((known.owner.epoch, known.owner.lives["a"]), (epoch, epoch + 1));
 }
 
@@ -217,7 +219,7 @@
     town.bus.hangs.lock().unwrap().insert(format!("at{}", others[2]));
     let asked = town.get(leader).propose(open("b", 1), Duration::from_millis(1500)).await;
     assert!(matches!(asked, Err(Error::NoLeader | Error::InDoubt(_))), "{asked:?}");
-    assert!(town.get(leader).current(Duration::from_millis(500)).await.is_err(), "nor is anything read");
+    assert!(town.get(leader).read_current(Duration::from_millis(500)).await.is_err(), "nor is anything read");
     town.bus.hangs.lock().unwrap().clear();
     let back = town.leader().await;
     assert_eq!(town.get(back).propose(open("c", 1), ASK).await, Ok(Outcome::Done));
@@ -232,13 +234,13 @@
         town.cut(old, *k);
         town.cut(*k, old);
     }
-    town.until("the others have a leader", || others.iter().any(|k| town.get(*k).leads())).await;
-    let next = others.iter().copied().find(|k| town.get(*k).leads()).expect("one");
+    town.until("the others have a leader", || others.iter().any(|k| town.get(*k).is_leader())).await;
+    let next = others.iter().copied().find(|k| town.get(*k).is_leader()).expect("one");
     assert_eq!(town.get(next).propose(open("a", 1), ASK).await, Ok(Outcome::Done));
-    let read = town.get(old).current(Duration::from_millis(500)).await;
+    let read = town.get(old).read_current(Duration::from_millis(500)).await;
     assert!(read.is_err(), "it can't know that it is old, so it says nothing");
     town.heal();
-    let read = town.get(old).current(ASK).await.expect("read");
+    let read = town.get(old).read_current(ASK).await.expect("read");
     assert!(read.owner.lives.contains_key("a"));
 }
 
@@ -249,12 +251,12 @@
     let deaf = town.leader().await;
     let others: Vec<usize> = (1..=3).filter(|k| *k != deaf).collect();
     others.iter().for_each(|k| town.cut(*k, deaf));
-    town.until("another leads", || others.iter().any(|k| town.get(*k).leads())).await;
-    let next = others.iter().copied().find(|k| town.get(*k).leads()).expect("one");
+    town.until("another leads", || others.iter().any(|k| town.get(*k).is_leader())).await;
+    let next = others.iter().copied().find(|k| town.get(*k).is_leader()).expect("one");
     assert_eq!(town.get(next).propose(open("a", 1), ASK).await, Ok(Outcome::Done));
     town.heal();
-    town.until("it follows", || !town.get(deaf).leads()).await;
-    let read = town.get(deaf).current(ASK).await.expect("read");
+    town.until("it follows", || !town.get(deaf).is_leader()).await;
+    let read = town.get(deaf).read_current(ASK).await.expect("read");
     assert!(read.owner.lives.contains_key("a"));
 }
 
@@ -269,14 +271,14 @@
     for life in 2..6 {
         town.get(1).propose(open("a", life), ASK).await.expect("done");
     }
-    let known = town.get(1).current(ASK).await.expect("read");
+    let known = town.get(1).read_current(ASK).await.expect("read");
     let two = town.get(2);
     town.until("it has caught up", || two.watch().borrow().owner == known.owner).await;
     drop(two);
     town.stop(2).await;
     fs::copy(&old, town.file(2)).expect("put back");
     let member = town.start(2);
-    let why = member.stopped().expect("it takes no part");
+    let why = member.stop_reason().expect("it takes no part");
     assert!(why.contains("older copy") && why.contains("does not vote"), "{why}");
     assert!(matches!(member.propose(open("b", 1), ASK).await, Err(Error::Stopped(_))));
     drop(member);
@@ -285,8 +287,8 @@
     town.stop(2).await;
     fs::remove_file(mark(&town.file(2))).expect("removed");
     let member = town.start(2);
-    town.until("others have told it", || member.stopped().is_some()).await;
-    assert!(member.stopped().is_some_and(|why| why.contains("older copy")));
+    town.until("others have told it", || member.stop_reason().is_some()).await;
+    assert!(member.stop_reason().is_some_and(|why| why.contains("older copy")));
     town.get(1).propose(open("c", 1), ASK).await.expect("the others go on");
 }
 
@@ -307,16 +309,16 @@
     let at = torn.len() / 2;
     torn[at..].fill(0x5a);
     fs::write(town.file(3), &torn).expect("written");
-    let why = town.start(3).stopped().expect("no part");
+    let why = town.start(3).stop_reason().expect("no part");
     assert!(why.contains("damaged"), "{why}");
 
     fs::write(town.file(3), "no database at all, but long enough to look like something").expect("written");
-    let why = town.start(3).stopped().expect("no part");
+    let why = town.start(3).stop_reason().expect("no part");
     assert!(why.contains("damaged"), "{why}");
 
     fs::write(town.file(3), &sound).expect("written");
-    let held = File::open(&town.file(3)).expect("sound");
-    let why = town.start(3).stopped().expect("no part");
+    let held = CouncilFile::open(&town.file(3)).expect("sound");
+    let why = town.start(3).stop_reason().expect("no part");
     assert!(why.contains("another process holds it"), "{why}");
     drop(held);
     let member = town.start(3);
@@ -328,16 +330,16 @@
     let town = Town::formed(3).await;
     let leader = town.leader().await;
     town.stop(leader).await;
-    let file = File::open(&town.file(leader)).expect("sound");
+    let file = CouncilFile::open(&town.file(leader)).expect("sound");
     drop(file);
     // Too few pages for anything more: as on a disk that is full.
     let member = town.start(leader);
     town.leader().await;
-    member.limit_file(1).expect("limited");
+    member.limit_file_size(1).expect("limited");
     let other = (1..=3).find(|k| *k != leader).expect("another");
     let mut life = 1;
     let until = Instant::now() + LONG;
-    while member.stopped().is_none() {
+    while member.stop_reason().is_none() {
         assert!(Instant::now() < until, "it goes on, on a full disk");
         let duties = (0..50).map(|k| format!("duty-{life}-{k}")).collect();
         let owner = Owner { agent: "a".into(), life };
@@ -345,7 +347,7 @@
         let _ = town.get(other).propose(command, Duration::from_secs(1)).await;
         life += 1;
     }
-    let why = member.stopped().unwrap_or_default();
+    let why = member.stop_reason().unwrap_or_default();
     assert!(why.contains("does not vote"), "{why}");
     drop(member);
     town.stop(leader).await;
@@ -357,7 +359,7 @@
 async fn a_member_that_lost_its_disk_comes_back_as_a_new_one() {
     let town = Town::formed(3).await;
     town.get(1).propose(open("a", 1), ASK).await.expect("done");
-    let lost = (1..=3).find(|k| !town.get(*k).leads()).expect("a follower");
+    let lost = (1..=3).find(|k| !town.get(*k).is_leader()).expect("a follower");
     town.stop(lost).await;
     fs::remove_file(town.file(lost)).expect("lost");
     fs::remove_file(mark(&town.file(lost))).expect("lost");
@@ -365,13 +367,13 @@
     town.until("it sees that it is new", || member.status().state == "waits to be added").await;
     assert_eq!(member.status().id, 0);
     let (leader, name) = (town.leader().await, format!("m{lost}"));
-    let add = Admin::Add { name: name.clone(), at: format!("at{lost}") };
-    let refused = town.get(leader).change(add.clone(), ASK).await;
+    let add = MembershipChange::Add { name: name.clone(), at: format!("at{lost}") };
+    let refused = town.get(leader).change_members(add.clone(), ASK).await;
     assert!(matches!(refused, Err(Error::Refused(why)) if why.contains("votes already")));
-    town.get(leader).change(Admin::Remove { name }, ASK).await.expect("removed");
-    let said = town.get(leader).change(add, LONG).await.expect("added");
+    town.get(leader).change_members(MembershipChange::Remove { name }, ASK).await.expect("removed");
+    let said = town.get(leader).change_members(add, LONG).await.expect("added");
     assert!(said.contains("as member 4"), "{said}");
-    town.until("it votes", || member.status().members.iter().any(|m| m.id == 4 && m.votes)).await;
+    town.until("it votes", || member.status().members.iter().any(|m| m.id == 4 && m.is_voter)).await;
     assert!(member.watch().borrow().owner.lives.contains_key("a"));
 }
 
@@ -384,22 +386,22 @@
     }
     let leader = town.leader().await;
     let one = town.get(leader);
-    let add = |k: usize| Admin::Add { name: format!("m{k}"), at: String::new() };
-    let (a, b) = tokio::join!(one.change(add(4), LONG), one.change(add(5), LONG));
+    let add = |k: usize| MembershipChange::Add { name: format!("m{k}"), at: String::new() };
+    let (a, b) = tokio::join!(one.change_members(add(4), LONG), one.change_members(add(5), LONG));
     let done = [&a, &b].iter().filter(|r| r.is_ok()).count();
     assert!(done >= 1, "{a:?}, {b:?}");
     for (k, result) in [(4, a), (5, b)] {
         if let Err(why) = result {
             assert!(why.to_string().contains("another change"), "{why}");
-            one.change(add(k), LONG).await.expect("added");
+            one.change_members(add(k), LONG).await.expect("added");
         }
     }
-    let votes = |k: usize| town.get(k).status().members.iter().filter(|m| m.votes).count();
+    let votes = |k: usize| town.get(k).status().members.iter().filter(|m| m.is_voter).count();
     town.until("five vote", || votes(4) == 5).await;
     // The leader itself is removed, by way of another.
     let other = (1..=3).find(|k| *k != leader).expect("another");
-    let gone = Admin::Remove { name: format!("m{leader}") };
-    let done = town.get(other).change(gone, LONG).await;
+    let gone = MembershipChange::Remove { name: format!("m{leader}") };
+    let done = town.get(other).change_members(gone, LONG).await;
     assert!(matches!(done, Ok(_) | Err(Error::InDoubt(_))), "{done:?}");
     town.until("four vote", || votes(other) == 4).await;
     drop(one);
@@ -407,7 +409,7 @@
     let next = town.leader().await;
     assert_ne!(next, leader);
     assert_eq!(town.get(next).propose(open("a", 1), ASK).await, Ok(Outcome::Done));
-    let gone = town.get(next).change(Admin::Remove { name: "nobody".into() }, ASK).await;
+    let gone = town.get(next).change_members(MembershipChange::Remove { name: "nobody".into() }, ASK).await;
     assert!(matches!(gone, Err(Error::Refused(why)) if why.contains("no member")));
 }
 
@@ -418,14 +420,15 @@
     town.until("it follows", || follower.status().state == "learner").await;
     let leader = town.leader().await;
     let other = (1..=3).find(|k| *k != leader).expect("another");
-    let votes = |k: usize| town.get(k).status().members.iter().filter(|m| m.votes).count();
-    for (change, then) in
-        [(Admin::Add { name: "m4".into(), at: String::new() }, 4), (Admin::Remove { name: "m4".into() }, 3)]
-    {
+    let votes = |k: usize| town.get(k).status().members.iter().filter(|m| m.is_voter).count();
+    for (change, then) in [
+        (MembershipChange::Add { name: "m4".into(), at: String::new() }, 4),
+        (MembershipChange::Remove { name: "m4".into() }, 3),
+    ] {
         town.cut(leader, other);
         let asked = town.get(other);
-        let asked = tokio::spawn(async move { asked.change(change, LONG).await });
-        town.until("the leader has done it", || votes(leader) == then || !town.get(leader).leads()).await;
+        let asked = tokio::spawn(async move { asked.change_members(change, LONG).await });
+        town.until("the leader has done it", || votes(leader) == then || !town.get(leader).is_leader()).await;
         town.heal();
         let said = asked.await.expect("ran").expect("known to be done");
         assert!(said.contains(&format!("{then} vote")), "{said}");
@@ -437,7 +440,7 @@
     let town = Town::formed(3).await;
     town.get(1).propose(open("a", 1), ASK).await.expect("done");
     let granted = town.get(1).propose(claim("a", 1, 0), ASK).await.expect("done");
-    let known = town.get(3).current(ASK).await.expect("read");
+    let known = town.get(3).read_current(ASK).await.expect("read");
     assert_eq!(known.owner.epoch, 1);
     // Those that are given up have seen later terms than the one that goes on: without more, it would follow them.
     town.stop(3).await;
@@ -450,7 +453,7 @@
     for k in 1..=2 {
         town.stop(k).await;
     }
-    let file = File::open(&town.file(3)).expect("sound");
+    let file = CouncilFile::open(&town.file(3)).expect("sound");
     file.recover("ana", 0).expect("recovered");
     drop(file);
     town.start(3);
@@ -469,8 +472,8 @@
     // Those that were given up come back, and are a council of the old kind: neither hears the other.
     town.start(1);
     town.start(2);
-    town.until("the old ones are refused", || town.get(3).status().refused > 20).await;
-    assert!(town.get(3).leads());
+    town.until("the old ones are refused", || town.get(3).status().rejected > 20).await;
+    assert!(town.get(3).is_leader());
     assert_eq!(town.get(3).propose(open("c", 1), ASK).await, Ok(Outcome::Done));
     assert!(!town.get(1).watch().borrow().owner.lives.contains_key("c"));
 }
@@ -479,7 +482,7 @@
 async fn messages_that_are_none_are_refused_counted_and_change_nothing() {
     let town = Town::formed(3).await;
     let member = town.get(1);
-    let before = town.get(1).current(ASK).await.expect("read");
+    let before = town.get(1).read_current(ASK).await.expect("read");
     let sound = Envelope {
         version: VERSION,
         fleet: "altiplano".into(),
@@ -488,7 +491,7 @@
         to: 1,
         writes: 0,
         heard: 0,
-        kind: Kind::Vote,
+        kind: MessageKind::Vote,
         body: b"{}".to_vec(),
     };
     let mut state = 11_u64;
@@ -505,27 +508,27 @@
         (Envelope { generation: 1, ..sound.clone() }, "generation 1"),
         (Envelope { to: 9, ..sound.clone() }, "member 9"),
         (Envelope { from: 77, body: vote(), ..sound.clone() }, "member 77: not known"),
-        (Envelope { body: vec![b' '; BODY_MOST + 1], ..sound.clone() }, "at the most"),
+        (Envelope { body: vec![b' '; MAX_BODY_BYTES + 1], ..sound.clone() }, "at the most"),
         (sound.clone(), "can't be read"),
     ];
-    for kind in wire::KINDS.into_iter().filter(|k| *k != Kind::Read) {
+    for kind in wire::MESSAGE_KINDS.into_iter().filter(|k| *k != MessageKind::Read) {
         bad.push((Envelope { kind, body: noise(200), ..sound.clone() }, "can't be read"));
     }
     let count = bad.len() as u64;
-    let refused = member.status().refused;
+    let refused = member.status().rejected;
     for (message, word) in bad {
         let kind = message.kind;
-        let said = member.serve(message).await.err().map(|e: Refused| e.to_string());
+        let said = member.handle_message(message).await.err().map(|e: Rejection| e.to_string());
         assert!(said.as_ref().is_some_and(|s| s.contains(word)), "{kind:?} {word}: {said:?}");
     }
-    assert!(member.status().refused >= refused + count);
-    let by = member.status().refused_by;
+    assert!(member.status().rejected >= refused + count);
+    let by = member.status().rejected_by;
     for cause in ["version", "fleet", "generation", "other member", "unknown member", "size", "unreadable"] {
         assert!(by.get(cause).is_some_and(|n| *n > 0), "{cause}: {by:?}");
     }
-    assert_eq!(by.values().sum::<u64>(), member.status().refused);
-    assert_eq!(town.get(1).current(ASK).await.expect("read").owner, before.owner);
-    assert!(member.stopped().is_none());
+    assert_eq!(by.values().sum::<u64>(), member.status().rejected);
+    assert_eq!(town.get(1).read_current(ASK).await.expect("read").owner, before.owner);
+    assert!(member.stop_reason().is_none());
 }
 
 /// A request for a vote in a term far ahead.
@@ -541,7 +544,7 @@
     let way = Way { bus: town.bus.clone(), from: "at3".into() };
     let settings = Settings { read_only: true, ..town.settings(3) };
     let member = Council::start(settings, Arc::new(way)).expect("its agent goes on");
-    let why = member.stopped().expect("it takes no part");
+    let why = member.stop_reason().expect("it takes no part");
     assert!(why.starts_with("council.file") && why.contains("does not vote"), "{why}");
     assert_eq!(town.get(1).propose(open("b", 1), ASK).await, Ok(Outcome::Done));
 }
@@ -587,7 +590,7 @@
     timeout(LONG, town.stop(1)).await.expect("stopped");
     town.start(1);
     town.leader().await;
-    let known = town.get(1).current(ASK).await.expect("read");
+    let known = town.get(1).read_current(ASK).await.expect("read");
     assert_eq!(known.owner.sessions[&owner].number, number);
     bytes
 }
--- a/crates/ctl/src/audit.rs
+++ b/crates/ctl/src/audit.rs
@@ -4,7 +4,7 @@
 use frostvale_agent::clock::unix_ms;
 use frostvale_agent::serve::control;
 use frostvale_audit::replay::Replay;
-use frostvale_audit::{Anchor, Decision, Row, chain::Verify};
+use frostvale_audit::{ChainRow, Checkpoint, Decision, hash_chain::ChainVerifier};
 use frostvale_proto::agent::agent_client::AgentClient;
 use frostvale_proto::agent::audit_change::What;
 use frostvale_proto::agent::{
@@ -160,8 +160,8 @@
 }
 
 /// A history, whole, and where it begins.
-async fn rows(agent: &mut AgentClient<Channel>) -> Result<(Vec<Row>, Anchor), String> {
-    let mut all: Vec<Row> = Vec::new();
+async fn rows(agent: &mut AgentClient<Channel>) -> Result<(Vec<ChainRow>, Checkpoint), String> {
+    let mut all: Vec<ChainRow> = Vec::new();
     loop {
         let asked = HistoryRequest { after: all.last().map_or(0, |r| r.number), most: ROWS };
         let said = agent.history(asked).await.map_err(|e| e.message().to_string())?.into_inner();
@@ -191,8 +191,8 @@
                 None => time_ms(&time)?,
             };
             let mut replay = Replay::new(at, "");
-            rows(&mut agent).await?.0.iter().for_each(|r| replay.row(r));
-            let all = replay.end();
+            rows(&mut agent).await?.0.iter().for_each(|r| replay.apply_row(r));
+            let all = replay.finish();
             if json {
                 println!("{}", json!({"at_ms": at, "instances": all}));
                 return Ok(ExitCode::SUCCESS);
@@ -212,7 +212,7 @@
         }
         Command::Instance { name } => {
             let all = rows(&mut agent).await?.0;
-            let own: Vec<&Row> = all.iter().filter(|r| r.instance == name).collect();
+            let own: Vec<&ChainRow> = all.iter().filter(|r| r.instance == name).collect();
             if own.is_empty() {
                 eprintln!("frostctl: the history knows no gatekeeper {name:?}; look at frostctl fleet list");
                 return Ok(ExitCode::from(REFUSED));
@@ -265,7 +265,8 @@
     let used = agent.use_by_revision(UseByRevisionRequest {}).await.map_err(|e| e.message().to_string())?;
     let all = rows(agent).await?.0;
     // When the next revision was wanted, as the owner entered it.
-    let later = |r: &&Row| r.kind == "wanted.plans" && r.now_is.parse::<u64>().is_ok_and(|n| n > revision);
+    let later =
+        |r: &&ChainRow| r.kind == "wanted.plans" && r.now_is.parse::<u64>().is_ok_and(|n| n > revision);
     let next = all.iter().find(later).map(|r| r.at_ms);
     let mut total = (0_u64, 0_u64);
     let mut shown = Vec::new();
@@ -316,9 +317,9 @@
     let decision: Decision = serde_json::from_str(&said.decision).unwrap_or_default();
     let (all, base) = rows(agent).await?;
     let anchors = decision.anchors.len();
-    let mut look = Verify::new(base.clone(), decision.anchors);
-    all.iter().for_each(|r| look.row(r));
-    let (broken, count) = look.end();
+    let mut look = ChainVerifier::new(base.clone(), decision.anchors);
+    all.iter().for_each(|r| look.check_row(r));
+    let (broken, count) = look.finish();
     if json {
         println!("{}", json!({"rows": count, "from": base.number + 1, "anchors": anchors, "broken": broken}));
     } else {
--- a/crates/ctl/src/council.rs
+++ b/crates/ctl/src/council.rs
@@ -2,7 +2,7 @@
 
 use clap::Subcommand;
 use frostvale_agent::serve::control;
-use frostvale_council::file::File;
+use frostvale_council::file::CouncilFile;
 use frostvale_proto::agent::{CouncilChange, CouncilRequest, CouncilResponse};
 use serde_json::json;
 use std::path::PathBuf;
@@ -82,7 +82,9 @@
     };
     let mut agent = control(&args.agent).await?;
     let mut asked = tonic::Request::new(change);
-    asked.set_timeout(frostvale_council::member::ADMIN + std::time::Duration::from_secs(1));
+    asked.set_timeout(
+        frostvale_council::member::MEMBERSHIP_CHANGE_TIMEOUT + std::time::Duration::from_secs(1),
+    );
     match agent.change_council(asked).await {
         Ok(said) => {
             println!("{}", said.into_inner().text);
@@ -99,7 +101,7 @@
     if !path.is_file() {
         return Err(format!("{}: there is no such file", path.display()));
     }
-    let file = File::open(path).map_err(|e| e.to_string())?;
+    let file = CouncilFile::open(path).map_err(|e| e.to_string())?;
     let known = file.identity().map_err(|e| e.to_string())?;
     let Some(known) = known else {
         return Err(format!("{}: it is of no member yet: there is nothing to go on from", path.display()));
--- a/crates/ctl/src/dev.rs
+++ b/crates/ctl/src/dev.rs
@@ -1,11 +1,11 @@
 //! The whole town on one machine.
 
-use crate::load::{Playing, Shape, Show};
-use frostvale_load::report::Around;
+use crate::load::{RunningLoad, Shape, Show};
+use frostvale_load::report::StatusWords;
 use frostvale_log::Format;
-use frostvale_standin::formula::Options;
+use frostvale_standin::formula_server::ServerOptions;
+use frostvale_standin::local_cluster::{ClusterOptions, LocalCluster};
 use frostvale_standin::postgres::{Login, Postgres};
-use frostvale_standin::town::{Plan, Town};
 use rustix::process::{Signal, getppid, set_parent_process_death_signal};
 use std::os::unix::process::CommandExt;
 use std::path::{Path, PathBuf};
@@ -85,23 +85,23 @@
     let (url, password_file, _stand_in) = record(&args, &folder).await?;
     let password = password_file.map_or(String::new(), |p| format!("password_file = {p:?}\n"));
     let spool = folder.join("spool.db");
-    let plan = Plan {
-        gatekeeper_extra: "[usage]\n".into(),
-        agent_extra: format!("[record]\nurl = {url:?}\n{password}spool = {spool:?}\n"),
+    let plan = ClusterOptions {
+        gatekeeper_settings: "[usage]\n".into(),
+        agent_settings: format!("[record]\nurl = {url:?}\n{password}spool = {spool:?}\n"),
         gatekeepers: usize::from(args.gatekeepers),
         servers: usize::from(args.servers),
-        formula: Options { work: work(&args), ids: false, ..Options::default() },
+        formula: ServerOptions { work: work(&args), ids: false, ..ServerOptions::default() },
         launcher,
         log_format: if log_format == Format::Json { "json" } else { "text" }.into(),
         folder: Some(folder),
-        ..Plan::default()
+        ..ClusterOptions::default()
     };
     if let Some(file) = &args.ready_file {
         // One of an earlier town would tell of addresses that are gone.
         let _ = std::fs::remove_file(file);
     }
     let mut town = tokio::select! {
-        town = Town::start(plan) => town?,
+        town = LocalCluster::start(plan) => town?,
         _ = term.recv() => return Ok(ExitCode::SUCCESS),
         _ = int.recv() => return Ok(ExitCode::SUCCESS),
         _ = hup.recv() => return Ok(ExitCode::SUCCESS),
@@ -109,12 +109,12 @@
     tell(&town);
     println!("  {} record --record {url} status", own.display());
     if let Some(file) = &args.ready_file {
-        write_whole(file, &town.ready().to_string())?;
+        write_whole(file, &town.ready_json().to_string())?;
     }
     let mut playing = match args.load {
         Some(rate) => {
             let gatekeepers = town.gatekeepers.iter().map(|g| g.resp).collect();
-            Some(Playing::start(f64::from(rate), &args.shape, &args.show, gatekeepers, Some(town.rls))?)
+            Some(RunningLoad::start(f64::from(rate), &args.shape, &args.show, gatekeepers, Some(town.rls))?)
         }
         None => None,
     };
@@ -135,7 +135,7 @@
             _ = hup.recv() => break,
             () = &mut done => break,
             _ = tick.tick() => {
-                frostvale_log::turn();
+                frostvale_log::flush_summaries();
                 // A signal ends the town also while something of it is being started.
                 tokio::select! {
                     _ = term.recv() => break,
@@ -167,14 +167,15 @@
 
 /// How long a formula takes: the fleet has half as much room again as the load wants.
 fn work(args: &Args) -> Duration {
-    let cores = Options::default().cores as f64 * f64::from(args.servers);
+    let cores = ServerOptions::default().cores as f64 * f64::from(args.servers);
     let room = cores / (1.5 * f64::from(args.load.unwrap_or(1)));
     Duration::from_secs_f64(room.clamp(0.002, 0.020))
 }
 
 /// The state of servers, links and the record.
-async fn around(town: &Town) -> Around {
-    let work: Vec<(u64, u64)> = town.servers.iter().map(frostvale_standin::formula::Formula::work).collect();
+async fn around(town: &LocalCluster) -> StatusWords {
+    let work: Vec<(u64, u64)> =
+        town.servers.iter().map(frostvale_standin::formula_server::FormulaServer::work_counts).collect();
     let (most, least) = (work.iter().map(|w| w.1).max(), work.iter().map(|w| w.1).min());
     let servers = format!(
         "{} ready, {} in work, answered {} to {} each",
@@ -221,7 +222,7 @@
 }
 
 /// Starts again what has ended, so that any of it can be killed to see what comes of it.
-async fn mend(town: &mut Town) {
+async fn mend(town: &mut LocalCluster) {
     for k in 0..town.gatekeepers.len() {
         if let Some(how) = town.gatekeepers[k].process.has_ended() {
             let name = town.gatekeepers[k].name.clone();
@@ -234,7 +235,7 @@
             }
         }
     }
-    if let Some(how) = town.agent.as_mut().and_then(frostvale_standin::town::Process::has_ended) {
+    if let Some(how) = town.agent.as_mut().and_then(frostvale_standin::local_cluster::Process::has_ended) {
         tracing::warn!("the agent has ended ({how}); RESP2 traffic goes on, it is started again");
         if let Err(e) = town.start_agent().await {
             tracing::error!("{e}");
@@ -242,7 +243,7 @@
     }
 }
 
-fn tell(town: &Town) {
+fn tell(town: &LocalCluster) {
     let exe = std::env::current_exe().map_or("frostctl".into(), |e| e.display().to_string());
     println!("The town serves; its files are in {}. Ctrl-C ends all of it.", town.folder.display());
     for g in &town.gatekeepers {
--- a/crates/ctl/src/export.rs
+++ b/crates/ctl/src/export.rs
@@ -43,7 +43,7 @@
         let [passed, refused, served] = units.map(|milli| milli as f64 / 1000.0);
         println!("{day:>14} {passed:>16.3} {refused:>16.3} {served:>16.3}");
     }
-    for file in &read.overtaken {
+    for file in &read.superseded {
         println!("{file}: of a former owner, does not count");
     }
     match read.missing {
--- a/crates/ctl/src/load.rs
+++ b/crates/ctl/src/load.rs
@@ -1,9 +1,9 @@
 //! Load on a town: played, shown while it goes on, and reported at the end.
 
-use frostvale_load::engine::{Play, Shared, lock, play};
-use frostvale_load::report::{self, Around};
-use frostvale_load::schedule::{Aim, GRPC_PART, Plan, brief_plans, shops};
-use frostvale_load::tally::Tally;
+use frostvale_load::engine::{LoadRun, SharedStats, lock_stats, run_load};
+use frostvale_load::report::{self, StatusWords};
+use frostvale_load::schedule::{GRPC_FRACTION, LoadProfile, Plan, example_plans, shops};
+use frostvale_load::stats::LoadStats;
 use std::io::{IsTerminal, Write};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -24,7 +24,7 @@
     #[arg(long, default_value_t = 2, value_parser = clap::value_parser!(u32).range(1..=100))]
     spread: u32,
     /// The part of requests that come as rate limit calls, 0 to 1.
-    #[arg(long, default_value_t = GRPC_PART, value_parser = part)]
+    #[arg(long, default_value_t = GRPC_FRACTION, value_parser = part)]
     grpc_part: f64,
     /// Of arrivals, shops and clients' pauses: the same seed plays the same.
     #[arg(long, default_value_t = 1)]
@@ -91,9 +91,9 @@
 }
 
 /// A load that is being played.
-pub struct Playing {
+pub struct RunningLoad {
     task: JoinHandle<Result<(), String>>,
-    tally: Shared,
+    tally: SharedStats,
     plans: Vec<String>,
     show: Show,
     title: String,
@@ -102,7 +102,7 @@
     seconds: usize,
 }
 
-impl Playing {
+impl RunningLoad {
     /// Begins to play.
     pub fn start(
         rate: f64,
@@ -110,8 +110,8 @@
         show: &Show,
         gatekeepers: Vec<SocketAddr>,
         rls: Option<SocketAddr>,
-    ) -> Result<Playing, String> {
-        Playing::of(rate, shape, show, gatekeepers, rls, brief_plans())
+    ) -> Result<RunningLoad, String> {
+        RunningLoad::of(rate, shape, show, gatekeepers, rls, example_plans())
     }
 
     fn of(
@@ -121,20 +121,20 @@
         gatekeepers: Vec<SocketAddr>,
         rls: Option<SocketAddr>,
         plans: Vec<Plan>,
-    ) -> Result<Playing, String> {
+    ) -> Result<RunningLoad, String> {
         for file in [&show.report_json, &show.report_html].into_iter().flatten() {
             writable(file)?;
         }
-        let aim = shape.overload.map_or(Aim::Fits, Aim::Overload);
+        let aim = shape.overload.map_or(LoadProfile::WithinQuota, LoadProfile::Overload);
         let count = u32::try_from(gatekeepers.len()).unwrap_or(u32::MAX);
         let shops = shops(rate, aim, &plans, count, shape.spread)?;
         println!("Load: {rate} requests a second of {} shops, seed {}", shops.len(), shape.seed);
-        let tally: Shared = Arc::new(Mutex::new(Tally::new(plans.len())));
+        let tally: SharedStats = Arc::new(Mutex::new(LoadStats::new(plans.len())));
         let names = plans.iter().map(|p| p.name.clone()).collect();
         let most = Duration::from_secs(show.duration.map_or(u64::from(u32::MAX), u64::from));
-        let played = Play { shops, plans, gatekeepers, rls, grpc: shape.grpc_part, seed: shape.seed };
-        Ok(Playing {
-            task: tokio::spawn(play(played, most, tally.clone())),
+        let played = LoadRun { shops, plans, gatekeepers, rls, grpc: shape.grpc_part, seed: shape.seed };
+        Ok(RunningLoad {
+            task: tokio::spawn(run_load(played, most, tally.clone())),
             tally,
             plans: names,
             show: show.clone(),
@@ -146,9 +146,9 @@
     }
 
     /// A second is over: shows it, over the one before on a terminal, as a line elsewhere.
-    pub fn show(&mut self, around: Around) {
-        let mut tally = lock(&self.tally);
-        let second = tally.second();
+    pub fn show(&mut self, around: StatusWords) {
+        let mut tally = lock_stats(&self.tally);
+        let second = tally.take_second();
         self.seconds += 1;
         let text = if self.terminal {
             let view = report::view(self.seconds, &second, &tally, &self.plans, &around);
@@ -164,10 +164,10 @@
     }
 
     /// Ends it and reports. What is in hand has a moment to be answered.
-    pub async fn end(mut self, around: Around) -> Result<(), String> {
+    pub async fn end(mut self, around: StatusWords) -> Result<(), String> {
         let played = tokio::time::timeout(Duration::from_secs(4), &mut self.task).await;
         self.task.abort();
-        let tally = lock(&self.tally);
+        let tally = lock_stats(&self.tally);
         print!("{}", report::text(&tally, &self.plans, &around));
         if let Some(file) = &self.show.report_json {
             write(file, &tally.json(&self.plans).to_string())?;
@@ -196,9 +196,9 @@
 pub async fn run(args: Args) -> Result<ExitCode, String> {
     let mut term = signal(SignalKind::terminate()).map_err(|e| format!("cannot await SIGTERM: {e}"))?;
     let mut int = signal(SignalKind::interrupt()).map_err(|e| format!("cannot await SIGINT: {e}"))?;
-    let plans = if args.plans.is_empty() { brief_plans() } else { args.plans.clone() };
+    let plans = if args.plans.is_empty() { example_plans() } else { args.plans.clone() };
     let rate = f64::from(args.rate);
-    let mut playing = Playing::of(rate, &args.shape, &args.show, args.targets, args.rls, plans)?;
+    let mut playing = RunningLoad::of(rate, &args.shape, &args.show, args.targets, args.rls, plans)?;
     let around = async || match &args.agent {
         Some(socket) => crate::status::words(socket).await,
         None => Vec::new(),
@@ -211,7 +211,7 @@
             _ = term.recv() => break,
             _ = int.recv() => break,
             _ = tick.tick() => {
-                frostvale_log::turn();
+                frostvale_log::flush_summaries();
                 playing.show(around().await);
                 if playing.task.is_finished() {
                     break;
--- a/crates/ctl/src/main.rs
+++ b/crates/ctl/src/main.rs
@@ -1,12 +1,12 @@
 //! `frostctl`: the operators' command line.
 
-mod ask;
 mod audit;
 mod council;
 mod dev;
 mod duties;
 mod export;
 mod load;
+mod manual_request;
 mod record;
 mod sim;
 mod status;
@@ -38,9 +38,9 @@
     /// Asks an agent how its gatekeepers, its calls and the outside service do.
     Status(status::Args),
     /// Asks the rate limit service whether a shop may have units, as a web store does. Exit code 5: over the limit.
-    Check(ask::Check),
+    Check(manual_request::CheckArgs),
     /// Sends a request by RESP2, as a tinting station does. Exit code 5: refused.
-    Ask(ask::Ask),
+    Ask(manual_request::RequestArgs),
     /// The store of record: plans, use, audit trail, backup.
     Record(record::Args),
     /// Duties of the fleet: who owns them, and wishes about them.
@@ -85,10 +85,10 @@
         Command::Stragglers(args) => block_on(audit::stragglers(args)),
         Command::Export(args) => export::run(args),
         Command::Status(args) => block_on(status::run(args)),
-        Command::Check(args) => block_on(ask::check(args)),
-        Command::Ask(args) => block_on(ask::ask(args)),
+        Command::Check(args) => block_on(manual_request::check(args)),
+        Command::Ask(args) => block_on(manual_request::request(args)),
     };
-    frostvale_log::end();
+    frostvale_log::finish();
     ended.unwrap_or_else(|what| {
         tracing::error!("{what}");
         ExitCode::FAILURE
--- a/crates/ctl/src/ask.rs
+++ b/crates/ctl/src/manual_request.rs
@@ -2,8 +2,8 @@
 
 use frostvale_proto::envoy::extensions::common::ratelimit::v3::rate_limit_descriptor::Entry;
 use frostvale_proto::envoy::service::ratelimit::v3::rate_limit_response::Code;
-use frostvale_standin::load::{self, Shop};
-use frostvale_standin::resp::{Answer, Conn};
+use frostvale_standin::client::{self, Shop};
+use frostvale_standin::resp::{Answer, RespConnection};
 use std::net::SocketAddr;
 use std::process::ExitCode;
 use std::time::Duration;
@@ -13,7 +13,7 @@
 
 /// Whose request, and for how much.
 #[derive(clap::Args)]
-pub struct What {
+pub struct ShopArgs {
     /// The shop, 16 hex digits.
     #[arg(long, default_value = "00000000b4d65521")]
     shop: String,
@@ -33,7 +33,7 @@
 
 /// A rate limit call.
 #[derive(clap::Args)]
-pub struct Check {
+pub struct CheckArgs {
     /// Where the rate limit service listens.
     #[arg(long, default_value = "127.0.0.1:8081")]
     rls: SocketAddr,
@@ -44,12 +44,12 @@
     #[arg(long, default_value = "frostvale")]
     domain: String,
     #[command(flatten)]
-    what: What,
+    what: ShopArgs,
 }
 
 /// A request.
 #[derive(clap::Args)]
-pub struct Ask {
+pub struct RequestArgs {
     /// Where the gatekeeper listens.
     #[arg(long)]
     gatekeeper: SocketAddr,
@@ -60,23 +60,23 @@
     #[arg(long, default_value_t = 1000)]
     wait_ms: u64,
     #[command(flatten)]
-    what: What,
+    what: ShopArgs,
 }
 
-fn shop(what: &What) -> Shop {
+fn shop(what: &ShopArgs) -> Shop {
     let (first, spread) = (what.first.unwrap_or(0), what.spread.unwrap_or(1));
     Shop { id: what.shop.clone(), plan: what.plan.clone(), first, spread }
 }
 
 /// Makes a call and prints what came of it.
-pub async fn check(args: Check) -> Result<ExitCode, String> {
+pub async fn check(args: CheckArgs) -> Result<ExitCode, String> {
     let set = args.what.first.is_some() || args.what.spread.is_some();
-    let mut call = load::call(&shop(&args.what), set, args.what.units);
+    let mut call = client::rate_limit_call(&shop(&args.what), set, args.what.units);
     call.domain = args.domain;
     if let (Some(class), Some(descriptor)) = (args.class, call.descriptors.first_mut()) {
         descriptor.entries.push(Entry { key: "class".into(), value: class });
     }
-    let mut client = load::rls_client(args.rls)?;
+    let mut client = client::rls_client(args.rls)?;
     let mut request = tonic::Request::new(call);
     request.set_timeout(Duration::from_secs(2));
     let answer = client.should_rate_limit(request).await.map_err(|e| {
@@ -107,14 +107,15 @@
 }
 
 /// Sends a request and prints what came of it.
-pub async fn ask(args: Ask) -> Result<ExitCode, String> {
+pub async fn request(args: RequestArgs) -> Result<ExitCode, String> {
     let at = args.gatekeeper;
     let failed = |e: std::io::Error| format!("{at}: {e}; is a gatekeeper running there?");
-    let mut conn = Conn::connect(at).await.map_err(failed)?;
-    let key = load::fresh_id();
+    let mut conn = RespConnection::connect(at).await.map_err(failed)?;
+    let key = client::unique_id();
     let key = (args.class != "formula-read").then_some(key.as_str());
     let wait = Duration::from_millis(args.wait_ms);
-    let answer = load::ask(&mut conn, &shop(&args.what), &args.class, key, args.what.units, wait).await;
+    let answer =
+        client::send_request(&mut conn, &shop(&args.what), &args.class, key, args.what.units, wait).await;
     match answer.map_err(failed)? {
         Answer::Served(value) => {
             println!("served: {}", String::from_utf8_lossy(&value));
--- a/crates/ctl/src/record.rs
+++ b/crates/ctl/src/record.rs
@@ -1,8 +1,8 @@
 //! The store of record by hand: what is in it, and changes on top of what was seen.
 
 use clap::Subcommand;
-use frostvale_record::model::{Change, Kept, Plan, Total};
-use frostvale_record::{Backend, Error, Op, Place, Reply};
+use frostvale_record::model::{Change, Plan, UsageTotal, Versioned};
+use frostvale_record::{Backend, Error, Op, RecordLocation, Reply};
 use serde_json::json;
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -135,7 +135,11 @@
 
 /// Does it. Exit code 4: refused.
 pub async fn run(args: Args) -> Result<ExitCode, String> {
-    let place = Place { password_file: args.password_file, ca: args.ca, ..Place::new(&args.record) };
+    let place = RecordLocation {
+        password_file: args.password_file,
+        ca: args.ca,
+        ..RecordLocation::new(&args.record)
+    };
     place.check()?;
     let backend = place.open().await.map_err(|e| e.to_string())?;
     let done = match args.command {
@@ -161,7 +165,7 @@
     }
 }
 
-async fn load(backend: &Arc<dyn Backend>) -> Result<Vec<Kept<Plan>>, Error> {
+async fn load(backend: &Arc<dyn Backend>) -> Result<Vec<Versioned<Plan>>, Error> {
     match backend.run(Op::Load).await? {
         Reply::Snapshot(snapshot) => Ok(snapshot.plans),
         _ => Ok(Vec::new()),
@@ -198,7 +202,7 @@
 async fn plans(backend: &Arc<dyn Backend>, name: Option<String>) -> Result<(), Error> {
     let all = load(backend).await?;
     if let Some(name) = &name
-        && !all.iter().any(|p| p.it.name == *name)
+        && !all.iter().any(|p| p.value.name == *name)
     {
         return Err(Error::Invalid(format!(
             "plan {name}: there is none; `plans set {name} --base 0` makes one"
@@ -208,15 +212,15 @@
         "{:<14} {:>12} {:>12} {:>6} {:>12} {:>12} {:>9}  set by",
         "plan", "rate", "burst", "open", "ceiling", "its burst", "revision"
     );
-    for p in all.iter().filter(|p| name.as_ref().is_none_or(|n| *n == p.it.name)) {
+    for p in all.iter().filter(|p| name.as_ref().is_none_or(|n| *n == p.value.name)) {
         println!(
             "{:<14} {:>12} {:>12} {:>6} {:>12} {:>12} {:>9}  {}: {}",
-            p.it.name,
-            units(p.it.rate_milli),
-            units(p.it.burst_milli),
-            p.it.open,
-            units(p.it.ceiling_rate_milli),
-            units(p.it.ceiling_burst_milli),
+            p.value.name,
+            units(p.value.rate_milli),
+            units(p.value.burst_milli),
+            p.value.open,
+            units(p.value.ceiling_rate_milli),
+            units(p.value.ceiling_burst_milli),
             p.revision,
             p.by,
             p.why
@@ -226,7 +230,7 @@
 }
 
 async fn set_plan(backend: &Arc<dyn Backend>, set: Set) -> Result<(), Error> {
-    let known = load(backend).await?.into_iter().find(|p| p.it.name == set.name).map(|p| p.it);
+    let known = load(backend).await?.into_iter().find(|p| p.value.name == set.name).map(|p| p.value);
     let mut plan = known.unwrap_or(Plan { name: set.name, ..Plan::default() });
     let milli = |field: &str, units: Option<f64>, place: &mut i64| match units {
         None => Ok(()),
@@ -273,10 +277,10 @@
     let Reply::Totals(all) = backend.run(Op::Totals { shop, from_ms, to_ms, most: ROWS }).await? else {
         return Ok(());
     };
-    let figures = |t: &Total| [t.passed_milli, t.refused_milli, t.served_milli].map(units);
+    let figures = |t: &UsageTotal| [t.passed_milli, t.refused_milli, t.served_milli].map(units);
     match output {
         Output::Json => {
-            let row = |t: &Total| {
+            let row = |t: &UsageTotal| {
                 json!({
                     "shop": t.shop, "plan": t.plan, "class": t.class, "hour_ms": t.hour_ms,
                     "passed_milli": t.passed_milli, "refused_milli": t.refused_milli, "served_milli": t.served_milli,
--- a/crates/ctl/src/sim.rs
+++ b/crates/ctl/src/sim.rs
@@ -2,7 +2,7 @@
 
 use clap::Subcommand;
 use frostvale_sim::shrink::{self, shrink};
-use frostvale_sim::{Report, Scenario, page, real};
+use frostvale_sim::{Report, Scenario, control_module, report_page};
 use std::io::{IsTerminal, Write};
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -106,12 +106,12 @@
                         .map_err(|e| format!("{}, line {}: no report: {e}", file.display(), k + 1))
                 })
                 .collect::<Result<Vec<Report>, String>>()?;
-            write(&html, &page::html(&reports)?)?;
+            write(&html, &report_page::html(&reports)?)?;
             Ok(ExitCode::SUCCESS)
         }
         Command::Shrink { file, seed, to } => {
             let scenario = Scenario::read(&file)?;
-            let small = shrink(&scenario, seed, &real)?;
+            let small = shrink(&scenario, seed, &control_module)?;
             let text = format!(
                 "# Fails with seed {}: {}. Shrunk from {} in {} runs.\n{}",
                 small.seed,
@@ -152,7 +152,7 @@
                     let k = next.fetch_add(1, Ordering::Relaxed);
                     let Some((scenario, seed)) = work.get(k) else { return };
                     let begun = Instant::now();
-                    let report = frostvale_sim::run(&scenarios[*scenario], *seed, &real);
+                    let report = frostvale_sim::run(&scenarios[*scenario], *seed, &control_module);
                     let mut done = done.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
                     done.push((k, report, begun.elapsed().as_secs_f64()));
                     if progress {
@@ -175,9 +175,9 @@
         let report = report?;
         let (scenario, seed) = work[k];
         if args.all || seed == args.seeds.0 || !report.held() {
-            print!("{}", page::text(&report));
+            print!("{}", report_page::text(&report));
         } else {
-            println!("{}", page::line(&report));
+            println!("{}", report_page::line(&report));
         }
         // Not in the report, which is the same each time.
         eprintln!(
@@ -194,7 +194,7 @@
         write(path, &(lines.map_err(|e| e.to_string())?.join("\n") + "\n"))?;
     }
     if let Some(path) = &args.html {
-        write(path, &page::html(&reports)?)?;
+        write(path, &report_page::html(&reports)?)?;
     }
     let failed: Vec<&Report> = reports.iter().filter(|r| !r.held()).collect();
     println!("{} runs, {} held, {} failed", reports.len(), reports.len() - failed.len(), failed.len());
--- a/crates/ctl/tests/dev.rs
+++ b/crates/ctl/tests/dev.rs
@@ -1,8 +1,8 @@
 //! `frostctl dev` as a new user starts it, and what is left when it ends.
 
-use frostvale_load::schedule::{Aim, GRPC_PART, Schedule, brief_plans, shops};
-use frostvale_standin::load::{Shop, ask, call, rls_client};
-use frostvale_standin::resp::{Answer, Conn};
+use frostvale_load::schedule::{GRPC_FRACTION, LoadProfile, Schedule, example_plans, shops};
+use frostvale_standin::client::{Shop, rate_limit_call, rls_client, send_request};
+use frostvale_standin::resp::{Answer, RespConnection};
 use serde_json::Value;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -98,13 +98,14 @@
     }
     assert!(Path::new(ready["gatekeepers"][0]["control"].as_str().expect("a path")).exists());
     let shop = Shop { id: "00000000b4d65521".into(), plan: "distribuidor".into(), first: 0, spread: 1 };
-    let mut conn = Conn::connect(address(&ready["gatekeepers"][0]["resp"])).await.expect("connected");
+    let mut conn =
+        RespConnection::connect(address(&ready["gatekeepers"][0]["resp"])).await.expect("connected");
     for (class, key) in [("formula-read", None), ("mix-record", Some("5c0f6e1a2b3d4c59"))] {
-        let answer = ask(&mut conn, &shop, class, key, 1, Duration::from_secs(1)).await;
+        let answer = send_request(&mut conn, &shop, class, key, 1, Duration::from_secs(1)).await;
         assert!(matches!(answer, Ok(Answer::Served(_))), "{answer:?}");
     }
     let mut client = rls_client(address(&ready["agent"]["rls"])).expect("an address");
-    let answer = client.should_rate_limit(call(&shop, true, 1)).await.expect("an answer");
+    let answer = client.should_rate_limit(rate_limit_call(&shop, true, 1)).await.expect("an answer");
     assert_eq!(answer.get_ref().overall_code() as i32, 1, "OK");
     // The commands that it prints work as well.
     let run = |args: &[&str]| Command::new(env!("CARGO_BIN_EXE_frostctl")).args(args).output().expect("run");
@@ -173,8 +174,9 @@
             let first = n % 2;
             let id = format!("{:016x}", 0xb4d6_5521u64 + k as u64);
             let shop = Shop { id, plan: "distribuidor".into(), first, spread: 1 };
-            let mut conn = Conn::connect(address(&gatekeeper["resp"])).await.expect("connected");
-            let answer = ask(&mut conn, &shop, "formula-read", None, 1, Duration::from_secs(1)).await;
+            let mut conn = RespConnection::connect(address(&gatekeeper["resp"])).await.expect("connected");
+            let answer =
+                send_request(&mut conn, &shop, "formula-read", None, 1, Duration::from_secs(1)).await;
             assert!(matches!(answer, Ok(Answer::Served(_))), "{answer:?}");
         }
     }
@@ -307,8 +309,9 @@
         all.values().map(|n| n.as_u64().expect("a count")).sum()
     };
     // A seed asks the same at any speed, and each request has one final answer.
-    let shops = shops(100.0, Aim::Fits, &brief_plans(), 2, 2).expect("shops");
-    let due = Schedule::new(&shops, GRPC_PART, 7).expect("a schedule").take_while(|a| a.at <= 3.0).count();
+    let shops = shops(100.0, LoadProfile::WithinQuota, &example_plans(), 2, 2).expect("shops");
+    let due =
+        Schedule::new(&shops, GRPC_FRACTION, 7).expect("a schedule").take_while(|a| a.at <= 3.0).count();
     assert_eq!(count("RESP2") + count("gRPC"), due as u64, "{report}");
     assert!(report["served_part"].as_f64().is_some_and(|part| part > 0.6), "{report}");
     assert!(std::fs::read_to_string(html).expect("written").contains("<svg"));
--- a/crates/export/src/lib.rs
+++ b/crates/export/src/lib.rs
@@ -32,7 +32,7 @@
 
 /// Use of a shop on a day.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Row {
+pub struct UsageRow {
     /// The day's begin, UTC ms.
     pub day_ms: i64,
     /// 16 hex digits.
@@ -51,23 +51,23 @@
 
 /// Which part a file is, and whose.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Name {
+pub struct PartName {
     /// From 1.
     pub number: u64,
     /// Of its owner.
     pub epoch: u64,
 }
 
-impl Name {
+impl PartName {
     /// The file's name, with an ending.
     #[must_use]
-    pub fn file(&self, ending: &str) -> String {
+    pub fn file_name(&self, ending: &str) -> String {
         format!("use-{:08}-e{:016}.{ending}", self.number, self.epoch)
     }
 
     /// Reads a file's name with this ending.
     #[must_use]
-    pub fn of(file: &str, ending: &str) -> Option<Name> {
+    pub fn parse(file: &str, ending: &str) -> Option<PartName> {
         let rest = file.strip_prefix("use-")?.strip_suffix(ending)?.strip_suffix('.')?;
         let (number, epoch) = rest.split_once("-e")?;
         let int = |text: &str, len: usize| {
@@ -75,7 +75,7 @@
                 .then(|| text.parse().ok())
                 .flatten()
         };
-        Some(Name { number: int(number, 8)?, epoch: int(epoch, 16)? })
+        Some(PartName { number: int(number, 8)?, epoch: int(epoch, 16)? })
     }
 }
 
@@ -85,14 +85,14 @@
     /// The folder or a file.
     Io(PathBuf, io::Error),
     /// A file is not what it should be.
-    Bad(PathBuf, String),
+    Malformed(PathBuf, String),
 }
 
 impl fmt::Display for Error {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Error::Io(path, e) => write!(f, "{}: {e}", path.display()),
-            Error::Bad(path, what) => write!(f, "{}: {what}", path.display()),
+            Error::Malformed(path, what) => write!(f, "{}: {what}", path.display()),
         }
     }
 }
@@ -130,15 +130,15 @@
 ///
 /// # Errors
 /// When the library can't write it.
-pub fn parquet(name: Name, rows: &[Row]) -> Result<Vec<u8>, parquet::errors::ParquetError> {
+pub fn parquet(name: PartName, rows: &[UsageRow]) -> Result<Vec<u8>, parquet::errors::ParquetError> {
     let told = |key: &str, value: u64| KeyValue::new(key.to_string(), value.to_string());
     let head = vec![told("frostvale.part", name.number), told("frostvale.epoch", name.epoch)];
     let properties = WriterProperties::builder().set_key_value_metadata(Some(head)).build();
     let mut writer = SerializedFileWriter::new(Vec::new(), schema()?, Arc::new(properties))?;
     let mut group = writer.next_row_group()?;
-    let ints: [fn(&Row) -> i64; 4] =
+    let ints: [fn(&UsageRow) -> i64; 4] =
         [|r| r.day_ms, |r| r.passed_milli, |r| r.refused_milli, |r| r.served_milli];
-    let texts: [fn(&Row) -> &str; 3] = [|r| &r.shop, |r| &r.plan, |r| &r.class];
+    let texts: [fn(&UsageRow) -> &str; 3] = [|r| &r.shop, |r| &r.plan, |r| &r.class];
     let mut at = 0;
     while let Some(mut column) = group.next_column()? {
         match column.untyped() {
@@ -165,7 +165,7 @@
 ///
 /// # Errors
 /// When the library can't write it.
-pub fn csv(rows: &[Row]) -> Result<Vec<u8>, csv::Error> {
+pub fn csv(rows: &[UsageRow]) -> Result<Vec<u8>, csv::Error> {
     let mut writer = csv::Writer::from_writer(Vec::new());
     for row in rows {
         writer.serialize(row)?;
@@ -177,7 +177,7 @@
 ///
 /// # Errors
 /// With what is wrong.
-pub fn from_parquet(bytes: Vec<u8>) -> Result<(Name, Vec<Row>), String> {
+pub fn from_parquet(bytes: Vec<u8>) -> Result<(PartName, Vec<UsageRow>), String> {
     let said = |e: parquet::errors::ParquetError| e.to_string();
     let reader = SerializedFileReader::new(Bytes::from(bytes)).map_err(said)?;
     let meta = reader.metadata().file_metadata();
@@ -186,7 +186,7 @@
         words.iter().find(|k| k.key == key).and_then(|k| k.value.as_ref()?.parse().ok())
     };
     let (number, epoch) = (word("frostvale.part"), word("frostvale.epoch"));
-    let name = number.zip(epoch).map(|(number, epoch)| Name { number, epoch });
+    let name = number.zip(epoch).map(|(number, epoch)| PartName { number, epoch });
     let name = name.ok_or("its head names no part and epoch")?;
     let wanted = schema().map_err(said)?;
     if meta.schema() != &*wanted {
@@ -195,7 +195,7 @@
     let mut rows = Vec::new();
     for row in reader.get_row_iter(None).map_err(said)? {
         let row = row.map_err(said)?;
-        rows.push(Row {
+        rows.push(UsageRow {
             day_ms: row.get_long(0).map_err(said)?,
             shop: row.get_string(1).map_err(said)?.clone(),
             plan: row.get_string(2).map_err(said)?.clone(),
@@ -215,19 +215,19 @@
 /// When it can't be written, or may not any more.
 pub fn write(
     folder: &Path,
-    name: Name,
-    rows: &[Row],
+    name: PartName,
+    rows: &[UsageRow],
     with_csv: bool,
     may: impl Fn() -> Result<(), String>,
 ) -> Result<String, Error> {
-    let bad = |e: &dyn fmt::Display| Error::Bad(folder.join(name.file("parquet")), e.to_string());
+    let bad = |e: &dyn fmt::Display| Error::Malformed(folder.join(name.file_name("parquet")), e.to_string());
     let bytes = parquet(name, rows).map_err(|e| bad(&e))?;
     let sum = digest(&bytes);
     fs::create_dir_all(folder).map_err(|e| Error::Io(folder.to_path_buf(), e))?;
-    let mut files = vec![(name.file("parquet"), bytes)];
+    let mut files = vec![(name.file_name("parquet"), bytes)];
     if with_csv {
         // First, so that whoever sees the Parquet file finds the other.
-        files.insert(0, (name.file("csv"), csv(rows).map_err(|e| bad(&e))?));
+        files.insert(0, (name.file_name("csv"), csv(rows).map_err(|e| bad(&e))?));
     }
     for (file, bytes) in files {
         let path = folder.join(&file);
@@ -238,7 +238,7 @@
             out.sync_all()
         };
         put().map_err(|e| Error::Io(half.clone(), e))?;
-        may().map_err(|why| Error::Bad(path.clone(), why))?;
+        may().map_err(|why| Error::Malformed(path.clone(), why))?;
         fs::rename(&half, &path).map_err(|e| Error::Io(path.clone(), e))?;
     }
     fs::File::open(folder).and_then(|f| f.sync_all()).map_err(|e| Error::Io(folder.to_path_buf(), e))?;
@@ -249,20 +249,20 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Part {
     /// Which, and whose.
-    pub name: Name,
+    pub name: PartName,
     /// The digest of its file.
     pub digest: String,
     /// Its rows.
-    pub rows: Vec<Row>,
+    pub rows: Vec<UsageRow>,
 }
 
 /// What a folder holds.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Read {
+pub struct ExportContents {
     /// The parts that count, by number, up to the first that is missing.
     pub parts: Vec<Part>,
     /// Files of lower epochs: passed over.
-    pub overtaken: Vec<String>,
+    pub superseded: Vec<String>,
     /// The first number that is missing while higher ones are there.
     pub missing: Option<u64>,
 }
@@ -271,32 +271,34 @@
 ///
 /// # Errors
 /// When the folder can't be read, or a file that counts is not whole.
-pub fn read(folder: &Path) -> Result<Read, Error> {
-    let mut newest: BTreeMap<u64, Name> = BTreeMap::new();
-    let mut read = Read::default();
+pub fn read(folder: &Path) -> Result<ExportContents, Error> {
+    let mut newest: BTreeMap<u64, PartName> = BTreeMap::new();
+    let mut read = ExportContents::default();
     let all = fs::read_dir(folder).map_err(|e| Error::Io(folder.to_path_buf(), e))?;
     for entry in all {
         let entry = entry.map_err(|e| Error::Io(folder.to_path_buf(), e))?;
-        let Some(name) = entry.file_name().to_str().and_then(|f| Name::of(f, "parquet")) else { continue };
+        let Some(name) = entry.file_name().to_str().and_then(|f| PartName::parse(f, "parquet")) else {
+            continue;
+        };
         let known = newest.entry(name.number).or_insert(name);
         if *known != name {
             let (old, new) = if known.epoch < name.epoch { (*known, name) } else { (name, *known) };
             *known = new;
-            read.overtaken.push(old.file("parquet"));
+            read.superseded.push(old.file_name("parquet"));
         }
     }
-    read.overtaken.sort();
+    read.superseded.sort();
     for (at, name) in (1..).zip(newest.values()) {
         if name.number != at {
             read.missing = Some(at);
             break;
         }
-        let path = folder.join(name.file("parquet"));
+        let path = folder.join(name.file_name("parquet"));
         let bytes = fs::read(&path).map_err(|e| Error::Io(path.clone(), e))?;
         let digest = digest(&bytes);
-        let (told, rows) = from_parquet(bytes).map_err(|what| Error::Bad(path.clone(), what))?;
+        let (told, rows) = from_parquet(bytes).map_err(|what| Error::Malformed(path.clone(), what))?;
         if told != *name {
-            return Err(Error::Bad(
+            return Err(Error::Malformed(
                 path,
                 format!("its head says part {} of epoch {}", told.number, told.epoch),
             ));
@@ -310,8 +312,8 @@
 mod tests {
     use super::*;
 
-    fn row(shop: u64, units: i64) -> Row {
-        Row {
+    fn row(shop: u64, units: i64) -> UsageRow {
+        UsageRow {
             day_ms: 86_400_000,
             shop: format!("{shop:016x}"),
             plan: "tienda".into(),
@@ -326,7 +328,7 @@
     fn of_each_number_the_highest_epoch_counts() {
         let folder = tempfile::tempdir().expect("a folder");
         let put = |number, epoch, units| {
-            let name = Name { number, epoch };
+            let name = PartName { number, epoch };
             write(folder.path(), name, &[row(1, units)], true, || Ok(())).expect("written")
         };
         put(1, 7, 10);
@@ -341,9 +343,9 @@
             read.parts.iter().map(|p| (p.name.number, p.name.epoch, p.rows[0].passed_milli)).collect();
         assert_eq!(parts, [(1, 7, 10), (2, 9, 20)], "4 waits for 3");
         assert_eq!((read.missing, read.parts[1].digest.as_str()), (Some(3), sum.as_str()));
-        assert_eq!(read.overtaken, [Name { number: 2, epoch: 7 }.file("parquet")]);
-        let text =
-            fs::read_to_string(folder.path().join(Name { number: 2, epoch: 9 }.file("csv"))).expect("read");
+        assert_eq!(read.superseded, [PartName { number: 2, epoch: 7 }.file_name("parquet")]);
+        let text = fs::read_to_string(folder.path().join(PartName { number: 2, epoch: 9 }.file_name("csv")))
+            .expect("read");
         assert_eq!(text.lines().count(), 2);
         assert!(text.starts_with("day_ms,shop,plan,class,passed_milli,refused_milli,served_milli\n"));
     }
@@ -351,25 +353,26 @@
     #[test]
     fn an_owner_that_may_no_longer_leaves_no_file_that_counts() {
         let folder = tempfile::tempdir().expect("a folder");
-        let name = Name { number: 1, epoch: 1 };
+        let name = PartName { number: 1, epoch: 1 };
         let refused = write(folder.path(), name, &[row(1, 1)], true, || Err("the lease ran out".into()));
         assert!(refused.is_err_and(|e| e.to_string().contains("the lease ran out")));
-        assert_eq!(read(folder.path()).expect("read"), Read::default());
+        assert_eq!(read(folder.path()).expect("read"), ExportContents::default());
     }
 
     #[test]
     fn a_file_that_is_not_whole_is_named() {
         let folder = tempfile::tempdir().expect("a folder");
-        let name = Name { number: 1, epoch: 1 };
+        let name = PartName { number: 1, epoch: 1 };
         write(folder.path(), name, &[row(1, 1)], false, || Ok(())).expect("written");
-        let path = folder.path().join(name.file("parquet"));
+        let path = folder.path().join(name.file_name("parquet"));
         let bytes = fs::read(&path).expect("read");
         for torn in [&bytes[..bytes.len() / 2], b"", b"PAR1 and nothing else PAR1"] {
             fs::write(&path, torn).expect("written");
             let said = read(folder.path()).expect_err("torn").to_string();
             assert!(said.contains("use-00000001"), "{said}");
         }
-        fs::write(folder.path().join(Name { number: 1, epoch: 2 }.file("parquet")), &bytes).expect("written");
+        fs::write(folder.path().join(PartName { number: 1, epoch: 2 }.file_name("parquet")), &bytes)
+            .expect("written");
         let said = read(folder.path()).expect_err("renamed").to_string();
         assert!(said.contains("its head says part 1 of epoch 1"), "{said}");
     }
@@ -377,11 +380,11 @@
     proptest::proptest! {
         #[test]
         fn what_is_written_is_read(units in proptest::collection::vec(0_i64..1 << 50, 0..50), number in 1_u64..1 << 20) {
-            let rows: Vec<Row> = units.iter().zip(0..).map(|(u, k)| row(k, *u)).collect();
-            let name = Name { number, epoch: number * 3 };
+            let rows: Vec<UsageRow> = units.iter().zip(0..).map(|(u, k)| row(k, *u)).collect();
+            let name = PartName { number, epoch: number * 3 };
             let read = from_parquet(parquet(name, &rows).expect("written"));
             proptest::prop_assert_eq!(read, Ok((name, rows)));
-            proptest::prop_assert_eq!(Name::of(&name.file("csv"), "csv"), Some(name));
+            proptest::prop_assert_eq!(PartName::parse(&name.file_name("csv"), "csv"), Some(name));
         }
     }
 }
--- a/crates/growth/src/day.rs
+++ b/crates/growth/src/day.rs
@@ -5,13 +5,13 @@
 
 use crate::table::{Day, Figures, FleetSize};
 use crate::usage::{self, Usage};
-use frostvale_load::engine::{Play, Shared, lock, play};
-use frostvale_load::schedule::{Aim, brief_plans, shops};
-use frostvale_load::tally::Tally;
+use frostvale_load::engine::{LoadRun, SharedStats, lock_stats, run_load};
+use frostvale_load::schedule::{LoadProfile, example_plans, shops};
+use frostvale_load::stats::LoadStats;
 use frostvale_standin::clock::unix_ms;
 use frostvale_standin::discovery::{Discovery, Target};
-use frostvale_standin::formula::Options;
-use frostvale_standin::town::{Plan, Town};
+use frostvale_standin::formula_server::ServerOptions;
+use frostvale_standin::local_cluster::{ClusterOptions, LocalCluster};
 use rand::rngs::StdRng;
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
@@ -50,10 +50,10 @@
 /// With what did not start, or which gatekeeper ended.
 pub async fn play_day(size: FleetSize, plan: DayPlan) -> Result<Day, String> {
     let cores = (CORES_EACH * size.gatekeepers / size.servers).max(1);
-    let formula = Options { cores, ids: false, ..Options::default() };
+    let formula = ServerOptions { cores, ids: false, ..ServerOptions::default() };
     let (gatekeepers, servers) = (size.gatekeepers, size.servers);
-    let town = Plan { gatekeepers, servers, formula, agent: false, ..Plan::default() };
-    let mut town = Town::start(town).await?;
+    let town = ClusterOptions { gatekeepers, servers, formula, agent: false, ..ClusterOptions::default() };
+    let mut town = LocalCluster::start(town).await?;
     let list_bytes_before = town.discovery.list_bytes();
     let pids: Vec<u32> = town.gatekeepers.iter().filter_map(|g| g.process.pid()).collect();
     let stop = Arc::new(AtomicBool::new(false));
@@ -81,20 +81,21 @@
         descriptors: each(descriptors as f64),
         connections: each(connections as f64),
         list_kb: each(list_bytes as f64 / 1024.0),
-        served: lock(&tally).served_part(),
+        served: lock_stats(&tally).served_fraction(),
     };
     town.stop().await;
     Ok(Day { size, figures })
 }
 
-async fn play_load(town: &Town, plan: DayPlan) -> Result<Shared, String> {
-    let plans = brief_plans();
+async fn play_load(town: &LocalCluster, plan: DayPlan) -> Result<SharedStats, String> {
+    let plans = example_plans();
     let count = u32::try_from(town.gatekeepers.len()).unwrap_or(u32::MAX);
-    let shops = shops(plan.rate_each * f64::from(count), Aim::Fits, &plans, count, SPREAD.min(count))?;
-    let tally: Shared = Arc::new(Mutex::new(Tally::new(plans.len())));
+    let shops =
+        shops(plan.rate_each * f64::from(count), LoadProfile::WithinQuota, &plans, count, SPREAD.min(count))?;
+    let tally: SharedStats = Arc::new(Mutex::new(LoadStats::new(plans.len())));
     let gatekeepers = town.gatekeepers.iter().map(|g| g.resp).collect();
-    let load = Play { shops, plans, gatekeepers, rls: None, grpc: 0.0, seed: plan.seed };
-    play(load, Duration::from_secs(plan.seconds.into()), tally.clone()).await?;
+    let load = LoadRun { shops, plans, gatekeepers, rls: None, grpc: 0.0, seed: plan.seed };
+    run_load(load, Duration::from_secs(plan.seconds.into()), tally.clone()).await?;
     Ok(tally)
 }
 
--- a/crates/link/src/agent.rs
+++ b/crates/link/src/agent.rs
@@ -1,11 +1,11 @@
 //! The agent's end: it connects to a gatekeeper's socket, and connects again whenever that ends.
 //!
 //! [`connect`] gives a [`Link`] to ask through and a future that does the work. Checks go out in batches, as many
-//! as wait together. What a check that got no answer may have done is told apart: [`Lost::Unsent`] never reached the
-//! gatekeeper and may be asked elsewhere; [`Lost::InDoubt`] may have been charged, and may not.
+//! as wait together. What a check that got no answer may have done is told apart: [`CheckError::Unsent`] never reached the
+//! gatekeeper and may be asked elsewhere; [`CheckError::InDoubt`] may have been charged, and may not.
 
 use crate::VERSION;
-use crate::codec::{self, Frames};
+use crate::codec::{self, FrameReader};
 use crate::proto::{
     Acts, Check, Decision, Epochs, FromNode, Hello, Level, OutsideAsk, OutsideState, OutsideVerdict, Plans,
     PlansTaken, Refused, Seen, Settle, Shut, ToNode, UseBatch, UseKept, Welcome, ZonesGuide, ZonesSeen,
@@ -35,7 +35,7 @@
 
 /// What the link is told.
 #[derive(Debug, Clone)]
-pub struct Options {
+pub struct LinkOptions {
     /// The gatekeeper's socket.
     pub socket: PathBuf,
     /// Who asks, for the gatekeeper's log.
@@ -49,12 +49,12 @@
     /// Whether it takes what the gatekeeper acts on.
     pub audit: bool,
     /// Checks in hand at once.
-    pub in_hand: usize,
+    pub max_in_flight: usize,
 }
 
 /// Why a check has no decision.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Lost {
+pub enum CheckError {
     /// It never reached the gatekeeper: nothing is charged, another may be asked.
     Unsent,
     /// The gatekeeper may have had it, and may have charged it.
@@ -65,35 +65,35 @@
 
 /// What comes without being asked for.
 #[derive(Debug)]
-pub enum News {
+pub enum LinkEvent {
     /// Linked.
-    Up(Arc<Welcome>),
+    Connected(Arc<Welcome>),
     /// The link has ended, with why.
-    Down(String),
+    Disconnected(String),
     /// A shop's set as the gatekeeper saw it.
-    Seen(Seen),
-    /// An outside service is to be asked; the verdict goes to [`Link::verdict`].
-    Outside(OutsideAsk),
+    ShopSet(Seen),
+    /// An outside service is to be asked; the verdict goes to [`Link::send_verdict`].
+    OutsideRequest(OutsideAsk),
     /// The breaker before the outside service.
-    State(OutsideState),
-    /// Use, to be kept and then acknowledged with [`Link::use_kept`].
-    Use(UseBatch),
+    BreakerState(OutsideState),
+    /// Use, to be kept and then acknowledged with [`Link::acknowledge_usage`].
+    UsageBatch(UseBatch),
     /// What stores hold.
-    Levels(Vec<Level>),
+    TokenLevels(Vec<Level>),
     /// What came of plans.
-    Plans(PlansTaken),
+    PlansTaken(PlansTaken),
     /// A decision on behalf of the fleet that was not taken.
-    Refused(Refused),
+    FenceRefused(Refused),
     /// What was seen of zones.
-    Zones(ZonesSeen),
+    ZoneObservation(ZonesSeen),
     /// What the gatekeeper acts on.
-    Acts(Acts),
-    /// After [`Link::bye`]: use until then is in the batches up to this number.
-    Reported(u64),
+    AppliedVersions(Acts),
+    /// After [`Link::announce_stop`]: use until then is in the batches up to this number.
+    UsageReported(u64),
 }
 
 enum Order {
-    Check(Check, oneshot::Sender<Result<Decision, Lost>>),
+    Check(Check, oneshot::Sender<Result<Decision, CheckError>>),
     Settle(Settle),
     Verdict(OutsideVerdict),
     UseKept(UseKept),
@@ -142,7 +142,7 @@
 
     /// Whether it is linked, does not stop and is not silent over what it has in hand.
     #[must_use]
-    pub fn usable(&self) -> bool {
+    pub fn is_usable(&self) -> bool {
         let since = self.shared.waits_since.load(Ordering::Relaxed);
         let silent = since > 0 && self.shared.now().saturating_sub(since) > SILENT.as_millis() as u64;
         !silent && !self.shared.stopping.load(Ordering::Relaxed) && self.welcome().is_some()
@@ -150,7 +150,7 @@
 
     /// Checks in hand.
     #[must_use]
-    pub fn in_hand(&self) -> usize {
+    pub fn in_flight(&self) -> usize {
         self.shared.in_hand.load(Ordering::Relaxed)
     }
 
@@ -158,24 +158,24 @@
     /// must take it that the check was charged.
     ///
     /// # Errors
-    /// When there is no decision; see [`Lost`].
-    pub async fn check(&self, mut check: Check) -> Result<(u64, Decision), Lost> {
+    /// When there is no decision; see [`CheckError`].
+    pub async fn check(&self, mut check: Check) -> Result<(u64, Decision), CheckError> {
         if self.welcome().is_none() {
-            return Err(Lost::Unsent);
+            return Err(CheckError::Unsent);
         }
         let shared = &self.shared;
         if shared.in_hand.fetch_add(1, Ordering::Relaxed) >= shared.most {
             shared.in_hand.fetch_sub(1, Ordering::Relaxed);
-            return Err(Lost::Busy);
+            return Err(CheckError::Busy);
         }
         let id = shared.next.fetch_add(1, Ordering::Relaxed);
         check.id = id;
         let (tell, told) = oneshot::channel();
         if self.orders.try_send(Order::Check(check, tell)).is_err() {
             shared.in_hand.fetch_sub(1, Ordering::Relaxed);
-            return Err(Lost::Busy);
+            return Err(CheckError::Busy);
         }
-        told.await.unwrap_or(Err(Lost::InDoubt)).map(|decision| (id, decision))
+        told.await.unwrap_or(Err(CheckError::InDoubt)).map(|decision| (id, decision))
     }
 
     /// Settles a held grant: `keep` says whether it is used. One that is never settled counts as used.
@@ -184,64 +184,67 @@
     }
 
     /// Batches of use are kept durably. What is not acknowledged is sent again with the next connection.
-    pub fn use_kept(&self, started_ms: u64, seqs: Vec<u64>) {
+    pub fn acknowledge_usage(&self, started_ms: u64, seqs: Vec<u64>) {
         let _ = self.orders.try_send(Order::UseKept(UseKept { started_ms, seqs }));
     }
 
     /// Sends the plans' figures.
-    pub fn plans(&self, plans: Plans) {
+    pub fn send_plans(&self, plans: Plans) {
         let _ = self.orders.try_send(Order::Plans(plans));
     }
 
     /// Sends what the council says of duties' epochs.
-    pub fn epochs(&self, epochs: Epochs) {
+    pub fn send_epochs(&self, epochs: Epochs) {
         let _ = self.orders.try_send(Order::Epochs(epochs));
     }
 
     /// Sends what was decided on zones, or that it still stands.
-    pub fn zones(&self, guide: ZonesGuide) {
+    pub fn send_zone_decision(&self, guide: ZonesGuide) {
         let _ = self.orders.try_send(Order::Zones(guide));
     }
 
     /// Sends who is shut out, or that it still stands.
-    pub fn shut(&self, shut: Shut) {
+    pub fn send_fenced_off(&self, shut: Shut) {
         let _ = self.orders.try_send(Order::Shut(shut));
     }
 
     /// Sends what stores held in a former life.
-    pub fn levels(&self, levels: &[Level]) {
+    pub fn send_levels(&self, levels: &[Level]) {
         for part in levels.chunks(LEVELS) {
             let _ = self.orders.try_send(Order::Levels(part.to_vec()));
         }
     }
 
     /// Says that this agent stops. The gatekeeper reports its use so far; how far that goes comes as
-    /// [`News::Reported`].
-    pub fn bye(&self) {
+    /// [`LinkEvent::UsageReported`].
+    pub fn announce_stop(&self) {
         let _ = self.orders.try_send(Order::Bye);
     }
 
     /// Whether the gatekeeper has said that it stops.
     #[must_use]
-    pub fn stopping(&self) -> bool {
+    pub fn is_stopping(&self) -> bool {
         self.shared.stopping.load(Ordering::Relaxed)
     }
 
     /// What an outside service said.
-    pub fn verdict(&self, verdict: OutsideVerdict) {
+    pub fn send_verdict(&self, verdict: OutsideVerdict) {
         let _ = self.orders.try_send(Order::Verdict(verdict));
     }
 }
 
 /// A link and the future that keeps it up, which ends when the link is dropped. News that nobody takes are dropped,
 /// but for questions to an outside service, which then count as failed.
-pub fn connect(options: Options, news: mpsc::Sender<News>) -> (Link, impl Future<Output = ()> + Send) {
-    let (orders, taken) = mpsc::channel(options.in_hand * 2 + 64);
+pub fn connect(
+    options: LinkOptions,
+    news: mpsc::Sender<LinkEvent>,
+) -> (Link, impl Future<Output = ()> + Send) {
+    let (orders, taken) = mpsc::channel(options.max_in_flight * 2 + 64);
     let shared = Arc::new(Shared {
         welcome: RwLock::default(),
         stopping: AtomicBool::new(false),
         in_hand: AtomicUsize::new(0),
-        most: options.in_hand,
+        most: options.max_in_flight,
         begun: Instant::now(),
         waits_since: AtomicU64::new(0),
         next: AtomicU64::new(1),
@@ -251,10 +254,10 @@
 }
 
 async fn keep_up(
-    options: Options,
+    options: LinkOptions,
     mut orders: mpsc::Receiver<Order>,
     shared: Arc<Shared>,
-    news: mpsc::Sender<News>,
+    news: mpsc::Sender<LinkEvent>,
 ) {
     let mut backoff = BACKOFF_LEAST;
     let mut last = String::new();
@@ -272,7 +275,7 @@
         }
         if linked || why != last {
             last.clone_from(&why);
-            let _ = news.try_send(News::Down(why));
+            let _ = news.try_send(LinkEvent::Disconnected(why));
         }
         // Until it is up, whoever asks is told at once.
         let pause = sleep(backoff);
@@ -293,15 +296,15 @@
 fn turn_away(shared: &Shared, order: Order) {
     if let Order::Check(_, tell) = order {
         shared.in_hand.fetch_sub(1, Ordering::Relaxed);
-        let _ = tell.send(Err(Lost::Unsent));
+        let _ = tell.send(Err(CheckError::Unsent));
     }
 }
 
 /// One connection.
 struct Session<'a> {
     shared: &'a Shared,
-    news: &'a mpsc::Sender<News>,
-    waiting: HashMap<u64, oneshot::Sender<Result<Decision, Lost>>>,
+    news: &'a mpsc::Sender<LinkEvent>,
+    waiting: HashMap<u64, oneshot::Sender<Result<Decision, CheckError>>>,
     /// For frames whose last byte is not taken yet: how many bytes are still to go, and their checks.
     sent: VecDeque<(usize, Vec<u64>)>,
 }
@@ -310,18 +313,18 @@
     /// Runs until the connection ends; the error says why, and whether it was ever up. Ok: nobody asks any more.
     async fn run(
         &mut self,
-        options: &Options,
+        options: &LinkOptions,
         orders: &mut mpsc::Receiver<Order>,
     ) -> Result<(), (String, bool)> {
         let stream = UnixStream::connect(&options.socket)
             .await
             .map_err(|e| (format!("cannot connect to {}: {e}", options.socket.display()), false))?;
         let mut bytes = Vec::new();
-        let Options { outside, record, zones, audit, .. } = *options;
+        let LinkOptions { outside, record, zones, audit, .. } = *options;
         let hello = Hello { version: VERSION, peer: options.peer.clone(), outside, record, zones, audit };
-        codec::put(&mut bytes, &ToNode { hello: Some(hello), ..ToNode::default() })
+        codec::append_frame(&mut bytes, &ToNode { hello: Some(hello), ..ToNode::default() })
             .map_err(|e| (e.to_string(), false))?;
-        let mut frames = Frames::default();
+        let mut frames = FrameReader::default();
         let first = timeout(WELCOME, welcome(&stream, &mut bytes, &mut frames)).await;
         let first = first.map_err(|_| ("it gave no welcome in time".to_string(), false))?;
         let mut first = first.map_err(|e| (e, false))?;
@@ -329,7 +332,7 @@
             return Err((format!("it gave no welcome: {}", printable(&first.bye)), false));
         };
         self.shared.set_welcome(Some(welcome.clone()));
-        let _ = self.news.try_send(News::Up(welcome));
+        let _ = self.news.try_send(LinkEvent::Connected(welcome));
         self.take(first);
         self.talk(&stream, bytes, frames, orders).await.map_err(|why| (why, true))
     }
@@ -338,12 +341,12 @@
         &mut self,
         stream: &UnixStream,
         mut bytes: Vec<u8>,
-        mut frames: Frames,
+        mut frames: FrameReader,
         orders: &mut mpsc::Receiver<Order>,
     ) -> Result<(), String> {
         let mut batch = Vec::with_capacity(BATCH);
         loop {
-            while let Some(frame) = frames.take::<FromNode>().map_err(|e| e.to_string())? {
+            while let Some(frame) = frames.next_message::<FromNode>().map_err(|e| e.to_string())? {
                 self.take(frame);
             }
             if !bytes.is_empty() {
@@ -365,7 +368,7 @@
                 }
                 ready = stream.readable() => {
                     ready.map_err(|e| e.to_string())?;
-                    match stream.try_read_buf(frames.room()) {
+                    match stream.try_read_buf(frames.read_buffer()) {
                         Ok(0) => return Err("the gatekeeper ended it".into()),
                         Ok(_) => {}
                         Err(e) if e.kind() == ErrorKind::WouldBlock => {}
@@ -406,7 +409,7 @@
                 Order::Levels(levels) => {
                     let alone = ToNode { levels, ..ToNode::default() };
                     let before = bytes.len();
-                    codec::put(bytes, &alone).map_err(|e| e.to_string())?;
+                    codec::append_frame(bytes, &alone).map_err(|e| e.to_string())?;
                     self.sent.push_back((bytes.len() - before, Vec::new()));
                 }
             }
@@ -418,7 +421,7 @@
             self.shared.waits_since.store(self.shared.now(), Ordering::Relaxed);
         }
         let before = bytes.len();
-        codec::put(bytes, &frame).map_err(|e| e.to_string())?;
+        codec::append_frame(bytes, &frame).map_err(|e| e.to_string())?;
         self.sent.push_back((bytes.len() - before, frame.checks.iter().map(|c| c.id).collect()));
         Ok(())
     }
@@ -450,36 +453,36 @@
             self.shared.stopping.store(true, Ordering::Relaxed);
         }
         for seen in frame.seen {
-            let _ = self.news.try_send(News::Seen(seen));
+            let _ = self.news.try_send(LinkEvent::ShopSet(seen));
         }
         for ask in frame.outside {
             // Unheard, it is late at the gatekeeper: that counts as failed there.
-            let _ = self.news.try_send(News::Outside(ask));
+            let _ = self.news.try_send(LinkEvent::OutsideRequest(ask));
         }
         for state in frame.outside_states {
-            let _ = self.news.try_send(News::State(state));
+            let _ = self.news.try_send(LinkEvent::BreakerState(state));
         }
         for batch in frame.r#use {
             // Untaken it is not acknowledged, and comes again.
-            let _ = self.news.try_send(News::Use(batch));
+            let _ = self.news.try_send(LinkEvent::UsageBatch(batch));
         }
         if !frame.levels.is_empty() {
-            let _ = self.news.try_send(News::Levels(frame.levels));
+            let _ = self.news.try_send(LinkEvent::TokenLevels(frame.levels));
         }
         if let Some(taken) = frame.plans_taken {
-            let _ = self.news.try_send(News::Plans(taken));
+            let _ = self.news.try_send(LinkEvent::PlansTaken(taken));
         }
         for refused in frame.refused {
-            let _ = self.news.try_send(News::Refused(refused));
+            let _ = self.news.try_send(LinkEvent::FenceRefused(refused));
         }
         if let Some(seen) = frame.zones {
-            let _ = self.news.try_send(News::Zones(seen));
+            let _ = self.news.try_send(LinkEvent::ZoneObservation(seen));
         }
         if let Some(acts) = frame.acts {
-            let _ = self.news.try_send(News::Acts(acts));
+            let _ = self.news.try_send(LinkEvent::AppliedVersions(acts));
         }
         if let Some(number) = frame.reported {
-            let _ = self.news.try_send(News::Reported(number));
+            let _ = self.news.try_send(LinkEvent::UsageReported(number));
         }
     }
 
@@ -489,12 +492,12 @@
         for id in unsent {
             if let Some(tell) = self.waiting.remove(&id) {
                 self.shared.in_hand.fetch_sub(1, Ordering::Relaxed);
-                let _ = tell.send(Err(Lost::Unsent));
+                let _ = tell.send(Err(CheckError::Unsent));
             }
         }
         for (_, tell) in self.waiting.drain() {
             self.shared.in_hand.fetch_sub(1, Ordering::Relaxed);
-            let _ = tell.send(Err(Lost::InDoubt));
+            let _ = tell.send(Err(CheckError::InDoubt));
         }
         while let Ok(order) = orders.try_recv() {
             turn_away(self.shared, order);
@@ -503,7 +506,11 @@
 }
 
 /// Sends the hello and waits for the first frame.
-async fn welcome(stream: &UnixStream, bytes: &mut Vec<u8>, frames: &mut Frames) -> Result<FromNode, String> {
+async fn welcome(
+    stream: &UnixStream,
+    bytes: &mut Vec<u8>,
+    frames: &mut FrameReader,
+) -> Result<FromNode, String> {
     loop {
         if !bytes.is_empty() {
             stream.writable().await.map_err(|e| e.to_string())?;
@@ -514,11 +521,11 @@
             }
             continue;
         }
-        if let Some(frame) = frames.take::<FromNode>().map_err(|e| e.to_string())? {
+        if let Some(frame) = frames.next_message::<FromNode>().map_err(|e| e.to_string())? {
             return Ok(frame);
         }
         stream.readable().await.map_err(|e| e.to_string())?;
-        match stream.try_read_buf(frames.room()) {
+        match stream.try_read_buf(frames.read_buffer()) {
             Ok(0) => return Err("the gatekeeper ended it before its welcome".into()),
             Ok(_) => {}
             Err(e) if e.kind() == ErrorKind::WouldBlock => {}
--- a/crates/link/src/codec.rs
+++ b/crates/link/src/codec.rs
@@ -4,7 +4,7 @@
 use std::fmt;
 
 /// The longest message, in bytes. What announces more is no frame, and nothing is kept for it.
-pub const FRAME_MOST: usize = 256 * 1024;
+pub const MAX_FRAME_BYTES: usize = 256 * 1024;
 const HEAD: usize = 4;
 
 /// Why bytes are no frame.
@@ -19,7 +19,7 @@
 impl fmt::Display for FrameError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            FrameError::Length(n) => write!(f, "a frame of {n} bytes; 1 to {FRAME_MOST} are taken"),
+            FrameError::Length(n) => write!(f, "a frame of {n} bytes; 1 to {MAX_FRAME_BYTES} are taken"),
             FrameError::Message(what) => write!(f, "a frame can't be read: {what}"),
         }
     }
@@ -30,10 +30,10 @@
 /// Appends a message as a frame.
 ///
 /// # Errors
-/// When the message is empty or longer than [`FRAME_MOST`]; then nothing is appended.
-pub fn put<M: Message>(out: &mut Vec<u8>, message: &M) -> Result<(), FrameError> {
+/// When the message is empty or longer than [`MAX_FRAME_BYTES`]; then nothing is appended.
+pub fn append_frame<M: Message>(out: &mut Vec<u8>, message: &M) -> Result<(), FrameError> {
     let len = message.encoded_len();
-    if !(1..=FRAME_MOST).contains(&len) {
+    if !(1..=MAX_FRAME_BYTES).contains(&len) {
         return Err(FrameError::Length(len));
     }
     out.reserve(HEAD + len);
@@ -43,19 +43,19 @@
 
 /// Takes bytes as they come and gives whole messages.
 #[derive(Default)]
-pub struct Frames {
+pub struct FrameReader {
     bytes: Vec<u8>,
     at: usize,
 }
 
-impl Frames {
+impl FrameReader {
     /// Room to read into; what is read is appended.
-    pub fn room(&mut self) -> &mut Vec<u8> {
+    pub fn read_buffer(&mut self) -> &mut Vec<u8> {
         if self.at > 0 {
             self.bytes.drain(..self.at);
             self.at = 0;
         }
-        if self.bytes.is_empty() && self.bytes.capacity() > FRAME_MOST / 4 {
+        if self.bytes.is_empty() && self.bytes.capacity() > MAX_FRAME_BYTES / 4 {
             self.bytes = Vec::new();
         }
         // Never more at a time than a frame wants, so that a flood of frames is not read ahead of its turn.
@@ -65,7 +65,7 @@
 
     /// Whether a frame is half here.
     #[must_use]
-    pub fn half(&self) -> bool {
+    pub fn has_partial_frame(&self) -> bool {
         self.at < self.bytes.len()
     }
 
@@ -73,11 +73,11 @@
     ///
     /// # Errors
     /// When the bytes are no frame: nothing that follows can be read either.
-    pub fn take<M: Message + Default>(&mut self) -> Result<Option<M>, FrameError> {
+    pub fn next_message<M: Message + Default>(&mut self) -> Result<Option<M>, FrameError> {
         let rest = &self.bytes[self.at..];
         let Some(head) = rest.first_chunk::<HEAD>() else { return Ok(None) };
         let len = u32::from_be_bytes(*head) as usize;
-        if !(1..=FRAME_MOST).contains(&len) {
+        if !(1..=MAX_FRAME_BYTES).contains(&len) {
             return Err(FrameError::Length(len));
         }
         let Some(body) = rest.get(HEAD..HEAD + len) else { return Ok(None) };
@@ -106,14 +106,14 @@
         ) {
             let mut bytes = Vec::new();
             for ids in &batches {
-                put(&mut bytes, &message(ids)).expect("short");
+                append_frame(&mut bytes, &message(ids)).expect("short");
             }
-            let (mut frames, mut out, mut at) = (Frames::default(), Vec::new(), 0);
+            let (mut frames, mut out, mut at) = (FrameReader::default(), Vec::new(), 0);
             for cut in cuts.iter().cycle() {
                 let end = (at + cut).min(bytes.len());
-                frames.room().extend_from_slice(&bytes[at..end]);
+                frames.read_buffer().extend_from_slice(&bytes[at..end]);
                 at = end;
-                while let Some(m) = frames.take::<ToNode>().expect("sound") {
+                while let Some(m) = frames.next_message::<ToNode>().expect("sound") {
                     out.push(m);
                 }
                 if at == bytes.len() {
@@ -121,24 +121,24 @@
                 }
             }
             prop_assert_eq!(out, batches.iter().map(|ids| message(ids)).collect::<Vec<_>>());
-            prop_assert!(!frames.half());
+            prop_assert!(!frames.has_partial_frame());
         }
 
         #[test]
         fn rubbish_never_panics_and_keeps_no_more_than_it_was_given(noise in prop::collection::vec(any::<u8>(), 0..4000)) {
-            let mut frames = Frames::default();
-            frames.room().extend_from_slice(&noise);
-            while let Ok(Some(_)) = frames.take::<ToNode>() {}
+            let mut frames = FrameReader::default();
+            frames.read_buffer().extend_from_slice(&noise);
+            while let Ok(Some(_)) = frames.next_message::<ToNode>() {}
         }
     }
 
     #[test]
     fn four_gigabytes_announced_are_turned_away_at_the_head() {
-        let mut frames = Frames::default();
-        frames.room().extend_from_slice(&u32::MAX.to_be_bytes());
-        assert_eq!(frames.take::<ToNode>(), Err(FrameError::Length(u32::MAX as usize)));
-        let mut empty = Frames::default();
-        empty.room().extend_from_slice(&[0; 4]);
-        assert_eq!(empty.take::<ToNode>(), Err(FrameError::Length(0)));
+        let mut frames = FrameReader::default();
+        frames.read_buffer().extend_from_slice(&u32::MAX.to_be_bytes());
+        assert_eq!(frames.next_message::<ToNode>(), Err(FrameError::Length(u32::MAX as usize)));
+        let mut empty = FrameReader::default();
+        empty.read_buffer().extend_from_slice(&[0; 4]);
+        assert_eq!(empty.next_message::<ToNode>(), Err(FrameError::Length(0)));
     }
 }
--- a/crates/link/src/left.rs
+++ b/crates/link/src/final_report.rs
@@ -22,9 +22,9 @@
 /// How such a file begins.
 pub const MAGIC: &[u8; 8] = b"FVLEFT1\n";
 /// Words of so many lives wait at one socket at the most; a further one is not left.
-pub const FILES_MOST: usize = 64;
+pub const MAX_FILES: usize = 64;
 /// The longest record and the longest file that are read, in bytes.
-const RECORD_MOST: usize = crate::codec::FRAME_MOST;
+const RECORD_MOST: usize = crate::codec::MAX_FRAME_BYTES;
 const FILE_MOST: u64 = 128 << 20;
 /// Levels in one record.
 const LEVELS: usize = 4000;
@@ -33,7 +33,7 @@
 
 /// A last word as it was read.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Left {
+pub struct FinalReport {
     /// Whose it is, and of which life.
     pub welcome: Welcome,
     /// Use that no agent had kept.
@@ -41,7 +41,7 @@
     /// What stores held.
     pub levels: Vec<Level>,
     /// Whether it is there to its end. If not, what followed is not known.
-    pub whole: bool,
+    pub is_complete: bool,
 }
 
 fn prefix(socket: &Path) -> OsString {
@@ -52,7 +52,7 @@
 
 /// Where the word of a life goes.
 #[must_use]
-pub fn place(socket: &Path, started_ms: u64) -> PathBuf {
+pub fn path_of(socket: &Path, started_ms: u64) -> PathBuf {
     let mut name = prefix(socket);
     // Zeros in front: by name they stand in the order of the lives.
     name.push(format!("{started_ms:020}{SUFFIX}"));
@@ -63,7 +63,7 @@
 ///
 /// # Errors
 /// When the folder can't be read.
-pub fn find(socket: &Path) -> io::Result<Vec<PathBuf>> {
+pub fn find_all(socket: &Path) -> io::Result<Vec<PathBuf>> {
     let folder = socket.parent().filter(|p| !p.as_os_str().is_empty()).unwrap_or(Path::new("."));
     let prefix = prefix(socket);
     let mut all = Vec::new();
@@ -100,12 +100,12 @@
     batches: impl Iterator<Item = &'a UseBatch>,
     levels: &[Level],
 ) -> io::Result<PathBuf> {
-    if find(socket)?.len() >= FILES_MOST {
+    if find_all(socket)?.len() >= MAX_FILES {
         return Err(io::Error::other(format!(
-            "{FILES_MOST} last words wait there already, and no agent takes them up"
+            "{MAX_FILES} last words wait there already, and no agent takes them up"
         )));
     }
-    let path = place(socket, welcome.started_ms);
+    let path = path_of(socket, welcome.started_ms);
     let part = path.with_extension("part");
     let written = write_part(&part, welcome, batches, levels).and_then(|()| fs::rename(&part, &path));
     if let Err(e) = written {
@@ -142,7 +142,7 @@
 ///
 /// # Errors
 /// When it can't be read, is too long, or not even says whose it is.
-pub fn read(path: &Path) -> io::Result<Left> {
+pub fn read(path: &Path) -> io::Result<FinalReport> {
     let file = File::open(path)?;
     if file.metadata()?.len() > FILE_MOST {
         return Err(io::Error::other(format!("it is longer than {FILE_MOST} bytes")));
@@ -154,14 +154,14 @@
 
 /// What bytes say, as far as they are sound; nothing where they do not even say whose they are.
 #[must_use]
-pub fn parse(bytes: &[u8]) -> Option<Left> {
+pub fn parse(bytes: &[u8]) -> Option<FinalReport> {
     let mut rest = bytes.strip_prefix(MAGIC)?;
-    let mut left = Left { welcome: next(&mut rest)?.welcome?, ..Left::default() };
+    let mut left = FinalReport { welcome: next(&mut rest)?.welcome?, ..FinalReport::default() };
     while let Some(message) = next(&mut rest) {
         left.batches.extend(message.r#use);
         left.levels.extend(message.levels);
         if message.bye == END {
-            left.whole = rest.is_empty();
+            left.is_complete = rest.is_empty();
             break;
         }
     }
@@ -205,12 +205,12 @@
         let old = write(&socket, &older, batches.iter(), &[]).expect("left");
         std::fs::write(folder.path().join("n1.sock.7.left"), "x").expect("written");
         std::fs::write(folder.path().join("n11.sock.00000000000000000001.left"), "x").expect("written");
-        assert_eq!(find(&socket).expect("found"), [old, path.clone()]);
+        assert_eq!(find_all(&socket).expect("found"), [old, path.clone()]);
         assert_eq!(
             read(&path).expect("sound"),
-            Left { welcome: welcome.clone(), batches, levels, whole: true }
+            FinalReport { welcome: welcome.clone(), batches, levels, is_complete: true }
         );
-        for k in 100..98 + FILES_MOST as u64 {
+        for k in 100..98 + MAX_FILES as u64 {
             write(&socket, &Welcome { started_ms: k, ..welcome.clone() }, [].iter(), &[]).expect("left");
         }
         assert!(write(&socket, &welcome, [].iter(), &[]).is_err(), "they do not pile up without bound");
@@ -231,7 +231,7 @@
             if let Some(left) = parse(&bytes) {
                 prop_assert_eq!(&left.welcome, &welcome);
                 prop_assert_eq!(&left.batches[..], &batches[..left.batches.len()]);
-                prop_assert!(!left.whole || bytes == whole);
+                prop_assert!(!left.is_complete || bytes == whole);
             }
         }
     }
--- a/crates/link/src/lib.rs
+++ b/crates/link/src/lib.rs
@@ -8,7 +8,7 @@
 //! `agent` (feature `agent`) is the other: it connects, and connects again.
 
 pub mod codec;
-pub mod left;
+pub mod final_report;
 pub mod socket;
 
 #[cfg(feature = "agent")]
--- a/crates/load/src/engine.rs
+++ b/crates/load/src/engine.rs
@@ -1,10 +1,10 @@
 //! Plays a schedule over sockets. Each first try is sent when it is due, whatever became of those before it.
 
-use crate::schedule::{Arrival, Plan, Schedule, Shop, Way, again};
-use crate::tally::{End, Tally};
+use crate::schedule::{Arrival, Plan, RequestKind, Schedule, Shop, retry_delay_ms};
+use crate::stats::{AnswerKind, LoadStats};
 use frostvale_proto::envoy::service::ratelimit::v3::rate_limit_response::Code;
 use frostvale_proto::envoy::service::ratelimit::v3::rate_limit_service_client::RateLimitServiceClient;
-use frostvale_standin::load::{Pool, Shop as Customer, call, fresh_id, rls_client};
+use frostvale_standin::client::{ClientPool, Shop as Customer, rate_limit_call, rls_client, unique_id};
 use frostvale_standin::resp::Answer;
 use rand::{Rng, SeedableRng};
 use std::net::SocketAddr;
@@ -22,7 +22,7 @@
 const PATIENCE: [u64; 3] = [800, 2000, 1000];
 
 /// What is played, and against what.
-pub struct Play {
+pub struct LoadRun {
     /// Who asks.
     pub shops: Vec<Shop>,
     /// Their plans.
@@ -38,10 +38,10 @@
 }
 
 /// The tally, shared with who shows it.
-pub type Shared = Arc<Mutex<Tally>>;
+pub type SharedStats = Arc<Mutex<LoadStats>>;
 
 /// Locks the tally.
-pub fn lock(tally: &Shared) -> MutexGuard<'_, Tally> {
+pub fn lock_stats(tally: &SharedStats) -> MutexGuard<'_, LoadStats> {
     tally.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
@@ -49,10 +49,10 @@
     plans: Vec<String>,
     shops: Vec<Customer>,
     kinds: Vec<usize>,
-    pools: Vec<Pool>,
+    pools: Vec<ClientPool>,
     rls: Vec<RateLimitServiceClient<Channel>>,
     in_hand: AtomicUsize,
-    tally: Shared,
+    tally: SharedStats,
     seed: u64,
 }
 
@@ -60,7 +60,7 @@
 ///
 /// # Errors
 /// When there is nothing to play, or an address can't be used.
-pub async fn play(play: Play, most: Duration, tally: Shared) -> Result<(), String> {
+pub async fn run_load(play: LoadRun, most: Duration, tally: SharedStats) -> Result<(), String> {
     if play.gatekeepers.is_empty() {
         return Err("no gatekeeper is named".into());
     }
@@ -77,7 +77,7 @@
         plans: play.plans.iter().map(|p| p.name.clone()).collect(),
         shops: play.shops.iter().map(customer).collect(),
         kinds: play.shops.iter().map(|s| s.plan).collect(),
-        pools: play.gatekeepers.iter().map(|at| Pool::new(*at)).collect(),
+        pools: play.gatekeepers.iter().map(|at| ClientPool::new(*at)).collect(),
         rls: clients.transpose()?.unwrap_or_default(),
         in_hand: AtomicUsize::new(0),
         tally,
@@ -94,13 +94,23 @@
         }
         if town.in_hand.fetch_add(1, Ordering::Relaxed) >= IN_HAND {
             town.in_hand.fetch_sub(1, Ordering::Relaxed);
-            lock(&town.tally).end(town.kinds[arrival.shop], arrival.way, End::Unsent, 0.0);
+            lock_stats(&town.tally).record_answer(
+                town.kinds[arrival.shop],
+                arrival.kind,
+                AnswerKind::Unsent,
+                0.0,
+            );
             continue;
         }
         let town = town.clone();
         tokio::spawn(async move {
             let end = town.request(number, arrival, due.into_std()).await;
-            lock(&town.tally).end(town.kinds[arrival.shop], arrival.way, end, due.elapsed().as_secs_f64());
+            lock_stats(&town.tally).record_answer(
+                town.kinds[arrival.shop],
+                arrival.kind,
+                end,
+                due.elapsed().as_secs_f64(),
+            );
             town.in_hand.fetch_sub(1, Ordering::Relaxed);
         });
     }
@@ -112,54 +122,54 @@
 
 impl Town {
     /// One request as a plain client sends it, to its end.
-    async fn request(&self, number: usize, arrival: Arrival, due: Instant) -> End {
+    async fn request(&self, number: usize, arrival: Arrival, due: Instant) -> AnswerKind {
         let shop = &self.shops[arrival.shop];
         debug_assert!(self.plans.contains(&shop.plan));
-        if arrival.way == Way::Check {
+        if arrival.kind == RequestKind::Check {
             return self.check(number, shop).await;
         }
-        let mix = arrival.way == Way::Mix;
+        let mix = arrival.kind == RequestKind::Mix;
         let patience = Duration::from_millis(PATIENCE[usize::from(mix)]);
-        let (class, key) = if mix { ("mix-record", Some(fresh_id())) } else { ("formula-read", None) };
+        let (class, key) = if mix { ("mix-record", Some(unique_id())) } else { ("formula-read", None) };
         let mut lots = rand::rngs::StdRng::seed_from_u64(self.seed ^ number as u64);
         let mut tries = 0;
         loop {
             tries += 1;
             let left = patience.saturating_sub(due.elapsed());
             if left.is_zero() {
-                return End::Silent;
+                return AnswerKind::Silent;
             }
             // A front deals a shop's tries among its set.
             let at = (u64::from(shop.first) + u64::from(arrival.turn) + u64::from(tries) - 1)
                 % u64::from(shop.spread)
                 + u64::from(shop.first);
             let pool = &self.pools[at as usize % self.pools.len()];
-            let answer = pool.try_ask(shop, class, key.as_deref(), 1, left, tries > 1).await;
+            let answer = pool.send_attempt(shop, class, key.as_deref(), 1, left, tries > 1).await;
             let told = match answer {
-                Ok(Answer::Served(_)) => return End::Served,
-                Ok(Answer::Failed(_)) => return End::Failed,
+                Ok(Answer::Served(_)) => return AnswerKind::Served,
+                Ok(Answer::Failed(_)) => return AnswerKind::Failed,
                 Ok(Answer::Busy(told)) => told,
-                Err(_) => return End::Silent,
+                Err(_) => return AnswerKind::Silent,
             };
             let left = patience.saturating_sub(due.elapsed()).as_secs_f64() * 1000.0;
-            match again(tries, told, left, lots.random()) {
+            match retry_delay_ms(tries, told, left, lots.random()) {
                 Some(pause) => sleep(Duration::from_secs_f64(pause / 1000.0)).await,
-                None if told.is_some() => return End::Quota,
-                None => return End::Busy,
+                None if told.is_some() => return AnswerKind::Quota,
+                None => return AnswerKind::Busy,
             }
-            lock(&self.tally).retry(arrival.way);
+            lock_stats(&self.tally).record_retry(arrival.kind);
         }
     }
 
     /// One rate limit call. A web store does not ask again: it queues the order and shows when it may.
-    async fn check(&self, number: usize, shop: &Customer) -> End {
+    async fn check(&self, number: usize, shop: &Customer) -> AnswerKind {
         let mut client = self.rls[number % self.rls.len()].clone();
         let patience = Duration::from_millis(PATIENCE[2]);
-        match timeout(patience, client.should_rate_limit(call(shop, true, 1))).await {
-            Ok(Ok(answer)) if answer.get_ref().overall_code() == Code::Ok => End::Served,
-            Ok(Ok(_)) => End::Over,
-            Ok(Err(_)) => End::Failed,
-            Err(_) => End::Silent,
+        match timeout(patience, client.should_rate_limit(rate_limit_call(shop, true, 1))).await {
+            Ok(Ok(answer)) if answer.get_ref().overall_code() == Code::Ok => AnswerKind::Served,
+            Ok(Ok(_)) => AnswerKind::Over,
+            Ok(Err(_)) => AnswerKind::Failed,
+            Err(_) => AnswerKind::Silent,
         }
     }
 }
--- a/crates/load/src/lib.rs
+++ b/crates/load/src/lib.rs
@@ -1,4 +1,4 @@
-//! The project's load tool: who asks for what and when ([`schedule`]), what came of it ([`tally`]), the playing of it
+//! The project's load tool: who asks for what and when ([`schedule`]), what came of it ([`stats`]), the playing of it
 //! over sockets ([`engine`]) and what is told of it ([`report`]).
 //!
 //! # Why an open loop
@@ -10,4 +10,4 @@
 pub mod engine;
 pub mod report;
 pub mod schedule;
-pub mod tally;
+pub mod stats;
--- a/crates/load/src/report.rs
+++ b/crates/load/src/report.rs
@@ -1,16 +1,16 @@
 //! What is told of a load: lines as it goes on, a text at the end, JSON, and one HTML page that needs nothing beside it.
 
-use crate::tally::{End, PROTOCOLS, Second, Tally};
+use crate::stats::{AnswerKind, LoadStats, PROTOCOLS, SecondStats};
 use frostvale_charts::{self as charts, AMBER, BLUE, GREEN, PURPLE, RED};
 use serde_json::Value;
 use std::fmt::Write;
 
 /// What is known of the town beside the load, each as a name and a word on it.
-pub type Around = Vec<(String, String)>;
+pub type StatusWords = Vec<(String, String)>;
 
 /// One line on the last second, for logs and pipes.
 #[must_use]
-pub fn line(at: usize, seconds: &[Second; 2], around: &Around) -> String {
+pub fn line(at: usize, seconds: &[SecondStats; 2], around: &StatusWords) -> String {
     let mut text = format!("{at:>5} s");
     for (name, s) in PROTOCOLS.iter().zip(seconds) {
         let _ = write!(
@@ -27,7 +27,13 @@
 
 /// The view on a terminal: the last second, all so far, and what stands around it.
 #[must_use]
-pub fn view(at: usize, seconds: &[Second; 2], tally: &Tally, plans: &[String], around: &Around) -> String {
+pub fn view(
+    at: usize,
+    seconds: &[SecondStats; 2],
+    tally: &LoadStats,
+    plans: &[String],
+    around: &StatusWords,
+) -> String {
     let mut text = format!(
         "{at:>6} s     {:>9} {:>9} {:>9} {:>10} {:>10} {:>9}\n",
         "served/s", "refused/s", "failed/s", "p50 ms", "p99 ms", "retries"
@@ -50,13 +56,13 @@
     text
 }
 
-fn reasons(tally: &Tally) -> String {
+fn reasons(tally: &LoadStats) -> String {
     let mut text = String::new();
     for (name, p) in PROTOCOLS.iter().zip(&tally.protocols) {
         let all: Vec<String> = p
-            .ends
+            .answers
             .iter()
-            .filter(|(end, _)| **end != End::Served)
+            .filter(|(end, _)| **end != AnswerKind::Served)
             .map(|(end, n)| format!("{} {n}", end.name()))
             .collect();
         if !all.is_empty() {
@@ -68,12 +74,12 @@
 
 /// The text at the end.
 #[must_use]
-pub fn text(tally: &Tally, plans: &[String], around: &Around) -> String {
+pub fn text(tally: &LoadStats, plans: &[String], around: &StatusWords) -> String {
     let mut text = format!(
         "{} requests in {} s: {:.1} in 100 served or granted\n",
         tally.answers(0) + tally.answers(1),
         tally.seconds.len(),
-        100.0 * tally.served_part()
+        100.0 * tally.served_fraction()
     );
     let json = tally.json(plans);
     for name in PROTOCOLS {
@@ -109,8 +115,13 @@
 ///
 /// # Errors
 /// When a plot can't be drawn.
-pub fn html(title: &str, tally: &Tally, plans: &[String], around: &Around) -> Result<String, String> {
-    let of = |protocol: usize, value: fn(&Second) -> f64| {
+pub fn html(
+    title: &str,
+    tally: &LoadStats,
+    plans: &[String],
+    around: &StatusWords,
+) -> Result<String, String> {
+    let of = |protocol: usize, value: fn(&SecondStats) -> f64| {
         charts::seconds(tally.seconds.iter().map(|s| value(&s[protocol])))
     };
     let mut body = String::new();
@@ -134,15 +145,20 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::schedule::Way;
+    use crate::schedule::RequestKind;
 
     #[test]
     fn the_page_stands_alone_and_holds_the_figures() {
-        let mut tally = Tally::new(1);
+        let mut tally = LoadStats::new(1);
         for k in 0..50 {
-            tally.end(0, Way::Read, if k % 5 == 0 { End::Quota } else { End::Served }, 0.002);
+            tally.record_answer(
+                0,
+                RequestKind::Read,
+                if k % 5 == 0 { AnswerKind::Quota } else { AnswerKind::Served },
+                0.002,
+            );
             if k % 10 == 9 {
-                tally.second();
+                tally.take_second();
             }
         }
         let around = vec![("servers".to_string(), "3 <ready>".to_string())];
--- a/crates/load/src/schedule.rs
+++ b/crates/load/src/schedule.rs
@@ -5,13 +5,13 @@
 use rand_distr::{Distribution, Exp, weighted::WeightedAliasIndex};
 
 /// How busy shops are against each other: the k-th has 1 / k^S of the first's demand (Zipf's law).
-pub const ZIPF: f64 = 0.8;
+pub const ZIPF_EXPONENT: f64 = 0.8;
 /// The part of the demand that a town with room serves, where no overload is asked for.
-pub const SERVED_PART: f64 = 0.9;
+pub const SERVED_FRACTION: f64 = 0.9;
 /// Shops at the most.
 const SHOPS_MOST: usize = 200_000;
 /// The part of arrivals that come as rate limit calls.
-pub const GRPC_PART: f64 = 0.25;
+pub const GRPC_FRACTION: f64 = 0.25;
 /// The part of RESP2 requests that record a mix.
 const MIX_PART: f64 = 1.0 / 3.0;
 
@@ -28,7 +28,7 @@
 
 /// The brief's four plans: many small shops, few large ones.
 #[must_use]
-pub fn brief_plans() -> Vec<Plan> {
+pub fn example_plans() -> Vec<Plan> {
     let plan = |name: &str, rate, part| Plan { name: name.into(), rate, part };
     vec![
         plan("distribuidor", 25.0, 8),
@@ -55,9 +55,9 @@
 
 /// How the load is meant.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Aim {
+pub enum LoadProfile {
     /// So many shops that about nine in ten requests fit their quotas, some shops busier than their plan.
-    Fits,
+    WithinQuota,
     /// Every shop asks for so many times its quota, 0.01 to 1000.
     Overload(f64),
 }
@@ -68,7 +68,7 @@
 /// When no such shops can be had: then the text says what to change.
 pub fn shops(
     rate: f64,
-    aim: Aim,
+    aim: LoadProfile,
     plans: &[Plan],
     gatekeepers: u32,
     spread: u32,
@@ -77,7 +77,7 @@
         return Err("plans: at least one, each with a rate and a part over 0".into());
     }
     match aim {
-        Aim::Overload(times) => {
+        LoadProfile::Overload(times) => {
             if !(0.01..=1000.0).contains(&times) {
                 return Err(format!("overload {times}: 0.01 to 1000 times the quota"));
             }
@@ -89,10 +89,10 @@
             all.iter_mut().for_each(|s| s.demand = rate * plans[s.plan].rate / quota);
             Ok(all)
         }
-        Aim::Fits => {
+        LoadProfile::WithinQuota => {
             // More shops have more quota together: the least number that does.
             let fits = |count: usize| {
-                part_served(&zipf(rate, count, plans, gatekeepers, spread), plans) >= SERVED_PART
+                served_fraction(&zipf(rate, count, plans, gatekeepers, spread), plans) >= SERVED_FRACTION
             };
             let (mut few, mut many) = (plans.len(), plans.len());
             while !fits(many) {
@@ -116,7 +116,7 @@
     let mut all = named(count, plans, gatekeepers, spread);
     // The busiest have the largest plans, as they would.
     all.sort_by(|a, b| plans[b.plan].rate.total_cmp(&plans[a.plan].rate));
-    let weight = |k: usize| ((k + 1) as f64).powf(-ZIPF);
+    let weight = |k: usize| ((k + 1) as f64).powf(-ZIPF_EXPONENT);
     let sum: f64 = (0..count).map(weight).sum();
     all.iter_mut().enumerate().for_each(|(k, s)| s.demand = rate * weight(k) / sum);
     all
@@ -146,14 +146,14 @@
 
 /// The part of the demand that fits the shops' quotas.
 #[must_use]
-pub fn part_served(shops: &[Shop], plans: &[Plan]) -> f64 {
+pub fn served_fraction(shops: &[Shop], plans: &[Plan]) -> f64 {
     let all: f64 = shops.iter().map(|s| s.demand).sum();
     shops.iter().map(|s| s.demand.min(plans[s.plan].rate)).sum::<f64>() / all
 }
 
 /// How a request comes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Way {
+pub enum RequestKind {
     /// A formula is read.
     Read,
     /// A mix is recorded.
@@ -170,7 +170,7 @@
     /// Whose, by its place among the shops.
     pub shop: usize,
     /// How it comes.
-    pub way: Way,
+    pub kind: RequestKind,
     /// Which gatekeeper of the shop's set it comes to, from 0.
     pub turn: u32,
 }
@@ -210,29 +210,29 @@
     fn next(&mut self) -> Option<Arrival> {
         self.at += self.pause.sample(&mut self.rng);
         let shop = self.pick.sample(&mut self.rng);
-        let way = if self.rng.random_bool(self.grpc) {
-            Way::Check
+        let kind = if self.rng.random_bool(self.grpc) {
+            RequestKind::Check
         } else if self.rng.random_bool(MIX_PART) {
-            Way::Mix
+            RequestKind::Mix
         } else {
-            Way::Read
+            RequestKind::Read
         };
         let turn = self.rng.random_range(0..self.spreads[shop]);
-        Some(Arrival { at: self.at, shop, way, turn })
+        Some(Arrival { at: self.at, shop, kind, turn })
     }
 }
 
 /// Tries of one request at the most, with the first.
-pub const TRIES: u32 = 3;
+pub const MAX_TRIES: u32 = 3;
 /// A client's own pause before its second try, in ms; twice as long before each further one.
 const PAUSE_MS: f64 = 150.0;
 
 /// When a client that was refused comes again, in ms from the refusal: when it was told to, else after a pause of its
 /// own, between half of it and the whole by lot. None if that would be past its patience, or it has tried enough.
-pub fn again(tries: u32, told_ms: Option<u64>, left_ms: f64, lot: f64) -> Option<f64> {
+pub fn retry_delay_ms(tries: u32, told_ms: Option<u64>, left_ms: f64, lot: f64) -> Option<f64> {
     let own = PAUSE_MS * f64::from(1u32 << tries.min(16)) / 2.0;
     let pause = told_ms.map_or(own * (0.5 + lot / 2.0), |ms| ms as f64);
-    (tries < TRIES && pause < left_ms).then_some(pause)
+    (tries < MAX_TRIES && pause < left_ms).then_some(pause)
 }
 
 #[cfg(test)]
@@ -245,12 +245,12 @@
 
         #[test]
         fn shops_fit_whatever_the_rate(rate in 1.0f64..20_000.0, gatekeepers in 1u32..100, spread in 1u32..5) {
-            let plans = brief_plans();
-            let all = shops(rate, Aim::Fits, &plans, gatekeepers, spread).expect("shops");
+            let plans = example_plans();
+            let all = shops(rate, LoadProfile::WithinQuota, &plans, gatekeepers, spread).expect("shops");
             let sum: f64 = all.iter().map(|s| s.demand).sum();
             prop_assert!((sum / rate - 1.0).abs() < 1e-6, "{sum}");
-            let part = part_served(&all, &plans);
-            prop_assert!(part >= SERVED_PART && (part < 0.97 || all.len() <= 8), "{part} with {} shops", all.len());
+            let part = served_fraction(&all, &plans);
+            prop_assert!(part >= SERVED_FRACTION && (part < 0.97 || all.len() <= 8), "{part} with {} shops", all.len());
             prop_assert!(all.iter().all(|s| s.first < gatekeepers && (1..=gatekeepers).contains(&s.spread)));
             let mut ids: Vec<&String> = all.iter().map(|s| &s.id).collect();
             ids.sort();
@@ -260,8 +260,8 @@
 
         #[test]
         fn an_overload_is_the_same_for_every_shop(rate in 50.0f64..20_000.0, times in 0.1f64..50.0) {
-            let plans = brief_plans();
-            let all = shops(rate, Aim::Overload(times), &plans, 3, 2).expect("shops");
+            let plans = example_plans();
+            let all = shops(rate, LoadProfile::Overload(times), &plans, 3, 2).expect("shops");
             let of = |s: &Shop| s.demand / plans[s.plan].rate;
             let first = of(&all[0]);
             prop_assert!(all.iter().all(|s| (of(s) / first - 1.0).abs() < 1e-9));
@@ -273,28 +273,28 @@
         fn a_client_comes_when_it_is_told_and_never_past_its_patience(
             tries in 1u32..9, told in proptest::option::of(0u64..5000), left in 0.0f64..3000.0, lot in 0.0f64..1.0,
         ) {
-            match again(tries, told, left, lot) {
+            match retry_delay_ms(tries, told, left, lot) {
                 Some(pause) => {
-                    prop_assert!(tries < TRIES && pause < left);
+                    prop_assert!(tries < MAX_TRIES && pause < left);
                     prop_assert!(told.is_none_or(|ms| pause == ms as f64));
                 }
-                None => prop_assert!(tries >= TRIES || told.is_none_or(|ms| ms as f64 >= left)),
+                None => prop_assert!(tries >= MAX_TRIES || told.is_none_or(|ms| ms as f64 >= left)),
             }
         }
     }
 
     #[test]
     fn a_seed_gives_one_schedule_at_its_rate() {
-        let all = shops(500.0, Aim::Fits, &brief_plans(), 3, 2).expect("shops");
+        let all = shops(500.0, LoadProfile::WithinQuota, &example_plans(), 3, 2).expect("shops");
         let play =
-            |seed| Schedule::new(&all, GRPC_PART, seed).expect("sound").take(20_000).collect::<Vec<_>>();
+            |seed| Schedule::new(&all, GRPC_FRACTION, seed).expect("sound").take(20_000).collect::<Vec<_>>();
         let one = play(7);
         assert_eq!(one, play(7));
         assert_ne!(one, play(8));
         let rate = one.len() as f64 / one[one.len() - 1].at;
         assert!((450.0..550.0).contains(&rate), "{rate}");
-        let checks = one.iter().filter(|a| a.way == Way::Check).count() as f64 / one.len() as f64;
-        assert!((checks - GRPC_PART).abs() < 0.02, "{checks}");
+        let checks = one.iter().filter(|a| a.kind == RequestKind::Check).count() as f64 / one.len() as f64;
+        assert!((checks - GRPC_FRACTION).abs() < 0.02, "{checks}");
         assert!(one.is_sorted_by(|a, b| a.at <= b.at));
     }
 }
--- a/crates/log/src/lib.rs
+++ b/crates/log/src/lib.rs
@@ -1,12 +1,12 @@
 //! Log lines on standard error: text for people or one JSON object a line, with the fields that [`tracing`] gives.
 //!
 //! What is written is rare by design: nothing a request, nothing a client can cause at will. Lines that repeat within a
-//! second are merged and counted, and a second has 200 at the most ([`limit`]). A program calls [`init`] once and
-//! [`turn`] now and then, so that what was kept back is told also when nothing follows.
+//! second are merged and counted, and a second has 200 at the most ([`rate_limit`]). A program calls [`init`] once and
+//! [`flush_summaries`] now and then, so that what was kept back is told also when nothing follows.
 
-pub mod limit;
+pub mod rate_limit;
 
-use limit::{Limit, Summary, Verdict};
+use rate_limit::{LineDecision, RateLimiter, Summary};
 use serde_json::{Map, Value, json};
 use std::fmt::{Debug, Write as _};
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -80,16 +80,16 @@
 }
 
 /// Tells what was kept back, once its second is over.
-pub fn turn() {
+pub fn flush_summaries() {
     if let Some(lines) = LINES.get() {
-        lines.say_again(|limit, now| limit.turn(now));
+        lines.say_again(|limit, now| limit.close_expired_window(now));
     }
 }
 
 /// Tells what was kept back, at the end.
-pub fn end() {
+pub fn finish() {
     if let Some(lines) = LINES.get() {
-        lines.say_again(|limit, now| limit.end(now));
+        lines.say_again(|limit, now| limit.close_window(now));
     }
 }
 
@@ -97,7 +97,7 @@
     program: &'static str,
     who: (&'static str, String),
     format: Format,
-    limit: Mutex<Limit>,
+    limit: Mutex<RateLimiter>,
 }
 
 /// The fields of a span, kept with it.
@@ -192,9 +192,9 @@
         let key = hasher.finish();
         let now = unix_ms();
         let mut limit = self.limit.lock().unwrap_or_else(PoisonError::into_inner);
-        let told = limit.turn(now);
+        let told = limit.close_expired_window(now);
         self.tell(told, now);
-        if limit.take(key, || text.clone()) == Verdict::Merge {
+        if limit.admit(key, || text.clone()) == LineDecision::Merge {
             return;
         }
         drop(limit);
@@ -231,7 +231,7 @@
         line
     }
 
-    fn say_again(&self, end: impl FnOnce(&mut Limit, u64) -> Vec<Summary>) {
+    fn say_again(&self, end: impl FnOnce(&mut RateLimiter, u64) -> Vec<Summary>) {
         let now = unix_ms();
         let told = end(&mut self.limit.lock().unwrap_or_else(PoisonError::into_inner), now);
         self.tell(told, now);
@@ -242,7 +242,10 @@
             let message = match &line {
                 Some(line) => format!("{count} more of: {line}"),
                 None => {
-                    format!("{count} further lines were not written: more than {} in a second", limit::LINES)
+                    format!(
+                        "{count} further lines were not written: more than {} in a second",
+                        rate_limit::MAX_LINES
+                    )
                 }
             };
             match self.format {
--- a/crates/log/src/limit.rs
+++ b/crates/log/src/rate_limit.rs
@@ -9,15 +9,15 @@
 use std::collections::HashMap;
 
 /// Lines in one window at the most, and how long a window is in ms.
-pub const LINES: u32 = 200;
-/// See [`LINES`].
+pub const MAX_LINES: u32 = 200;
+/// See [`MAX_LINES`].
 pub const WINDOW_MS: u64 = 1000;
 /// Different lines that are told apart in one window.
 const KINDS: usize = 1024;
 
 /// What is to be done with a line.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Verdict {
+pub enum LineDecision {
     /// It is written.
     Write,
     /// It is counted: it repeats one of this window, or there were too many.
@@ -35,25 +35,25 @@
 
 /// The state of one window.
 #[derive(Debug, Default)]
-pub struct Limit {
+pub struct RateLimiter {
     began: u64,
     written: u32,
     seen: HashMap<u64, (String, u64)>,
     others: u64,
 }
 
-impl Limit {
+impl RateLimiter {
     /// Ends a window whose time is over; gives what it kept back.
-    pub fn turn(&mut self, now_ms: u64) -> Vec<Summary> {
+    pub fn close_expired_window(&mut self, now_ms: u64) -> Vec<Summary> {
         // A clock that went back begins a new one as well.
         if now_ms.wrapping_sub(self.began) < WINDOW_MS {
             return Vec::new();
         }
-        self.end(now_ms)
+        self.close_window(now_ms)
     }
 
     /// Ends the window whatever its time.
-    pub fn end(&mut self, now_ms: u64) -> Vec<Summary> {
+    pub fn close_window(&mut self, now_ms: u64) -> Vec<Summary> {
         (self.began, self.written) = (now_ms, 0);
         let seen = std::mem::take(&mut self.seen);
         let mut told: Vec<Summary> = seen
@@ -63,7 +63,7 @@
             .collect();
         told.sort_by(|a, b| b.count.cmp(&a.count).then_with(|| a.line.cmp(&b.line)));
         // Their own lines are bounded as well.
-        let most = LINES as usize / 4;
+        let most = MAX_LINES as usize / 4;
         let rest: u64 = told.iter().skip(most).map(|s| s.count).sum();
         told.truncate(most);
         let others = std::mem::take(&mut self.others) + rest;
@@ -74,18 +74,18 @@
     }
 
     /// Takes a line: `key` tells different ones apart.
-    pub fn take(&mut self, key: u64, line: impl FnOnce() -> String) -> Verdict {
+    pub fn admit(&mut self, key: u64, line: impl FnOnce() -> String) -> LineDecision {
         if let Some((_, count)) = self.seen.get_mut(&key) {
             *count += 1;
-            return Verdict::Merge;
+            return LineDecision::Merge;
         }
-        if self.written >= LINES || self.seen.len() >= KINDS {
+        if self.written >= MAX_LINES || self.seen.len() >= KINDS {
             self.others += 1;
-            return Verdict::Merge;
+            return LineDecision::Merge;
         }
         self.written += 1;
         self.seen.insert(key, (line(), 0));
-        Verdict::Write
+        LineDecision::Write
     }
 }
 
@@ -98,34 +98,34 @@
         /// Every line is written or counted once, and a window never writes more than its bound.
         #[test]
         fn no_line_goes_uncounted(lines in prop::collection::vec((0u64..400, 0u64..300), 0..2000)) {
-            let (mut limit, mut now, mut written, mut merged, mut in_window) = (Limit::default(), 0, 0u64, 0u64, 0u32);
+            let (mut limit, mut now, mut written, mut merged, mut in_window) = (RateLimiter::default(), 0, 0u64, 0u64, 0u32);
             let tell = |told: Vec<Summary>| -> u64 { told.iter().map(|s| s.count).sum() };
             for (key, wait) in &lines {
                 now += wait;
                 let before = limit.began;
-                merged += tell(limit.turn(now));
+                merged += tell(limit.close_expired_window(now));
                 if limit.began != before {
                     in_window = 0;
                 }
-                if limit.take(*key, || key.to_string()) == Verdict::Write {
+                if limit.admit(*key, || key.to_string()) == LineDecision::Write {
                     written += 1;
                     in_window += 1;
                 }
-                prop_assert!(in_window <= LINES);
+                prop_assert!(in_window <= MAX_LINES);
             }
-            merged += tell(limit.end(now));
+            merged += tell(limit.close_window(now));
             prop_assert_eq!(written + merged, lines.len() as u64);
         }
     }
 
     #[test]
     fn a_line_that_repeats_is_written_once_and_counted() {
-        let mut limit = Limit::default();
-        limit.turn(5000);
-        assert_eq!(limit.take(1, || "away".into()), Verdict::Write);
-        assert!((0..9).all(|_| limit.take(1, || "away".into()) == Verdict::Merge));
-        assert_eq!(limit.turn(5999), []);
-        assert_eq!(limit.turn(6000), [Summary { line: Some("away".into()), count: 9 }]);
-        assert_eq!(limit.take(1, || "away".into()), Verdict::Write);
+        let mut limit = RateLimiter::default();
+        limit.close_expired_window(5000);
+        assert_eq!(limit.admit(1, || "away".into()), LineDecision::Write);
+        assert!((0..9).all(|_| limit.admit(1, || "away".into()) == LineDecision::Merge));
+        assert_eq!(limit.close_expired_window(5999), []);
+        assert_eq!(limit.close_expired_window(6000), [Summary { line: Some("away".into()), count: 9 }]);
+        assert_eq!(limit.admit(1, || "away".into()), LineDecision::Write);
     }
 }
