--- a/crates/outside/src/lib.rs
+++ b/crates/outside/src/lib.rs
@@ -10,10 +10,10 @@
 //! No input or output and no clock: the host hands in the time in milliseconds with each event, carries out what it
 //! is told, and draws nothing at random itself.
 //!
-//! The breaker: *closed*, all ask. Of the last [`WINDOW`] calls at least [`LEAST`] were seen and half failed:
+//! The breaker: *closed*, all ask. Of the last [`BREAKER_WINDOW_CALLS`] calls at least [`MIN_BREAKER_CALLS`] were seen and half failed:
 //! *open*, none asks, for a time that doubles with each failure up to a bound, scattered so that gatekeepers do not
 //! try again in step. Then *half-open*: one request at a time asks, the others are decided by the failure mode.
-//! After [`TRIALS`] good answers in a row it is closed; after a bad one, open again.
+//! After [`CLOSING_SUCCESSES`] good answers in a row it is closed; after a bad one, open again.
 
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -22,15 +22,15 @@
 use std::sync::Arc;
 
 /// The calls that the breaker looks back on.
-pub const WINDOW: usize = 20;
+pub const BREAKER_WINDOW_CALLS: usize = 20;
 /// Fewer calls than this say nothing.
-pub const LEAST: usize = 5;
+pub const MIN_BREAKER_CALLS: usize = 5;
 /// Good answers in a row that close a half-open breaker.
-pub const TRIALS: u32 = 3;
+pub const CLOSING_SUCCESSES: u32 = 3;
 
 /// What is done without a verdict.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Mode {
+pub enum FailureMode {
     /// The request goes on.
     Allow,
     /// It is refused.
@@ -41,7 +41,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Settings {
     /// By the plan's number: whether it is asked for, and what is done without a verdict.
-    pub plans: Vec<Option<Mode>>,
+    pub plans: Vec<Option<FailureMode>>,
     /// The part of a request's aim that it may wait for a verdict, over 0 and at most 0.5.
     pub deadline_part: f64,
     /// Calls in hand at once; what comes on top is decided by the failure mode.
@@ -113,7 +113,7 @@
 
 /// What is to be done with a request.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Step {
+pub enum OutsideDecision {
     /// It goes on to the module.
     Pass,
     /// It is refused at once; `pause` is when to come back in ms, 0 where nothing is known.
@@ -151,7 +151,7 @@
 
 /// The breaker's state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Breaker {
+pub enum BreakerState {
     /// All ask.
     Closed,
     /// None asks.
@@ -162,7 +162,7 @@
 
 /// What has happened since the start.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Counts {
+pub struct CallCounts {
     /// Calls begun.
     pub asked: u64,
     /// Of them without a verdict in time.
@@ -176,7 +176,7 @@
 struct Call {
     request: u64,
     shop: Arc<str>,
-    mode: Mode,
+    mode: FailureMode,
     trial: bool,
 }
 
@@ -188,12 +188,12 @@
 }
 
 /// Decides when to ask and what to do without an answer.
-pub struct Consult {
+pub struct OutsidePolicy {
     settings: Settings,
     rng: Pcg64Mcg,
     calls: BTreeMap<u64, Call>,
     last_call: u64,
-    breaker: Breaker,
+    breaker: BreakerState,
     /// The last calls, true where they failed.
     window: VecDeque<bool>,
     /// When an open breaker lets one try, and how long the pause was.
@@ -203,66 +203,66 @@
     good: u32,
     kept: HashMap<Arc<str>, Kept>,
     ages: VecDeque<(f64, Arc<str>)>,
-    counts: Counts,
+    counts: CallCounts,
 }
 
-impl Consult {
+impl OutsidePolicy {
     /// Begins with a closed breaker.
     ///
     /// # Errors
     /// When the settings can't be acted on.
-    pub fn new(settings: Settings, seed: u64) -> Result<Consult, SettingsError> {
+    pub fn new(settings: Settings, seed: u64) -> Result<OutsidePolicy, SettingsError> {
         settings.check()?;
-        Ok(Consult {
+        Ok(OutsidePolicy {
             pause: settings.open_ms,
             settings,
             rng: Pcg64Mcg::seed_from_u64(seed),
             calls: BTreeMap::new(),
             last_call: 0,
-            breaker: Breaker::Closed,
+            breaker: BreakerState::Closed,
             window: VecDeque::new(),
             open_until: 0.0,
             trying: false,
             good: 0,
             kept: HashMap::new(),
             ages: VecDeque::new(),
-            counts: Counts::default(),
+            counts: CallCounts::default(),
         })
     }
 
     /// The breaker's state.
     #[must_use]
-    pub fn breaker(&self) -> Breaker {
+    pub fn breaker(&self) -> BreakerState {
         self.breaker
     }
 
     /// What has happened since the start.
     #[must_use]
-    pub fn counts(&self) -> Counts {
+    pub fn counts(&self) -> CallCounts {
         self.counts
     }
 
     /// Calls that are waited for.
     #[must_use]
-    pub fn in_hand(&self) -> usize {
+    pub fn in_flight(&self) -> usize {
         self.calls.len()
     }
 
     /// Shops whose verdicts are kept.
     #[must_use]
-    pub fn shops_kept(&self) -> usize {
+    pub fn cached_shops(&self) -> usize {
         self.kept.len()
     }
 
     /// Whether a call is still waited for.
     #[must_use]
-    pub fn waits(&self, call: u64) -> bool {
+    pub fn is_pending(&self, call: u64) -> bool {
         self.calls.contains_key(&call)
     }
 
     /// Whether requests of this plan are asked for at all.
     #[must_use]
-    pub fn wants(&self, plan: usize) -> bool {
+    pub fn consults_plan(&self, plan: usize) -> bool {
         self.settings.plans.get(plan).is_some_and(Option::is_some)
     }
 
@@ -278,8 +278,10 @@
         units: f64,
         (aim, left): (f64, f64),
         linked: bool,
-    ) -> Step {
-        let Some(mode) = self.settings.plans.get(plan).copied().flatten() else { return Step::Pass };
+    ) -> OutsideDecision {
+        let Some(mode) = self.settings.plans.get(plan).copied().flatten() else {
+            return OutsideDecision::Pass;
+        };
         self.forget(now);
         if let Some(kept) = self.kept.get_mut(shop)
             && kept.until > now
@@ -287,22 +289,22 @@
             match &mut kept.ahead {
                 None => {
                     self.counts.kept += 1;
-                    return Step::Deny { pause: (kept.until - now).ceil() };
+                    return OutsideDecision::Deny { pause: (kept.until - now).ceil() };
                 }
                 Some(ahead) if *ahead >= units => {
                     *ahead -= units;
                     self.counts.kept += 1;
-                    return Step::Pass;
+                    return OutsideDecision::Pass;
                 }
                 Some(_) => {}
             }
         }
-        if self.breaker == Breaker::Open && now >= self.open_until {
-            self.breaker = Breaker::HalfOpen;
+        if self.breaker == BreakerState::Open && now >= self.open_until {
+            self.breaker = BreakerState::HalfOpen;
             (self.trying, self.good) = (false, 0);
         }
-        let trial = self.breaker == Breaker::HalfOpen;
-        let barred = self.breaker == Breaker::Open || (trial && self.trying);
+        let trial = self.breaker == BreakerState::HalfOpen;
+        let barred = self.breaker == BreakerState::Open || (trial && self.trying);
         let within = (self.settings.deadline_part * aim).min(left / 2.0);
         if barred || !linked || self.calls.len() >= self.settings.in_hand || within < 1.0 {
             return self.by_mode(mode);
@@ -311,11 +313,16 @@
         self.last_call += 1;
         self.counts.asked += 1;
         self.calls.insert(self.last_call, Call { request, shop: shop.clone(), mode, trial });
-        Step::Ask { call: self.last_call, within }
+        OutsideDecision::Ask { call: self.last_call, within }
     }
 
     /// The service has spoken. Gives the request and what is to be done with it, unless the call was over already.
-    pub fn verdict(&mut self, now: f64, call: u64, verdict: Verdict) -> Option<(u64, Step)> {
+    pub fn record_verdict(
+        &mut self,
+        now: f64,
+        call: u64,
+        verdict: Verdict,
+    ) -> Option<(u64, OutsideDecision)> {
         let call = self.calls.remove(&call)?;
         self.learn(now, verdict == Verdict::Failed, call.trial);
         let step = match verdict {
@@ -323,11 +330,11 @@
                 if ahead > 0.0 {
                     self.keep(now, call.shop, ahead_ms, Some(ahead));
                 }
-                Step::Pass
+                OutsideDecision::Pass
             }
             Verdict::Over { reset_ms } => {
                 self.keep(now, call.shop, reset_ms, None);
-                Step::Deny { pause: reset_ms.max(0.0).ceil() }
+                OutsideDecision::Deny { pause: reset_ms.max(0.0).ceil() }
             }
             Verdict::Failed => self.by_mode(call.mode),
         };
@@ -335,29 +342,29 @@
     }
 
     /// A call's time is up.
-    pub fn late(&mut self, now: f64, call: u64) -> Option<(u64, Step)> {
-        self.verdict(now, call, Verdict::Failed)
+    pub fn time_out(&mut self, now: f64, call: u64) -> Option<(u64, OutsideDecision)> {
+        self.record_verdict(now, call, Verdict::Failed)
     }
 
     /// Who would carry the answers has gone: nothing that is in hand comes any more. Says nothing of the service.
-    pub fn unlinked(&mut self) -> Vec<(u64, Step)> {
+    pub fn link_lost(&mut self) -> Vec<(u64, OutsideDecision)> {
         let calls = std::mem::take(&mut self.calls);
         self.trying = false;
         calls.into_values().map(|c| (c.request, self.by_mode(c.mode))).collect()
     }
 
-    fn by_mode(&mut self, mode: Mode) -> Step {
+    fn by_mode(&mut self, mode: FailureMode) -> OutsideDecision {
         self.counts.by_mode += 1;
         match mode {
-            Mode::Allow => Step::Pass,
-            Mode::Deny => Step::Deny { pause: 0.0 },
+            FailureMode::Allow => OutsideDecision::Pass,
+            FailureMode::Deny => OutsideDecision::Deny { pause: 0.0 },
         }
     }
 
     fn learn(&mut self, now: f64, failed: bool, trial: bool) {
         self.counts.failed += u64::from(failed);
         if trial {
-            if self.breaker != Breaker::HalfOpen {
+            if self.breaker != BreakerState::HalfOpen {
                 return;
             }
             self.trying = false;
@@ -366,29 +373,29 @@
                 return self.open(now);
             }
             self.good += 1;
-            if self.good >= TRIALS {
-                self.breaker = Breaker::Closed;
+            if self.good >= CLOSING_SUCCESSES {
+                self.breaker = BreakerState::Closed;
                 self.pause = self.settings.open_ms;
                 self.window.clear();
             }
             return;
         }
         // What was asked before it opened says nothing new.
-        if self.breaker != Breaker::Closed {
+        if self.breaker != BreakerState::Closed {
             return;
         }
         self.window.push_back(failed);
-        if self.window.len() > WINDOW {
+        if self.window.len() > BREAKER_WINDOW_CALLS {
             self.window.pop_front();
         }
         let bad = self.window.iter().filter(|failed| **failed).count();
-        if self.window.len() >= LEAST && 2 * bad >= self.window.len() {
+        if self.window.len() >= MIN_BREAKER_CALLS && 2 * bad >= self.window.len() {
             self.open(now);
         }
     }
 
     fn open(&mut self, now: f64) {
-        self.breaker = Breaker::Open;
+        self.breaker = BreakerState::Open;
         self.open_until = now + self.pause * self.rng.random_range(0.75..1.25);
         self.window.clear();
     }
--- a/crates/outside/tests/breaker.rs
+++ b/crates/outside/tests/breaker.rs
@@ -1,96 +1,105 @@
 //! Consulting an outside service, in simulated time.
 
-use frostvale_outside::{Breaker, Consult, LEAST, Mode, Settings, Step, TRIALS, Verdict};
+use frostvale_outside::{
+    BreakerState, CLOSING_SUCCESSES, FailureMode, MIN_BREAKER_CALLS, OutsideDecision, OutsidePolicy,
+    Settings, Verdict,
+};
 use proptest::prelude::*;
 use std::sync::Arc;
 
 const AIM: (f64, f64) = (400.0, 1000.0);
 const OK: Verdict = Verdict::Ok { ahead: 0.0, ahead_ms: 0.0 };
 
-fn settings(mode: Mode) -> Settings {
+fn settings(mode: FailureMode) -> Settings {
     Settings { plans: vec![Some(mode), None], in_hand: 50, ..Settings::default() }
 }
 
-fn consult(mode: Mode) -> Consult {
-    Consult::new(settings(mode), 7).expect("sound")
+fn consult(mode: FailureMode) -> OutsidePolicy {
+    OutsidePolicy::new(settings(mode), 7).expect("sound")
 }
 
 fn shop(n: u64) -> Arc<str> {
     format!("{n:016x}").as_str().into()
 }
 
-fn call(step: &Step) -> u64 {
+fn call(step: &OutsideDecision) -> u64 {
     match step {
-        Step::Ask { call, .. } => *call,
+        OutsideDecision::Ask { call, .. } => *call,
         other => panic!("not asked: {other:?}"),
     }
 }
 
 /// Has the breaker open.
-fn broken(c: &mut Consult, now: f64) {
-    for k in 0..LEAST as u64 {
+fn broken(c: &mut OutsidePolicy, now: f64) {
+    for k in 0..MIN_BREAKER_CALLS as u64 {
         let step = c.ask(now, k, &shop(k), 0, 1.0, AIM, true);
-        c.late(now + 80.0, call(&step));
+        c.time_out(now + 80.0, call(&step));
     }
-    assert_eq!(c.breaker(), Breaker::Open);
+    assert_eq!(c.breaker(), BreakerState::Open);
 }
 
 #[test]
 fn a_request_waits_its_part_of_the_aim_and_no_longer() {
-    let mut c = consult(Mode::Allow);
-    assert_eq!(c.ask(0.0, 1, &shop(1), 1, 1.0, AIM, true), Step::Pass, "a plan that asks nobody");
-    assert_eq!(c.ask(0.0, 1, &shop(1), 0, 1.0, AIM, true), Step::Ask { call: 1, within: 80.0 });
+    let mut c = consult(FailureMode::Allow);
+    assert_eq!(c.ask(0.0, 1, &shop(1), 1, 1.0, AIM, true), OutsideDecision::Pass, "a plan that asks nobody");
+    assert_eq!(c.ask(0.0, 1, &shop(1), 0, 1.0, AIM, true), OutsideDecision::Ask { call: 1, within: 80.0 });
     // With little left of its client's time, half of that.
-    assert_eq!(c.ask(0.0, 2, &shop(1), 0, 1.0, (400.0, 20.0), true), Step::Ask { call: 2, within: 10.0 });
-    assert_eq!(c.late(80.0, 1), Some((1, Step::Pass)), "by its mode");
-    assert_eq!(c.verdict(81.0, 1, Verdict::Over { reset_ms: 5.0 }), None, "late verdicts are void");
+    assert_eq!(
+        c.ask(0.0, 2, &shop(1), 0, 1.0, (400.0, 20.0), true),
+        OutsideDecision::Ask { call: 2, within: 10.0 }
+    );
+    assert_eq!(c.time_out(80.0, 1), Some((1, OutsideDecision::Pass)), "by its mode");
+    assert_eq!(c.record_verdict(81.0, 1, Verdict::Over { reset_ms: 5.0 }), None, "late verdicts are void");
 }
 
 #[test]
 fn one_call_that_hangs_does_not_open_the_breaker() {
-    let mut c = consult(Mode::Deny);
+    let mut c = consult(FailureMode::Deny);
     for k in 0..100 {
         let step = c.ask(k as f64, k, &shop(k), 0, 1.0, AIM, true);
         if k == 50 {
-            assert_eq!(c.late(k as f64, call(&step)), Some((k, Step::Deny { pause: 0.0 })));
+            assert_eq!(c.time_out(k as f64, call(&step)), Some((k, OutsideDecision::Deny { pause: 0.0 })));
         } else {
-            assert_eq!(c.verdict(k as f64, call(&step), OK), Some((k, Step::Pass)));
+            assert_eq!(c.record_verdict(k as f64, call(&step), OK), Some((k, OutsideDecision::Pass)));
         }
-        assert_eq!(c.breaker(), Breaker::Closed);
+        assert_eq!(c.breaker(), BreakerState::Closed);
     }
 }
 
 #[test]
 fn when_all_hang_none_waits_once_the_breaker_is_open() {
-    let mut c = consult(Mode::Allow);
+    let mut c = consult(FailureMode::Allow);
     broken(&mut c, 0.0);
     for k in 0..1000 {
-        assert_eq!(c.ask(100.0, 100 + k, &shop(k), 0, 1.0, AIM, true), Step::Pass);
+        assert_eq!(c.ask(100.0, 100 + k, &shop(k), 0, 1.0, AIM, true), OutsideDecision::Pass);
     }
-    assert_eq!((c.in_hand(), c.counts().asked, c.counts().by_mode), (0, LEAST as u64, LEAST as u64 + 1000));
+    assert_eq!(
+        (c.in_flight(), c.counts().asked, c.counts().by_mode),
+        (0, MIN_BREAKER_CALLS as u64, MIN_BREAKER_CALLS as u64 + 1000)
+    );
 }
 
 #[test]
 fn one_at_a_time_tries_again_and_several_good_ones_close_it() {
-    let mut c = consult(Mode::Deny);
+    let mut c = consult(FailureMode::Deny);
     broken(&mut c, 0.0);
     let now = 80.0 + 1.25 * 500.0;
     let mut trial = c.ask(now, 1, &shop(1), 0, 1.0, AIM, true);
-    assert_eq!(c.breaker(), Breaker::HalfOpen);
-    for good in 0..TRIALS {
+    assert_eq!(c.breaker(), BreakerState::HalfOpen);
+    for good in 0..CLOSING_SUCCESSES {
         let other = c.ask(now, 2, &shop(2), 0, 1.0, AIM, true);
-        assert_eq!(other, Step::Deny { pause: 0.0 }, "only one at a time");
-        c.verdict(now, call(&trial), OK);
-        if good + 1 < TRIALS {
+        assert_eq!(other, OutsideDecision::Deny { pause: 0.0 }, "only one at a time");
+        c.record_verdict(now, call(&trial), OK);
+        if good + 1 < CLOSING_SUCCESSES {
             trial = c.ask(now, 3, &shop(3), 0, 1.0, AIM, true);
         }
     }
-    assert_eq!(c.breaker(), Breaker::Closed);
+    assert_eq!(c.breaker(), BreakerState::Closed);
 }
 
 #[test]
 fn each_failed_trial_doubles_the_pause_up_to_its_bound() {
-    let mut c = consult(Mode::Allow);
+    let mut c = consult(FailureMode::Allow);
     broken(&mut c, 0.0);
     let mut now = 80.0;
     let mut pauses = Vec::new();
@@ -98,14 +107,14 @@
         let begun = now;
         let step = loop {
             let step = c.ask(now, 1, &shop(1), 0, 1.0, AIM, true);
-            if matches!(step, Step::Ask { .. }) {
+            if matches!(step, OutsideDecision::Ask { .. }) {
                 break step;
             }
             now += 1.0;
         };
         pauses.push(now - begun);
-        c.late(now, call(&step));
-        assert_eq!(c.breaker(), Breaker::Open);
+        c.time_out(now, call(&step));
+        assert_eq!(c.breaker(), BreakerState::Open);
     }
     for (k, pause) in pauses.iter().enumerate() {
         let usual = (500.0 * 2f64.powi(k as i32)).min(8000.0);
@@ -115,18 +124,18 @@
 
 #[test]
 fn a_service_that_flaps_opens_it_and_costs_no_more_than_the_window() {
-    let mut c = consult(Mode::Allow);
+    let mut c = consult(FailureMode::Allow);
     let mut waited = 0;
     for k in 0..1000u64 {
         let now = k as f64;
         let step = c.ask(now, k, &shop(k), 0, 1.0, AIM, true);
-        if let Step::Ask { call, .. } = step {
+        if let OutsideDecision::Ask { call, .. } = step {
             // Every other call hangs.
             if k % 2 == 0 {
                 waited += 1;
-                c.late(now, call);
+                c.time_out(now, call);
             } else {
-                c.verdict(now, call, OK);
+                c.record_verdict(now, call, OK);
             }
         }
     }
@@ -135,68 +144,73 @@
 
 #[test]
 fn calls_in_hand_are_bounded_and_the_rest_goes_by_the_mode() {
-    let mut c = consult(Mode::Deny);
+    let mut c = consult(FailureMode::Deny);
     for k in 0..50 {
-        assert!(matches!(c.ask(0.0, k, &shop(k), 0, 1.0, AIM, true), Step::Ask { .. }));
+        assert!(matches!(c.ask(0.0, k, &shop(k), 0, 1.0, AIM, true), OutsideDecision::Ask { .. }));
     }
-    assert_eq!(c.ask(0.0, 50, &shop(50), 0, 1.0, AIM, true), Step::Deny { pause: 0.0 });
-    assert_eq!(c.breaker(), Breaker::Closed, "that says nothing of the service");
+    assert_eq!(c.ask(0.0, 50, &shop(50), 0, 1.0, AIM, true), OutsideDecision::Deny { pause: 0.0 });
+    assert_eq!(c.breaker(), BreakerState::Closed, "that says nothing of the service");
 }
 
 #[test]
 fn without_an_agent_nobody_waits_and_the_service_is_not_blamed() {
-    let mut c = consult(Mode::Allow);
-    assert_eq!(c.ask(0.0, 1, &shop(1), 0, 1.0, AIM, false), Step::Pass);
+    let mut c = consult(FailureMode::Allow);
+    assert_eq!(c.ask(0.0, 1, &shop(1), 0, 1.0, AIM, false), OutsideDecision::Pass);
     for k in 0..10 {
         c.ask(0.0, k, &shop(k), 0, 1.0, AIM, true);
     }
-    let decided = c.unlinked();
+    let decided = c.link_lost();
     assert_eq!(decided.len(), 10);
-    assert!(decided.iter().all(|(_, step)| *step == Step::Pass));
-    assert_eq!((c.breaker(), c.in_hand()), (Breaker::Closed, 0));
+    assert!(decided.iter().all(|(_, step)| *step == OutsideDecision::Pass));
+    assert_eq!((c.breaker(), c.in_flight()), (BreakerState::Closed, 0));
 }
 
 #[test]
 fn a_trial_that_is_cut_off_with_its_agent_does_not_bar_the_next() {
-    let mut c = consult(Mode::Allow);
+    let mut c = consult(FailureMode::Allow);
     broken(&mut c, 0.0);
-    assert!(matches!(c.ask(1000.0, 1, &shop(1), 0, 1.0, AIM, true), Step::Ask { .. }));
-    c.unlinked();
-    assert!(matches!(c.ask(1000.0, 2, &shop(2), 0, 1.0, AIM, true), Step::Ask { .. }));
+    assert!(matches!(c.ask(1000.0, 1, &shop(1), 0, 1.0, AIM, true), OutsideDecision::Ask { .. }));
+    c.link_lost();
+    assert!(matches!(c.ask(1000.0, 2, &shop(2), 0, 1.0, AIM, true), OutsideDecision::Ask { .. }));
 }
 
 #[test]
 fn verdicts_are_kept_only_as_long_as_they_say_and_bounded() {
-    let mut c = consult(Mode::Deny);
+    let mut c = consult(FailureMode::Deny);
     let first = c.ask(0.0, 1, &shop(1), 0, 1.0, AIM, true);
-    c.verdict(0.0, call(&first), Verdict::Over { reset_ms: 300.0 });
-    assert_eq!(c.ask(100.0, 2, &shop(1), 0, 1.0, AIM, true), Step::Deny { pause: 200.0 }, "not asked again");
-    assert!(matches!(c.ask(301.0, 3, &shop(1), 0, 1.0, AIM, true), Step::Ask { .. }));
+    c.record_verdict(0.0, call(&first), Verdict::Over { reset_ms: 300.0 });
+    assert_eq!(
+        c.ask(100.0, 2, &shop(1), 0, 1.0, AIM, true),
+        OutsideDecision::Deny { pause: 200.0 },
+        "not asked again"
+    );
+    assert!(matches!(c.ask(301.0, 3, &shop(1), 0, 1.0, AIM, true), OutsideDecision::Ask { .. }));
     // An answer that does not say for how long is kept for none.
     let plain = c.ask(400.0, 4, &shop(2), 0, 1.0, AIM, true);
-    c.verdict(400.0, call(&plain), OK);
-    assert!(matches!(c.ask(401.0, 5, &shop(2), 0, 1.0, AIM, true), Step::Ask { .. }));
+    c.record_verdict(400.0, call(&plain), OK);
+    assert!(matches!(c.ask(401.0, 5, &shop(2), 0, 1.0, AIM, true), OutsideDecision::Ask { .. }));
     // Three units ahead: three pass, the fourth asks.
     let ahead = c.ask(500.0, 6, &shop(3), 0, 1.0, AIM, true);
-    c.verdict(500.0, call(&ahead), Verdict::Ok { ahead: 3.0, ahead_ms: 1e9 });
+    c.record_verdict(500.0, call(&ahead), Verdict::Ok { ahead: 3.0, ahead_ms: 1e9 });
     for _ in 0..3 {
-        assert_eq!(c.ask(501.0, 7, &shop(3), 0, 1.0, AIM, true), Step::Pass);
+        assert_eq!(c.ask(501.0, 7, &shop(3), 0, 1.0, AIM, true), OutsideDecision::Pass);
     }
-    assert!(matches!(c.ask(502.0, 8, &shop(3), 0, 1.0, AIM, true), Step::Ask { .. }));
+    assert!(matches!(c.ask(502.0, 8, &shop(3), 0, 1.0, AIM, true), OutsideDecision::Ask { .. }));
     // A shop's kept verdicts end with keep_ms at the latest.
-    assert!(matches!(c.ask(1600.0, 9, &shop(3), 0, 1.0, AIM, true), Step::Ask { .. }));
+    assert!(matches!(c.ask(1600.0, 9, &shop(3), 0, 1.0, AIM, true), OutsideDecision::Ask { .. }));
 }
 
 #[test]
 fn kept_verdicts_do_not_grow_without_bound() {
     let mut c =
-        Consult::new(Settings { keep_most: 100, in_hand: 1000, ..settings(Mode::Deny) }, 7).expect("sound");
+        OutsidePolicy::new(Settings { keep_most: 100, in_hand: 1000, ..settings(FailureMode::Deny) }, 7)
+            .expect("sound");
     for k in 0..10_000 {
         let now = k as f64 / 100.0;
         let step = c.ask(now, k, &shop(k), 0, 1.0, AIM, true);
-        c.verdict(now, call(&step), Verdict::Over { reset_ms: 1e9 });
+        c.record_verdict(now, call(&step), Verdict::Over { reset_ms: 1e9 });
     }
-    assert!(c.shops_kept() <= 100);
+    assert!(c.cached_shops() <= 100);
 }
 
 #[test]
@@ -210,7 +224,7 @@
         (Settings { keep_ms: -1.0, ..Settings::default() }, "keep_ms"),
     ];
     for (settings, word) in bad {
-        let said = Consult::new(settings, 1).err().expect("refused").0;
+        let said = OutsidePolicy::new(settings, 1).err().expect("refused").0;
         assert!(said.contains(word), "{said}");
     }
 }
@@ -222,7 +236,7 @@
     fn every_request_is_decided_once_and_in_time(
         events in prop::collection::vec((0u8..6, 0u64..30, 0u32..200), 1..400),
     ) {
-        let mut c = Consult::new(Settings { in_hand: 20, ..settings(Mode::Deny) }, 3).expect("sound");
+        let mut c = OutsidePolicy::new(Settings { in_hand: 20, ..settings(FailureMode::Deny) }, 3).expect("sound");
         let mut now = 0.0;
         let mut open: Vec<(u64, u64, f64)> = Vec::new();
         let mut decided = std::collections::BTreeSet::new();
@@ -231,13 +245,13 @@
             now += f64::from(gap);
             while let Some(at) = open.iter().position(|(_, _, until)| *until <= now) {
                 let (call, of, until) = open.remove(at);
-                let step = c.late(until, call);
-                let ended = step.as_ref().is_some_and(|(r, s)| *r == of && !matches!(s, Step::Ask { .. }));
+                let step = c.time_out(until, call);
+                let ended = step.as_ref().is_some_and(|(r, s)| *r == of && !matches!(s, OutsideDecision::Ask { .. }));
                 prop_assert!(ended);
                 prop_assert!(decided.insert(of));
             }
             match c.ask(now, request, &shop(n), 0, 1.0, AIM, kind != 5) {
-                Step::Ask { call, within } => {
+                OutsideDecision::Ask { call, within } => {
                     prop_assert!(within <= 0.2 * AIM.0 + 1e-9);
                     let said = match kind {
                         0 => Some(OK),
@@ -247,7 +261,7 @@
                     };
                     match said {
                         Some(verdict) => {
-                            prop_assert!(c.verdict(now, call, verdict).is_some_and(|(r, _)| r == request));
+                            prop_assert!(c.record_verdict(now, call, verdict).is_some_and(|(r, _)| r == request));
                             prop_assert!(decided.insert(request));
                         }
                         None => open.push((call, request, now + within)),
@@ -255,10 +269,10 @@
                 }
                 _ => prop_assert!(decided.insert(request)),
             }
-            prop_assert_eq!(c.in_hand(), open.len());
+            prop_assert_eq!(c.in_flight(), open.len());
             prop_assert!(open.len() <= 20);
             if kind == 4 && n == 0 {
-                for (r, _) in c.unlinked() {
+                for (r, _) in c.link_lost() {
                     prop_assert!(decided.insert(r));
                 }
                 open.clear();
--- a/crates/owner/src/fence.rs
+++ b/crates/owner/src/fence.rs
@@ -24,9 +24,9 @@
 
 /// Until when a session holds, in ms of its agent's own monotonic clock. All leases of the session share it.
 #[derive(Debug, Clone, Default)]
-pub struct Until(Arc<AtomicU64>);
+pub struct LeaseExpiry(Arc<AtomicU64>);
 
-impl Until {
+impl LeaseExpiry {
     /// The instant itself; 0 is never.
     #[must_use]
     pub fn get(&self) -> u64 {
@@ -39,38 +39,38 @@
 
     /// A copy that no longer hears of renewals: models copy whole hosts.
     #[must_use]
-    pub fn detached(&self) -> Until {
-        Until(Arc::new(AtomicU64::new(self.get())))
+    pub fn detached(&self) -> LeaseExpiry {
+        LeaseExpiry(Arc::new(AtomicU64::new(self.get())))
     }
 }
 
-impl PartialEq for Until {
-    fn eq(&self, other: &Until) -> bool {
+impl PartialEq for LeaseExpiry {
+    fn eq(&self, other: &LeaseExpiry) -> bool {
         self.get() == other.get()
     }
 }
 
-impl Eq for Until {}
+impl Eq for LeaseExpiry {}
 
-impl Hash for Until {
+impl Hash for LeaseExpiry {
     fn hash<H: Hasher>(&self, state: &mut H) {
         self.get().hash(state);
     }
 }
 
-/// The right to do one duty, for as long as the session that it belongs to holds. Given out by [`crate::Host`] alone.
+/// The right to do one duty, for as long as the session that it belongs to holds. Given out by [`crate::DutyController`] alone.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Lease {
     duty: String,
     epoch: u64,
     owner: Owner,
-    until: Until,
-    ended: Until,
+    until: LeaseExpiry,
+    ended: LeaseExpiry,
 }
 
 impl Lease {
-    pub(crate) fn new(duty: &str, epoch: u64, owner: Owner, until: Until) -> Lease {
-        Lease { duty: duty.to_string(), epoch, owner, until, ended: Until::default() }
+    pub(crate) fn new(duty: &str, epoch: u64, owner: Owner, until: LeaseExpiry) -> Lease {
+        Lease { duty: duty.to_string(), epoch, owner, until, ended: LeaseExpiry::default() }
     }
 
     /// The duty.
@@ -97,7 +97,7 @@
     }
 
     /// A copy that shares nothing with this one but what it is given: models copy whole hosts.
-    pub(crate) fn detached_on(&self, until: &Until) -> Lease {
+    pub(crate) fn detached_on(&self, until: &LeaseExpiry) -> Lease {
         Lease { until: until.clone(), ended: self.ended.detached(), ..self.clone() }
     }
 
@@ -105,10 +105,10 @@
     ///
     /// # Errors
     /// When it holds no longer.
-    pub fn left(&self, now: u64) -> Result<u64, Lapsed> {
+    pub fn remaining_ms(&self, now: u64) -> Result<u64, LeaseExpired> {
         let left = self.until.get().saturating_sub(now);
         if left == 0 || self.ended.get() != 0 {
-            return Err(Lapsed { duty: self.duty.clone(), epoch: self.epoch });
+            return Err(LeaseExpired { duty: self.duty.clone(), epoch: self.epoch });
         }
         Ok(left)
     }
@@ -117,28 +117,28 @@
     ///
     /// # Errors
     /// When the lease holds no longer: then the effect must not be tried.
-    pub fn fence(&self, now: u64) -> Result<Fence, Lapsed> {
-        self.left(now)?;
+    pub fn fence(&self, now: u64) -> Result<Fence, LeaseExpired> {
+        self.remaining_ms(now)?;
         Ok(Fence { duty: self.duty.clone(), epoch: self.epoch, owner: self.owner.to_string() })
     }
 }
 
 /// A lease that holds no longer.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Lapsed {
+pub struct LeaseExpired {
     /// The duty.
     pub duty: String,
     /// Under which epoch it was held.
     pub epoch: u64,
 }
 
-impl fmt::Display for Lapsed {
+impl fmt::Display for LeaseExpired {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "the lease of duty {} (epoch {}) holds no longer; nothing was done", self.duty, self.epoch)
     }
 }
 
-impl std::error::Error for Lapsed {}
+impl std::error::Error for LeaseExpired {}
 
 /// The proof of a lease that held a moment ago. Only [`Lease::fence`] makes one, so an effect that wants a fence can't
 /// be called without a lease.
@@ -171,7 +171,7 @@
 
 /// What stands where an effect was refused.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct Stands {
+pub struct CurrentEpoch {
     /// The highest epoch seen.
     pub epoch: u64,
     /// Whose it is; empty where it was only told that it exists.
@@ -181,54 +181,54 @@
 /// The highest epoch of each duty that a resource has seen, and the rule by which it takes what comes. The database keeps
 /// the same in a table of its own.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
-pub struct Table {
-    seen: BTreeMap<String, Stands>,
+pub struct FenceTable {
+    seen: BTreeMap<String, CurrentEpoch>,
     most: usize,
 }
 
 /// Why an effect is not taken.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Refused {
+pub enum FenceError {
     /// A higher epoch was seen, or the same one from another owner.
-    Old(Stands),
+    Stale(CurrentEpoch),
     /// More duties than there can be.
     Full,
 }
 
-impl Table {
+impl FenceTable {
     /// Remembers so many duties at the most.
     #[must_use]
-    pub fn new(most: usize) -> Table {
-        Table { seen: BTreeMap::new(), most }
+    pub fn new(most: usize) -> FenceTable {
+        FenceTable { seen: BTreeMap::new(), most }
     }
 
     /// Takes an effect in, or says what stands.
     ///
     /// # Errors
     /// When it is a former owner's.
-    pub fn admit(&mut self, duty: &str, epoch: u64, owner: &str) -> Result<(), Refused> {
+    pub fn admit(&mut self, duty: &str, epoch: u64, owner: &str) -> Result<(), FenceError> {
         if let Some(stands) = self.seen.get_mut(duty) {
             let same = stands.epoch == epoch && (stands.owner.is_empty() || stands.owner == owner);
             if epoch < stands.epoch || (epoch == stands.epoch && !same) {
-                return Err(Refused::Old(stands.clone()));
+                return Err(FenceError::Stale(stands.clone()));
             }
-            *stands = Stands { epoch, owner: owner.to_string() };
+            *stands = CurrentEpoch { epoch, owner: owner.to_string() };
             return Ok(());
         }
         if self.seen.len() >= self.most {
-            return Err(Refused::Full);
+            return Err(FenceError::Full);
         }
-        self.seen.insert(duty.to_string(), Stands { epoch, owner: owner.to_string() });
+        self.seen.insert(duty.to_string(), CurrentEpoch { epoch, owner: owner.to_string() });
         Ok(())
     }
 
     /// Hears that an epoch was given out, with no effect of it yet: lower ones are refused from now on.
-    pub fn floor(&mut self, duty: &str, epoch: u64) {
+    pub fn raise_floor(&mut self, duty: &str, epoch: u64) {
         let room = self.seen.len() < self.most;
         match self.seen.get_mut(duty) {
-            Some(stands) if stands.epoch < epoch => *stands = Stands { epoch, owner: String::new() },
+            Some(stands) if stands.epoch < epoch => *stands = CurrentEpoch { epoch, owner: String::new() },
             None if room => {
-                self.seen.insert(duty.to_string(), Stands { epoch, owner: String::new() });
+                self.seen.insert(duty.to_string(), CurrentEpoch { epoch, owner: String::new() });
             }
             _ => {}
         }
@@ -236,12 +236,12 @@
 
     /// What stands for a duty.
     #[must_use]
-    pub fn stands(&self, duty: &str) -> Option<&Stands> {
+    pub fn current(&self, duty: &str) -> Option<&CurrentEpoch> {
         self.seen.get(duty)
     }
 
     /// All of it, by duty.
-    pub fn iter(&self) -> impl Iterator<Item = (&str, &Stands)> {
+    pub fn iter(&self) -> impl Iterator<Item = (&str, &CurrentEpoch)> {
         self.seen.iter().map(|(duty, stands)| (duty.as_str(), stands))
     }
 }
@@ -252,30 +252,33 @@
 
     #[test]
     fn a_resource_takes_no_epoch_below_one_that_it_has_seen() {
-        let mut table = Table::new(2);
+        let mut table = FenceTable::new(2);
         assert!(table.admit("export", 5, "a#1").is_ok());
         assert!(table.admit("export", 5, "a#1").is_ok(), "the same owner goes on");
-        assert!(matches!(table.admit("export", 4, "b#1"), Err(Refused::Old(s)) if s.epoch == 5));
-        assert!(matches!(table.admit("export", 5, "b#1"), Err(Refused::Old(_))), "one number, two owners");
-        table.floor("export", 7);
-        assert!(matches!(table.admit("export", 6, "a#1"), Err(Refused::Old(_))));
+        assert!(matches!(table.admit("export", 4, "b#1"), Err(FenceError::Stale(s)) if s.epoch == 5));
+        assert!(
+            matches!(table.admit("export", 5, "b#1"), Err(FenceError::Stale(_))),
+            "one number, two owners"
+        );
+        table.raise_floor("export", 7);
+        assert!(matches!(table.admit("export", 6, "a#1"), Err(FenceError::Stale(_))));
         assert!(table.admit("export", 7, "b#1").is_ok());
-        table.floor("export", 3);
-        assert_eq!(table.stands("export").map(|s| s.epoch), Some(7), "a floor never sinks");
+        table.raise_floor("export", 3);
+        assert_eq!(table.current("export").map(|s| s.epoch), Some(7), "a floor never sinks");
         assert!(table.admit("gaps", 1, "a#1").is_ok());
-        assert_eq!(table.admit("roll-up", 1, "a#1"), Err(Refused::Full));
+        assert_eq!(table.admit("roll-up", 1, "a#1"), Err(FenceError::Full));
     }
 
     #[test]
     fn no_fence_without_a_live_lease() {
-        let until = Until::default();
+        let until = LeaseExpiry::default();
         let owner = Owner { agent: "a".into(), life: 3 };
         let lease = Lease::new("export", 9, owner, until.clone());
         assert!(lease.fence(0).is_err(), "a session that never held");
         until.set(100);
         let fence = lease.fence(99).expect("held");
         assert_eq!((fence.duty(), fence.epoch(), fence.owner()), ("export", 9, "a#3"));
-        assert_eq!(lease.fence(100), Err(Lapsed { duty: "export".into(), epoch: 9 }));
+        assert_eq!(lease.fence(100), Err(LeaseExpired { duty: "export".into(), epoch: 9 }));
         until.set(200);
         assert!(lease.fence(100).is_ok());
         lease.end();
--- a/crates/owner/src/host.rs
+++ b/crates/owner/src/host.rs
@@ -1,8 +1,8 @@
 //! What one agent does about duties: events with their time in, actions out. Times are ms of the agent's own monotonic
 //! clock; draws come from a seed.
 
-use crate::fence::{Lease, Owner, Until};
-use crate::registry::{Command, Outcome, Refusal, STEPS_MOST, State, Step, Why};
+use crate::fence::{Lease, LeaseExpiry, Owner};
+use crate::registry::{Command, MAX_STEPS_PER_BEAT, Outcome, Refusal, ReleaseReason, State, Step};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Claims that are on their way at once.
@@ -22,31 +22,31 @@
     /// How far a clock may run off, in thousandths of its speed.
     pub drift_milli: u64,
     /// For models: stands in for a safeguard that is taken out. Always `false` in a program.
-    pub careless: Careless,
+    pub disabled_safeguard: DisabledSafeguard,
 }
 
 /// A safeguard that is taken out, so that its test can be seen to fail.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash)]
-pub enum Careless {
+pub enum DisabledSafeguard {
     /// None is.
     #[default]
-    Not,
+    NoneDisabled,
     /// A holder counts from the answer, not from when it asked.
-    CountsFromAnswer,
+    LeaseCountedFromRequest,
     /// Silence is waited for no longer than the lease, whatever clocks do.
-    NoDrift,
+    ClockDriftAllowance,
 }
 
 /// The least lease, in ms.
-pub const LEASE_LEAST: u64 = 500;
+pub const MIN_LEASE_MS: u64 = 500;
 /// The longest lease, in ms.
-pub const LEASE_MOST: u64 = 600_000;
+pub const MAX_LEASE_MS: u64 = 600_000;
 /// The largest allowance for clocks, in thousandths.
-pub const DRIFT_MOST: u64 = 200;
+pub const MAX_DRIFT_MILLI: u64 = 200;
 
 impl Default for Settings {
     fn default() -> Self {
-        Settings { lease_ms: 3000, drift_milli: 60, careless: Careless::Not }
+        Settings { lease_ms: 3000, drift_milli: 60, disabled_safeguard: DisabledSafeguard::NoneDisabled }
     }
 }
 
@@ -56,19 +56,19 @@
     /// # Errors
     /// With the field and its range.
     pub fn check(&self) -> Result<(), String> {
-        if !(LEASE_LEAST..=LEASE_MOST).contains(&self.lease_ms) {
-            return Err(format!("lease_ms: {}; {LEASE_LEAST} to {LEASE_MOST}", self.lease_ms));
+        if !(MIN_LEASE_MS..=MAX_LEASE_MS).contains(&self.lease_ms) {
+            return Err(format!("lease_ms: {}; {MIN_LEASE_MS} to {MAX_LEASE_MS}", self.lease_ms));
         }
-        if self.drift_milli > DRIFT_MOST {
-            return Err(format!("drift_milli: {}; 0 to {DRIFT_MOST}", self.drift_milli));
+        if self.drift_milli > MAX_DRIFT_MILLI {
+            return Err(format!("drift_milli: {}; 0 to {MAX_DRIFT_MILLI}", self.drift_milli));
         }
         Ok(())
     }
 
     /// How long others wait for a silent session.
     #[must_use]
-    pub fn silence_ms(&self) -> u64 {
-        if self.careless == Careless::NoDrift {
+    pub fn expiry_wait_ms(&self) -> u64 {
+        if self.disabled_safeguard == DisabledSafeguard::ClockDriftAllowance {
             return self.lease_ms;
         }
         let d = self.drift_milli;
@@ -93,11 +93,11 @@
 /// Something to be done.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum Action {
-    /// Have the council decide; what comes of it goes to [`Host::answered`].
+    /// Have the council decide; what comes of it goes to [`DutyController::handle_outcome`].
     Propose(Command),
     /// Begin to do a duty, under this lease.
     Begin(Lease),
-    /// End doing it: start no step more, and say when the one in hand is over ([`Host::stopped`]).
+    /// End doing it: start no step more, and say when the one in hand is over ([`DutyController::step_stopped`]).
     Stop {
         /// Which.
         duty: String,
@@ -105,21 +105,21 @@
         epoch: u64,
     },
     /// A line for operators.
-    Tell(Tell),
+    Notify(Notice),
 }
 
 /// What operators hear.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub enum Tell {
+pub enum Notice {
     /// This agent owns a duty now.
-    Owns {
+    Acquired {
         /// Which.
         duty: String,
         /// Under which epoch.
         epoch: u64,
     },
     /// It owns it no longer.
-    Left {
+    Released {
         /// Which.
         duty: String,
         /// Under which epoch.
@@ -128,16 +128,16 @@
         why: &'static str,
     },
     /// Its session ran out by its own clock: all it owns was stopped.
-    Lapsed {
+    SessionExpired {
         /// How many duties.
         duties: usize,
     },
     /// Others have ended its session.
-    Ended,
+    SessionEnded,
     /// It has had another's session ended.
-    Silent(Owner),
+    PeerExpired(Owner),
     /// A duty was set aside.
-    Aside {
+    SetAside {
         /// Which.
         duty: String,
         /// What was said last.
@@ -149,7 +149,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 enum Leave {
     To(Owner),
-    Free(Why),
+    Free(ReleaseReason),
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
@@ -170,7 +170,7 @@
 
 /// One agent.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct Host {
+pub struct DutyController {
     agent: String,
     zone: String,
     can: Vec<String>,
@@ -179,7 +179,7 @@
     lots: u64,
     life: u64,
     session: Session,
-    until: Until,
+    until: LeaseExpiry,
     /// The last beat that was sent, and when those without an answer were.
     number: u64,
     beats: BTreeMap<u64, u64>,
@@ -219,11 +219,18 @@
     draw(&mut state)
 }
 
-impl Host {
+impl DutyController {
     /// An agent that has no session yet. `nonce` and `seed` are drawn anew with each start.
     #[must_use]
-    pub fn new(agent: &str, zone: &str, can: &[String], settings: Settings, nonce: u64, seed: u64) -> Host {
-        Host {
+    pub fn new(
+        agent: &str,
+        zone: &str,
+        can: &[String],
+        settings: Settings,
+        nonce: u64,
+        seed: u64,
+    ) -> DutyController {
+        DutyController {
             agent: agent.to_string(),
             zone: zone.to_string(),
             can: can.to_vec(),
@@ -232,7 +239,7 @@
             lots: seed,
             life: 0,
             session: Session::None { next: 0 },
-            until: Until::default(),
+            until: LeaseExpiry::default(),
             number: 0,
             beats: BTreeMap::new(),
             next_beat: 0,
@@ -252,12 +259,12 @@
     }
 
     /// Tells it Unix time less its monotonic clock, both in ms: for people alone.
-    pub fn set_wall(&mut self, wall: i64) {
+    pub fn set_wall_offset_ms(&mut self, wall: i64) {
         self.wall = wall;
     }
 
     /// These steps, by duty and epoch, were in hand when the process of its former life died.
-    pub fn set_fell(&mut self, fell: Vec<(String, u64)>) {
+    pub fn set_interrupted_steps(&mut self, fell: Vec<(String, u64)>) {
         self.fell = fell;
     }
 
@@ -273,7 +280,7 @@
 
     /// Whether its session holds by its own clock.
     #[must_use]
-    pub fn holds(&self, now: u64) -> bool {
+    pub fn holds_session(&self, now: u64) -> bool {
         self.session == Session::Open && now < self.until.get()
     }
 
@@ -284,7 +291,7 @@
 
     /// A copy that shares nothing with this one: models copy whole hosts.
     #[must_use]
-    pub fn detached(&self) -> Host {
+    pub fn detached(&self) -> DutyController {
         let mut copy = self.clone();
         copy.until = self.until.detached();
         for (duty, lease) in &mut copy.held {
@@ -294,13 +301,13 @@
     }
 
     /// The state has changed, or time has passed: called with each change and every few hundredths of a lease.
-    pub fn turn(&mut self, now: u64, state: &State) -> Vec<Action> {
+    pub fn tick(&mut self, now: u64, state: &State) -> Vec<Action> {
         let mut out = Vec::new();
         self.look(now, state, &mut out);
         self.keep_session(now, state, &mut out);
         self.end_silent(now, &mut out);
         self.lapse(now, &mut out);
-        if self.holds(now) {
+        if self.holds_session(now) {
             self.take_up(state, &mut out);
             self.part(now, state, &mut out);
             self.go(now, &mut out);
@@ -313,7 +320,7 @@
     }
 
     /// What became of a proposal; nothing is known of one whose answer was lost.
-    pub fn answered(&mut self, now: u64, command: &Command, outcome: Option<&Outcome>) -> Vec<Action> {
+    pub fn handle_outcome(&mut self, now: u64, command: &Command, outcome: Option<&Outcome>) -> Vec<Action> {
         let mut out = Vec::new();
         let me = self.owner();
         match (command, outcome) {
@@ -346,7 +353,7 @@
                     match outcome {
                         // Handed to one that has just gone: it is given up instead.
                         Some(Outcome::Refused(Refusal::Gone | Refusal::Invalid(_) | Refusal::Stopped)) => {
-                            leaving.how = Leave::Free(Why::Asked);
+                            leaving.how = Leave::Free(ReleaseReason::Asked);
                             leaving.sent = None;
                         }
                         None => leaving.sent = None,
@@ -356,7 +363,7 @@
                 }
             }
             (Command::Expire { owner, .. }, Some(Outcome::Done)) => {
-                out.push(Action::Tell(Tell::Silent(owner.clone())));
+                out.push(Action::Notify(Notice::PeerExpired(owner.clone())));
             }
             (Command::Expire { owner, .. }, _) => {
                 if let Some(other) = self.others.get_mut(owner) {
@@ -369,18 +376,24 @@
     }
 
     /// A step of a duty is done.
-    pub fn done(&mut self, step: Step) {
+    pub fn step_done(&mut self, step: Step) {
         if self.steps.len() < STEPS_WAIT || self.steps.contains_key(&step.duty) {
             self.steps.insert(step.duty.clone(), step);
         }
     }
 
     /// A step of a duty has crashed: it is given up, and counted against the duty.
-    pub fn crashed(&mut self, now: u64, duty: &str, epoch: u64, said: &str) -> Vec<Action> {
+    pub fn step_crashed(&mut self, now: u64, duty: &str, epoch: u64, said: &str) -> Vec<Action> {
         let mut out = Vec::new();
         if self.held.get(duty).is_some_and(|l| l.epoch() == epoch) {
             self.steps.remove(duty);
-            self.leave(now, duty, Leave::Free(Why::Crashed(said.to_string())), "its step crashed", &mut out);
+            self.leave(
+                now,
+                duty,
+                Leave::Free(ReleaseReason::Crashed(said.to_string())),
+                "its step crashed",
+                &mut out,
+            );
             if let Some(leaving) = self.leaving.get_mut(duty) {
                 leaving.stopped = true;
             }
@@ -392,17 +405,23 @@
     /// A resource refused this agent's epoch and told which stands. If the council still has this agent for the owner, the
     /// resource has seen a number that the council does not know of, as after a restored backup of the council's own
     /// files: numbers are raised above it, and the duty is taken anew.
-    pub fn fenced(&mut self, now: u64, duty: &str, epoch: u64, stands: u64) -> Vec<Action> {
+    pub fn step_fenced(&mut self, now: u64, duty: &str, epoch: u64, stands: u64) -> Vec<Action> {
         let mut out = Vec::new();
-        if self.holds(now) && self.held.get(duty).is_some_and(|l| l.epoch() == epoch) {
+        if self.holds_session(now) && self.held.get(duty).is_some_and(|l| l.epoch() == epoch) {
             out.push(Action::Propose(Command::Raise { epoch: stands }));
-            self.leave(now, duty, Leave::Free(Why::Asked), "a resource has seen a higher epoch", &mut out);
+            self.leave(
+                now,
+                duty,
+                Leave::Free(ReleaseReason::Asked),
+                "a resource has seen a higher epoch",
+                &mut out,
+            );
         }
         out
     }
 
     /// The step in hand at a stop is over.
-    pub fn stopped(&mut self, now: u64, duty: &str, epoch: u64) -> Vec<Action> {
+    pub fn step_stopped(&mut self, now: u64, duty: &str, epoch: u64) -> Vec<Action> {
         let mut out = Vec::new();
         if let Some(leaving) = self.leaving.get_mut(duty).filter(|l| l.epoch == epoch) {
             leaving.stopped = true;
@@ -417,14 +436,14 @@
         if self.session != Session::Open || !state.sessions.contains_key(&self.owner()) {
             return (true, Vec::new());
         }
-        let mut out = self.turn(now, state);
+        let mut out = self.tick(now, state);
         let mut loads = loads(state);
         let names: Vec<String> =
             self.held.keys().filter(|d| !self.leaving.contains_key(*d)).cloned().collect();
         for duty in names {
             let how = match self.heir(&duty, state, &mut loads) {
                 Some(heir) => Leave::To(heir),
-                None => Leave::Free(Why::Asked),
+                None => Leave::Free(ReleaseReason::Asked),
             };
             self.leave(now, &duty, how, "this agent ends", &mut out);
         }
@@ -453,7 +472,11 @@
         if self.shut {
             return;
         }
-        let from = if self.settings.careless == Careless::CountsFromAnswer { now } else { sent };
+        let from = if self.settings.disabled_safeguard == DisabledSafeguard::LeaseCountedFromRequest {
+            now
+        } else {
+            sent
+        };
         self.until.set(self.until.get().max(from + self.settings.lease_ms));
     }
 
@@ -474,10 +497,10 @@
         }
         // Its own end in order is no news.
         if !self.shut {
-            out.push(Action::Tell(Tell::Ended));
+            out.push(Action::Notify(Notice::SessionEnded));
         }
         self.until.set(0);
-        self.until = Until::default();
+        self.until = LeaseExpiry::default();
         self.session = Session::None { next: 0 };
         self.stop_all("its session has ended", out);
         self.leaving.clear();
@@ -487,7 +510,7 @@
         for (duty, lease) in std::mem::take(&mut self.held) {
             lease.end();
             out.push(Action::Stop { duty: duty.clone(), epoch: lease.epoch() });
-            out.push(Action::Tell(Tell::Left { duty, epoch: lease.epoch(), why }));
+            out.push(Action::Notify(Notice::Released { duty, epoch: lease.epoch(), why }));
         }
         self.claims.clear();
     }
@@ -495,7 +518,7 @@
     /// By its own clock it holds nothing any more. What was on its way to others stays so: it may still arrive there.
     fn lapse(&mut self, now: u64, out: &mut Vec<Action>) {
         if !self.held.is_empty() && now >= self.until.get() {
-            out.push(Action::Tell(Tell::Lapsed { duties: self.held.len() }));
+            out.push(Action::Notify(Notice::SessionExpired { duties: self.held.len() }));
             self.stop_all("its lease ran out", out);
         }
     }
@@ -508,7 +531,7 @@
                 self.life = state.lives.get(&self.agent).copied().unwrap_or(0).max(self.life) + 1;
                 self.number = 0;
                 self.beats.clear();
-                self.until = Until::default();
+                self.until = LeaseExpiry::default();
                 self.session = Session::Opening { sent: now };
                 let (nonce, zone, duties) = (self.nonce, self.zone.clone(), self.can.clone());
                 let (fell, at_ms) = (self.fell.clone(), self.at_ms(now));
@@ -556,7 +579,7 @@
         let pause = if self.beats.len() > 1 { self.settings.again_ms() } else { self.settings.beat_ms() };
         self.next_beat = now + pause;
         let mut steps = Vec::new();
-        while steps.len() < STEPS_MOST
+        while steps.len() < MAX_STEPS_PER_BEAT
             && let Some((_, step)) = self.steps.pop_first()
         {
             steps.push(step);
@@ -581,13 +604,13 @@
             }
         }
         self.free.retain(|d, f| {
-            state.duties.get(d).is_some_and(|d| d.owner.is_none() && d.runs() && d.epoch == f.0)
+            state.duties.get(d).is_some_and(|d| d.owner.is_none() && d.is_runnable() && d.epoch == f.0)
         });
         for (name, duty) in &state.duties {
             match (&duty.aside, self.aside.contains(name)) {
                 (Some(said), false) => {
                     self.aside.insert(name.clone());
-                    out.push(Action::Tell(Tell::Aside { duty: name.clone(), said: said.clone() }));
+                    out.push(Action::Notify(Notice::SetAside { duty: name.clone(), said: said.clone() }));
                 }
                 (None, true) => drop(self.aside.remove(name)),
                 _ => {}
@@ -596,7 +619,8 @@
     }
 
     fn end_silent(&mut self, now: u64, out: &mut Vec<Action>) {
-        let (silence, turn, at_ms) = (self.settings.silence_ms(), self.settings.turn_ms(), self.at_ms(now));
+        let (silence, turn, at_ms) =
+            (self.settings.expiry_wait_ms(), self.settings.turn_ms(), self.at_ms(now));
         for (owner, (number, since, asked)) in &mut self.others {
             // Not all at once: the first to ask does it for all.
             let own = rank(&owner.agent, &self.agent) % turn;
@@ -639,7 +663,7 @@
                     let lease = Lease::new(name, duty.epoch, me.clone(), self.until.clone());
                     self.claims.remove(name);
                     self.held.insert(name.clone(), lease.clone());
-                    out.push(Action::Tell(Tell::Owns { duty: name.clone(), epoch: duty.epoch }));
+                    out.push(Action::Notify(Notice::Acquired { duty: name.clone(), epoch: duty.epoch }));
                     out.push(Action::Begin(lease));
                 }
             }
@@ -655,7 +679,7 @@
         let leaving = Leaving { epoch, how, asked: now, stopped: false, sent: None };
         self.leaving.insert(duty.to_string(), leaving);
         out.push(Action::Stop { duty: duty.to_string(), epoch });
-        out.push(Action::Tell(Tell::Left { duty: duty.to_string(), epoch, why }));
+        out.push(Action::Notify(Notice::Released { duty: duty.to_string(), epoch, why }));
     }
 
     /// What is paused or wanted elsewhere leaves.
@@ -664,8 +688,8 @@
             self.held.keys().filter(|d| !self.leaving.contains_key(*d)).cloned().collect();
         for name in names {
             let Some(duty) = state.duties.get(&name) else { continue };
-            if !duty.runs() {
-                self.leave(now, &name, Leave::Free(Why::Asked), "it is paused", out);
+            if !duty.is_runnable() {
+                self.leave(now, &name, Leave::Free(ReleaseReason::Asked), "it is paused", out);
             } else if let Some(agent) = duty.wanted.as_ref().filter(|a| **a != self.agent)
                 && let Some(heir) = latest(state, agent, &name)
             {
@@ -707,7 +731,7 @@
         let free: Vec<&String> = state
             .duties
             .iter()
-            .filter(|(name, d)| d.owner.is_none() && d.runs() && self.can.contains(*name))
+            .filter(|(name, d)| d.owner.is_none() && d.is_runnable() && self.can.contains(*name))
             .map(|(name, _)| name)
             .collect();
         if free.is_empty() {
@@ -782,7 +806,7 @@
             return;
         }
         self.next_even = now + self.settings.lease_ms / 2;
-        if state.duties.values().any(|d| d.owner.is_none() && d.runs()) {
+        if state.duties.values().any(|d| d.owner.is_none() && d.is_runnable()) {
             return;
         }
         let mut loads = loads(state);
--- a/crates/owner/src/lib.rs
+++ b/crates/owner/src/lib.rs
@@ -28,6 +28,6 @@
 pub mod host;
 pub mod registry;
 
-pub use fence::{Fence, Lapsed, Lease, Stands, Table};
-pub use host::{Action, Host, Settings};
+pub use fence::{CurrentEpoch, Fence, FenceTable, Lease, LeaseExpired};
+pub use host::{Action, DutyController, Settings};
 pub use registry::{Command, Outcome, Refusal, State};
--- a/crates/owner/src/registry.rs
+++ b/crates/owner/src/registry.rs
@@ -8,27 +8,27 @@
 use std::fmt;
 
 /// Agents with a session at once.
-pub const AGENTS_MOST: usize = 256;
+pub const MAX_AGENTS: usize = 256;
 /// Lives of one agent at once: a former one stays until its silence was seen.
-pub const LIVES_MOST: usize = 8;
+pub const MAX_LIVES: usize = 8;
 /// Duties.
-pub const DUTIES_MOST: usize = 10_000;
+pub const MAX_DUTIES: usize = 10_000;
 /// Changes of owner that are remembered, of all duties together.
-pub const HISTORY_MOST: usize = 2_000;
+pub const MAX_HISTORY: usize = 2_000;
 /// Bytes of a decision, and of an intent; intents of one duty.
-pub const DECISION_MOST: usize = 64 * 1024;
-/// See [`DECISION_MOST`].
-pub const INTENT_MOST: usize = 1024;
-/// See [`DECISION_MOST`].
-pub const INTENTS_MOST: usize = 256;
+pub const MAX_DECISION_BYTES: usize = 64 * 1024;
+/// See [`MAX_DECISION_BYTES`].
+pub const MAX_OVERRIDE_BYTES: usize = 1024;
+/// See [`MAX_DECISION_BYTES`].
+pub const MAX_OVERRIDES: usize = 256;
 /// Bytes of a name.
-pub const NAME_MOST: usize = 64;
+pub const MAX_NAME_BYTES: usize = 64;
 /// Bytes of a reason.
-pub const WHY_MOST: usize = 256;
+pub const MAX_REASON_BYTES: usize = 256;
 /// Ends under one owner after another without a word of a step, after which a duty is set aside.
-pub const CRASHES_MOST: u32 = 3;
+pub const MAX_CRASHES: u32 = 3;
 /// Steps that one beat may tell of.
-pub const STEPS_MOST: usize = 64;
+pub const MAX_STEPS_PER_BEAT: usize = 64;
 
 /// How an epoch is made up: recoveries above, grants below. After a recovery every epoch is higher than any that a
 /// member who is gone for good may have given out.
@@ -99,7 +99,7 @@
         /// Under which epoch.
         epoch: u64,
         /// Why.
-        why: Why,
+        why: ReleaseReason,
         /// When, Unix time in ms, for people.
         at_ms: u64,
     },
@@ -171,7 +171,7 @@
         /// About what.
         key: String,
         /// What.
-        intent: Intent,
+        intent: OperatorOverride,
     },
     /// An intent is over.
     Withdraw {
@@ -200,7 +200,7 @@
 
 /// Why an owner gave a duty up.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Why {
+pub enum ReleaseReason {
     /// It was asked to.
     Asked,
     /// Its step has failed or crashed, with what was said.
@@ -314,14 +314,14 @@
 impl Duty {
     /// Whether it may have an owner.
     #[must_use]
-    pub fn runs(&self) -> bool {
+    pub fn is_runnable(&self) -> bool {
         self.paused.is_none() && self.aside.is_none()
     }
 }
 
 /// A change of owner.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Change {
+pub struct OwnershipChange {
     /// Of which duty.
     pub duty: String,
     /// Under which epoch.
@@ -336,7 +336,7 @@
 
 /// What stands of a duty's decisions.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Decided {
+pub struct StandingDecision {
     /// The version; it only grows.
     pub version: u64,
     /// The epoch that it was decided under, and whose that was.
@@ -351,7 +351,7 @@
 
 /// What an operator intends.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Intent {
+pub struct OperatorOverride {
     /// What, as the duty writes it.
     pub body: String,
     /// Who says so.
@@ -379,13 +379,13 @@
     /// Duties by name.
     pub duties: BTreeMap<String, Duty>,
     /// Changes of owner, oldest first.
-    pub history: VecDeque<Change>,
+    pub history: VecDeque<OwnershipChange>,
     /// What stands of each duty's decisions.
     #[serde(default)]
-    pub decisions: BTreeMap<String, Decided>,
+    pub decisions: BTreeMap<String, StandingDecision>,
     /// What operators intend, by duty and by what it is about.
     #[serde(default)]
-    pub intents: BTreeMap<String, BTreeMap<String, Intent>>,
+    pub intents: BTreeMap<String, BTreeMap<String, OperatorOverride>>,
 }
 
 /// Maps whose keys are no texts, as lists.
@@ -406,19 +406,21 @@
 #[must_use]
 pub fn is_name(text: &str) -> bool {
     let fits = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
-    (1..=NAME_MOST).contains(&text.len()) && text.chars().all(fits)
+    (1..=MAX_NAME_BYTES).contains(&text.len()) && text.chars().all(fits)
 }
 
 fn name(field: &str, text: &str) -> Result<(), Refusal> {
     if is_name(text) {
         return Ok(());
     }
-    Err(Refusal::Invalid(format!("{field}: 1 to {NAME_MOST} letters, digits, dots, dashes or underscores")))
+    Err(Refusal::Invalid(format!(
+        "{field}: 1 to {MAX_NAME_BYTES} letters, digits, dots, dashes or underscores"
+    )))
 }
 
 fn told(field: &str, text: &str) -> Result<(), Refusal> {
-    if text.is_empty() || text.len() > WHY_MOST || text.chars().any(char::is_control) {
-        return Err(Refusal::Invalid(format!("{field}: 1 to {WHY_MOST} bytes that can be printed")));
+    if text.is_empty() || text.len() > MAX_REASON_BYTES || text.chars().any(char::is_control) {
+        return Err(Refusal::Invalid(format!("{field}: 1 to {MAX_REASON_BYTES} bytes that can be printed")));
     }
     Ok(())
 }
@@ -503,13 +505,13 @@
                 told("by", &intent.by)?;
                 told("why", &intent.why)?;
                 told("key", key)?;
-                if intent.body.len() > INTENT_MOST {
-                    return Err(Refusal::Invalid(format!("body: {INTENT_MOST} bytes at the most")));
+                if intent.body.len() > MAX_OVERRIDE_BYTES {
+                    return Err(Refusal::Invalid(format!("body: {MAX_OVERRIDE_BYTES} bytes at the most")));
                 }
                 let epoch = self.known(duty)?.epoch;
                 let intents = self.intents.entry(duty.clone()).or_default();
-                if intents.len() >= INTENTS_MOST && !intents.contains_key(key) {
-                    return Err(Refusal::Full(format!("intents: {INTENTS_MOST} of one duty at the most")));
+                if intents.len() >= MAX_OVERRIDES && !intents.contains_key(key) {
+                    return Err(Refusal::Full(format!("intents: {MAX_OVERRIDES} of one duty at the most")));
                 }
                 intents.insert(key.clone(), intent.clone());
                 self.note(duty, epoch, &intent.by, &format!("intends {key}: {}", intent.why), intent.at_ms);
@@ -551,8 +553,8 @@
         at_ms: u64,
     ) -> Result<Outcome, Refusal> {
         self.held(duty, owner, epoch)?;
-        if body.len() > DECISION_MOST {
-            return Err(Refusal::Invalid(format!("body: {DECISION_MOST} bytes at the most")));
+        if body.len() > MAX_DECISION_BYTES {
+            return Err(Refusal::Invalid(format!("body: {MAX_DECISION_BYTES} bytes at the most")));
         }
         let stands = self.decisions.entry(duty.to_string()).or_default();
         if stands.version != seen {
@@ -560,7 +562,7 @@
         }
         let version = seen + 1;
         let owner = owner.to_string();
-        *stands = Decided { version, epoch, owner: owner.clone(), at_ms, body: body.to_string() };
+        *stands = StandingDecision { version, epoch, owner: owner.clone(), at_ms, body: body.to_string() };
         self.note(duty, epoch, &owner, &format!("decided version {version}"), at_ms);
         Ok(Outcome::Decided(version))
     }
@@ -578,11 +580,11 @@
     }
 
     fn note(&mut self, duty: &str, epoch: u64, who: &str, what: &str, at_ms: u64) {
-        if self.history.len() >= HISTORY_MOST {
+        if self.history.len() >= MAX_HISTORY {
             self.history.pop_front();
         }
         let (duty, who, what) = (duty.to_string(), who.to_string(), what.to_string());
-        self.history.push_back(Change { duty, epoch, who, what, at_ms });
+        self.history.push_back(OwnershipChange { duty, epoch, who, what, at_ms });
     }
 
     /// Whether it is new: one may be sent again, as its answer was lost.
@@ -598,14 +600,14 @@
             return Err(Refusal::OldLife { stands });
         }
         let lives = self.sessions.keys().filter(|o| o.agent == owner.agent).count();
-        if self.sessions.len() >= AGENTS_MOST || lives >= LIVES_MOST {
+        if self.sessions.len() >= MAX_AGENTS || lives >= MAX_LIVES {
             return Err(Refusal::Full(format!(
-                "sessions: {AGENTS_MOST} at the most, {LIVES_MOST} of one agent"
+                "sessions: {MAX_AGENTS} at the most, {MAX_LIVES} of one agent"
             )));
         }
         let new = duties.iter().filter(|d| !self.duties.contains_key(*d)).count();
-        if self.duties.len() + new > DUTIES_MOST {
-            return Err(Refusal::Full(format!("duties: {DUTIES_MOST} at the most")));
+        if self.duties.len() + new > MAX_DUTIES {
+            return Err(Refusal::Full(format!("duties: {MAX_DUTIES} at the most")));
         }
         for duty in duties {
             self.duties.entry(duty.clone()).or_default();
@@ -621,7 +623,7 @@
     fn beat(&mut self, owner: &Owner, number: u64, steps: &[Step]) -> Result<(), Refusal> {
         let session = self.sessions.get_mut(owner).ok_or(Refusal::Gone)?;
         session.number = session.number.max(number);
-        for step in steps.iter().take(STEPS_MOST) {
+        for step in steps.iter().take(MAX_STEPS_PER_BEAT) {
             if let Ok(duty) = self.held(&step.duty, owner, step.epoch) {
                 duty.crashes = 0;
                 duty.silent.clear();
@@ -670,7 +672,7 @@
         for duty in self.duties.values_mut() {
             duty.silent.remove(&owner.agent);
         }
-        for (duty, epoch) in fell.iter().take(STEPS_MOST) {
+        for (duty, epoch) in fell.iter().take(MAX_STEPS_PER_BEAT) {
             let Some(found) = self.duties.get_mut(duty) else { continue };
             // What a later owner did well is no crash.
             if found.step.as_ref().is_some_and(|s| s.epoch >= *epoch) || *epoch > found.epoch {
@@ -687,7 +689,7 @@
         let Some(found) = self.duties.get_mut(duty) else { return };
         // One that is silent may still be back: it is not added to those that are known to have died.
         let lost = found.crashes.max(u32::try_from(found.silent.len()).unwrap_or(u32::MAX));
-        if lost < CRASHES_MOST || found.aside.is_some() {
+        if lost < MAX_CRASHES || found.aside.is_some() {
             return;
         }
         found.aside = Some(short(said));
@@ -701,13 +703,13 @@
         duty: &str,
         owner: &Owner,
         epoch: u64,
-        why: &Why,
+        why: &ReleaseReason,
         at_ms: u64,
     ) -> Result<(), Refusal> {
         self.held(duty, owner, epoch)?.owner = None;
         match why {
-            Why::Asked => self.note(duty, epoch, &owner.to_string(), "gave it up", at_ms),
-            Why::Crashed(said) => {
+            ReleaseReason::Asked => self.note(duty, epoch, &owner.to_string(), "gave it up", at_ms),
+            ReleaseReason::Crashed(said) => {
                 self.note(duty, epoch, &owner.to_string(), &format!("crashed: {}", short(said)), at_ms);
                 // Whatever was done before, a step that crashes counts.
                 if let Some(found) = self.duties.get_mut(duty) {
@@ -727,7 +729,7 @@
         }
         let epoch = self.epoch + 1;
         let found = self.known(duty)?;
-        if !found.runs() {
+        if !found.is_runnable() {
             return Err(Refusal::Stopped);
         }
         found.epoch = epoch;
@@ -744,12 +746,12 @@
 
     /// How many duties a session holds.
     #[must_use]
-    pub fn load(&self, owner: &Owner) -> usize {
+    pub fn owned_duties(&self, owner: &Owner) -> usize {
         self.duties.values().filter(|d| d.owner.as_ref() == Some(owner)).count()
     }
 
     /// The changes of one duty, oldest first.
-    pub fn history_of<'a>(&'a self, duty: &'a str) -> impl Iterator<Item = &'a Change> {
+    pub fn history_of<'a>(&'a self, duty: &'a str) -> impl Iterator<Item = &'a OwnershipChange> {
         self.history.iter().filter(move |c| c.duty == duty)
     }
 }
@@ -793,7 +795,7 @@
             duty: "gaps".into(),
             owner: owner("b", 1),
             epoch: 2,
-            why: Why::Asked,
+            why: ReleaseReason::Asked,
             at_ms: 0,
         };
         assert_eq!(state.apply(&release), Outcome::Done);
@@ -829,10 +831,10 @@
     fn a_duty_that_ends_three_owners_in_a_row_is_set_aside_and_comes_back_by_hand() {
         let mut state = State::default();
         open(&mut state, "a", 1);
-        for round in 0..CRASHES_MOST {
+        for round in 0..MAX_CRASHES {
             let seen = state.duties["gaps"].epoch;
             let Outcome::Granted(epoch) = claim(&mut state, "a", 1, seen) else { panic!("round {round}") };
-            let why = Why::Crashed("index out of range".into());
+            let why = ReleaseReason::Crashed("index out of range".into());
             state.apply(&Command::Release {
                 duty: "gaps".into(),
                 owner: owner("a", 1),
@@ -862,7 +864,7 @@
             state.apply(&Command::Expire { owner: owner("a", life), number: 1, at_ms: 0 });
         }
         assert_eq!(state.duties["gaps"].crashes, 0);
-        assert!(state.duties["gaps"].runs());
+        assert!(state.duties["gaps"].is_runnable());
     }
 
     /// As seeds 4010 and 4015 of the schedules had it: agents killed or cut off by others, each with a duty that it had not
@@ -886,14 +888,14 @@
         claim(&mut state, "f", 1, seen);
         open(&mut state, "f", 2);
         state.apply(&Command::Expire { owner: owner("f", 1), number: 0, at_ms: 0 });
-        assert!(state.duties["gaps"].silent.is_empty() && state.duties["gaps"].runs());
+        assert!(state.duties["gaps"].silent.is_empty() && state.duties["gaps"].is_runnable());
     }
 
     #[test]
     fn owners_that_died_in_a_step_or_never_came_back_are() {
         let mut state = State::default();
         for (life, agent) in [(1, "a"), (2, "b"), (3, "c")] {
-            assert!(state.duties.get("gaps").is_none_or(Duty::runs));
+            assert!(state.duties.get("gaps").is_none_or(Duty::is_runnable));
             open(&mut state, agent, life);
             let Outcome::Granted(epoch) = claim(&mut state, agent, life, life - 1) else { panic!("{agent}") };
             state.apply(&Command::Expire { owner: owner(agent, life), number: 0, at_ms: 0 });
@@ -950,7 +952,7 @@
             "a former owner"
         );
         assert_eq!(state.apply(&decide("b", 2, 1, "z")), Outcome::Decided(2));
-        let long = "z".repeat(DECISION_MOST + 1);
+        let long = "z".repeat(MAX_DECISION_BYTES + 1);
         assert!(matches!(state.apply(&decide("b", 2, 2, &long)), Outcome::Refused(Refusal::Invalid(_))));
         let stands = &state.decisions["gaps"];
         assert_eq!((stands.version, stands.epoch, stands.body.as_str()), (2, 2, "z"));
@@ -963,7 +965,7 @@
         let intend = |key: &str, why: &str| Command::Intend {
             duty: "gaps".into(),
             key: key.into(),
-            intent: Intent { by: "ana".into(), why: why.into(), ..Intent::default() },
+            intent: OperatorOverride { by: "ana".into(), why: why.into(), ..OperatorOverride::default() },
         };
         assert_eq!(state.apply(&intend("room-a", "work")), Outcome::Done);
         assert_eq!(state.apply(&intend("room-a", "more work")), Outcome::Done);
@@ -977,10 +979,10 @@
         };
         assert!(matches!(state.apply(&away("room-b")), Outcome::Refused(Refusal::Unknown(_))));
         assert_eq!(state.apply(&away("room-a")), Outcome::Done);
-        for k in 0..2 * INTENTS_MOST {
+        for k in 0..2 * MAX_OVERRIDES {
             state.apply(&intend(&format!("z{k}"), "x"));
         }
-        assert_eq!(state.intents["gaps"].len(), INTENTS_MOST);
+        assert_eq!(state.intents["gaps"].len(), MAX_OVERRIDES);
     }
 
     #[test]
@@ -988,7 +990,7 @@
         let mut state = State::default();
         open(&mut state, "a", 1);
         let before = state.clone();
-        let long = "x".repeat(NAME_MOST + 1);
+        let long = "x".repeat(MAX_NAME_BYTES + 1);
         let bad = [
             Command::Open {
                 owner: owner("", 9),
@@ -1039,14 +1041,14 @@
     fn what_is_remembered_is_bounded() {
         let mut state = State::default();
         open(&mut state, "a", 1);
-        for k in 0..2 * HISTORY_MOST {
+        for k in 0..2 * MAX_HISTORY {
             let (by, why, at_ms) = ("ana".into(), "x".into(), k as u64);
             state.apply(&Command::Pause { duty: "gaps".into(), by, why, at_ms });
         }
-        assert_eq!(state.history.len(), HISTORY_MOST);
+        assert_eq!(state.history.len(), MAX_HISTORY);
         for life in 2..50 {
             open(&mut state, "a", life);
         }
-        assert_eq!(state.sessions.len(), LIVES_MOST);
+        assert_eq!(state.sessions.len(), MAX_LIVES);
     }
 }
--- a/crates/owner/tests/model.rs
+++ b/crates/owner/tests/model.rs
@@ -3,9 +3,9 @@
 //! With each safeguard taken out a counterexample has to be found.
 
 use frostvale_owner::fence::Owner;
-use frostvale_owner::host::Careless;
+use frostvale_owner::host::DisabledSafeguard;
 use frostvale_owner::registry::Step as Done;
-use frostvale_owner::{Action, Command, Host, Outcome, Settings, State, Table};
+use frostvale_owner::{Action, Command, DutyController, FenceTable, Outcome, Settings, State};
 use stateright::{Checker, Model, Property};
 
 const DUTY: &str = "d";
@@ -14,7 +14,7 @@
 
 /// A host that is copied whole.
 #[derive(Debug, PartialEq, Eq, Hash)]
-struct Whole(Host);
+struct Whole(DutyController);
 
 impl Clone for Whole {
     fn clone(&self) -> Whole {
@@ -39,7 +39,7 @@
     net: Vec<(usize, Command, bool)>,
     /// Effects on their way: epoch, owner, and whether the lease was overtaken when they began.
     effects: Vec<(u64, String)>,
-    resource: Table,
+    resource: FenceTable,
     landed: u64,
     begun: u64,
     doubled: u8,
@@ -70,7 +70,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Without {
     Nothing,
-    Host(Careless),
+    Host(DisabledSafeguard),
     /// The end of a session is no compare-and-swap.
     Compare,
     /// The resource takes whatever comes.
@@ -91,17 +91,24 @@
 
 impl Search {
     fn settings(&self) -> Settings {
-        let careless = match self.without {
-            Without::Host(careless) => careless,
-            _ => Careless::Not,
+        let disabled_safeguard = match self.without {
+            Without::Host(disabled_safeguard) => disabled_safeguard,
+            _ => DisabledSafeguard::NoneDisabled,
         };
         // Clocks of 3 and 5 where 4 is right: off by a quarter.
-        Settings { lease_ms: self.lease, drift_milli: 250, careless }
+        Settings { lease_ms: self.lease, drift_milli: 250, disabled_safeguard }
     }
 
     fn host(&self, k: usize, start: u8) -> Whole {
         let nonce = 10 * k as u64 + u64::from(start);
-        Whole(Host::new(["a", "b", "c"][k], "z", &[DUTY.to_string()], self.settings(), nonce, nonce))
+        Whole(DutyController::new(
+            ["a", "b", "c"][k],
+            "z",
+            &[DUTY.to_string()],
+            self.settings(),
+            nonce,
+            nonce,
+        ))
     }
 
     fn take(&self, world: &mut World, k: usize, actions: Vec<Action>) {
@@ -153,7 +160,7 @@
             head: State::default(),
             net: vec![],
             effects: vec![],
-            resource: Table::new(4),
+            resource: FenceTable::new(4),
             landed: 0,
             begun: 0,
             doubled: 0,
@@ -216,14 +223,14 @@
             Step::Hear(k) => world.agents[k].view = world.head.clone(),
             Step::Turn(k) => {
                 let Agent { host, clock, view, .. } = &mut world.agents[k];
-                let actions = host.0.turn(*clock, view);
+                let actions = host.0.tick(*clock, view);
                 self.take(&mut world, k, actions);
             }
             Step::Commit(n) => {
                 let (k, command, _) = world.net.remove(n);
                 let outcome = self.commit(&mut world, &command);
                 let agent = &mut world.agents[k];
-                let actions = agent.host.0.answered(agent.clock, &command, Some(&outcome));
+                let actions = agent.host.0.handle_outcome(agent.clock, &command, Some(&outcome));
                 self.take(&mut world, k, actions);
             }
             Step::Unheard(n) => {
@@ -366,8 +373,8 @@
 }
 
 missed! {
-    without_the_allowance_for_clocks_two_hold_it: Without::Host(Careless::NoDrift), "two hold";
-    without_counting_from_the_question_two_hold_it: Without::Host(Careless::CountsFromAnswer), "two hold";
+    without_the_allowance_for_clocks_two_hold_it: Without::Host(DisabledSafeguard::ClockDriftAllowance), "two hold";
+    without_counting_from_the_question_two_hold_it: Without::Host(DisabledSafeguard::LeaseCountedFromRequest), "two hold";
     without_compare_and_swap_two_hold_it: Without::Compare, "two hold";
     without_the_fence_a_late_effect_lands: Without::Fence, "landed after";
     without_a_look_at_the_clock_an_effect_begins_late: Without::Clock, "overtaken";
--- a/crates/owner/tests/sim.rs
+++ b/crates/owner/tests/sim.rs
@@ -3,7 +3,7 @@
 
 use frostvale_owner::fence::Owner;
 use frostvale_owner::registry::Step;
-use frostvale_owner::{Action, Command, Host, Lease, Outcome, Settings, State};
+use frostvale_owner::{Action, Command, DutyController, Lease, Outcome, Settings, State};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 
@@ -18,7 +18,7 @@
 }
 
 struct Agent {
-    host: Host,
+    host: DutyController,
     /// Its clock runs at so many thousandths of true time.
     rate: u64,
     /// Until when, by true time, it does nothing at all.
@@ -68,7 +68,7 @@
     }
 
     fn fresh(&self, k: usize, rate: u64, nonce: u64) -> Agent {
-        let host = Host::new(&format!("a{k}"), "z", &self.names, self.settings, nonce, nonce);
+        let host = DutyController::new(&format!("a{k}"), "z", &self.names, self.settings, nonce, nonce);
         Agent { host, rate, stopped: 0, dead: false, leases: BTreeMap::new() }
     }
 
@@ -94,16 +94,16 @@
                         next_ms: 0,
                         note: String::new(),
                     };
-                    self.agents[k].host.done(step);
+                    self.agents[k].host.step_done(step);
                     self.agents[k].leases.insert(lease.duty().to_string(), lease);
                 }
                 Action::Stop { duty, epoch } => {
                     self.agents[k].leases.remove(&duty);
                     let now = self.clock(k);
-                    let more = self.agents[k].host.stopped(now, &duty, epoch);
+                    let more = self.agents[k].host.step_stopped(now, &duty, epoch);
                     self.take(k, more);
                 }
-                Action::Tell(_) => {}
+                Action::Notify(_) => {}
             }
         }
     }
@@ -122,14 +122,14 @@
         for (_, k, command, outcome) in heard {
             if !self.agents[k].dead && self.agents[k].stopped <= self.now {
                 let now = self.clock(k);
-                let actions = self.agents[k].host.answered(now, &command, Some(&outcome));
+                let actions = self.agents[k].host.handle_outcome(now, &command, Some(&outcome));
                 self.take(k, actions);
             }
         }
         for k in 0..self.agents.len() {
             if !self.agents[k].dead && self.agents[k].stopped <= self.now {
                 let (now, state) = (self.clock(k), self.state.clone());
-                let actions = self.agents[k].host.turn(now, &state);
+                let actions = self.agents[k].host.tick(now, &state);
                 self.take(k, actions);
             }
         }
@@ -168,7 +168,7 @@
     }
 
     fn loads(&self) -> Vec<usize> {
-        (0..self.agents.len()).map(|k| self.state.load(&self.agents[k].host.owner())).collect()
+        (0..self.agents.len()).map(|k| self.state.owned_duties(&self.agents[k].host.owner())).collect()
     }
 }
 
@@ -264,7 +264,7 @@
     fleet.run(8_000);
     let k = (0..2).find(|k| fleet.agents[*k].leases.contains_key("duty0")).expect("owned");
     let (now, epoch) = (fleet.clock(k), fleet.agents[k].leases["duty0"].epoch());
-    let actions = fleet.agents[k].host.crashed(now, "duty0", epoch, "a crash");
+    let actions = fleet.agents[k].host.step_crashed(now, "duty0", epoch, "a crash");
     fleet.take(k, actions);
     let mut held = Vec::new();
     for round in 0..600 {
@@ -280,7 +280,7 @@
         fleet.agents[1 - k].stopped = fleet.now + 100;
         fleet.step();
     }
-    assert!(fleet.agents[k].host.holds(fleet.clock(k)), "its session goes on");
+    assert!(fleet.agents[k].host.holds_session(fleet.clock(k)), "its session goes on");
     assert!(fleet.holders("duty0").is_empty());
     fleet.state.apply(&held[0]);
     fleet.run(10_000);
@@ -293,7 +293,7 @@
     fleet.run(5_000);
     let k = usize::from(fleet.agents[1].leases.contains_key("duty0"));
     let (epoch, now) = (fleet.agents[k].leases["duty0"].epoch(), fleet.clock(k));
-    let actions = fleet.agents[k].host.fenced(now, "duty0", epoch, 77);
+    let actions = fleet.agents[k].host.step_fenced(now, "duty0", epoch, 77);
     fleet.take(k, actions);
     fleet.run(2_000);
     assert!(fleet.state.duties["duty0"].epoch > 77);
--- a/crates/record/src/error.rs
+++ b/crates/record/src/error.rs
@@ -30,13 +30,13 @@
     /// It can't be done as it is asked: the field, and what it may be.
     Invalid(String),
     /// The database can't be reached or does not answer in time. Nothing was done.
-    Away(String),
+    Unavailable(String),
     /// The connection ended while all was being made final: it was done, or it was not.
     InDoubt(String),
     /// Two did something at once; nothing was done, and it may be tried again at once.
-    Again(String),
+    Contended(String),
     /// The schema is newer than this program.
-    Newer {
+    SchemaTooNew {
         /// The database's version.
         found: i64,
         /// The newest that is known here.
@@ -57,10 +57,14 @@
 impl Error {
     /// Whether the same may succeed later with nothing changed by hand.
     #[must_use]
-    pub fn passes(&self) -> bool {
+    pub fn is_transient(&self) -> bool {
         matches!(
             self,
-            Error::Away(_) | Error::InDoubt(_) | Error::Again(_) | Error::Locked(_) | Error::Full(_)
+            Error::Unavailable(_)
+                | Error::InDoubt(_)
+                | Error::Contended(_)
+                | Error::Locked(_)
+                | Error::Full(_)
         )
     }
 
@@ -69,8 +73,8 @@
     pub fn state(&self) -> &'static str {
         match self {
             Error::Conflict { .. } | Error::Fenced { .. } | Error::Invalid(_) => "sound",
-            Error::Away(_) | Error::InDoubt(_) | Error::Again(_) => "away",
-            Error::Newer { .. } => "newer",
+            Error::Unavailable(_) | Error::InDoubt(_) | Error::Contended(_) => "away",
+            Error::SchemaTooNew { .. } => "newer",
             Error::Full(_) => "full",
             Error::ReadOnly(_) => "read-only",
             Error::Locked(_) => "locked",
@@ -92,10 +96,10 @@
                 write!(f, "duty {duty}: epoch {epoch} is refused, {stands} of {by} stands; nothing was done")
             }
             Error::Invalid(what) => f.write_str(what),
-            Error::Away(what) => write!(f, "the record can't be reached: {what}; nothing was done"),
+            Error::Unavailable(what) => write!(f, "the record can't be reached: {what}; nothing was done"),
             Error::InDoubt(what) => write!(f, "the record's answer was lost ({what}): it was done or not"),
-            Error::Again(what) => write!(f, "the record was busy with another change: {what}"),
-            Error::Newer { found, known } => write!(
+            Error::Contended(what) => write!(f, "the record was busy with another change: {what}"),
+            Error::SchemaTooNew { found, known } => write!(
                 f,
                 "the record's schema has version {found}, this program knows {known}: use the program that made it, \
                  or a newer one; nothing was touched"
--- a/crates/record/src/fleet.rs
+++ b/crates/record/src/fleet.rs
@@ -13,7 +13,7 @@
 
 /// What is to be done.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Work {
+pub enum FleetWork {
     /// Nothing but the fence: says who owns the duty.
     Touch,
     /// Adds so many batches of the ledger to the days' totals, each once.
@@ -72,7 +72,7 @@
 ///
 /// # Errors
 /// When a higher epoch was seen, or as the database says.
-pub async fn apply<T: Tx>(tx: &mut T, fence: &Fence, work: &Work, now_ms: i64) -> Result<Reply, Error> {
+pub async fn apply<T: Tx>(tx: &mut T, fence: &Fence, work: &FleetWork, now_ms: i64) -> Result<Reply, Error> {
     let epoch = i64::try_from(fence.epoch()).unwrap_or(i64::MAX);
     // The row stays locked until the end of the transaction: nobody overtakes in between.
     let stands = tx.execute(sql::FENCE, args![fence.duty(), epoch, fence.owner(), now_ms]).await?;
@@ -84,22 +84,22 @@
         return Err(Error::Fenced { duty, epoch, stands, by: row.text(1)? });
     }
     match work {
-        Work::Touch => Ok(Reply::Did(0)),
-        Work::RollUp { most } => roll_up(tx, *most).await,
-        Work::FindGaps { silent } => find_gaps(tx, silent, now_ms).await,
-        Work::Retain { before_ms, most } => retain(tx, *before_ms, *most).await,
-        Work::Publish => publish(tx, Publisher { epoch, name: fence.owner() }, now_ms).await,
-        Work::PrepareExport { before_ms, most } => prepare_export(tx, *before_ms, *most, now_ms).await,
-        Work::AppendHistory { after, rows } => append_history(tx, after, rows).await,
-        Work::RetainHistory { before_ms } => {
+        FleetWork::Touch => Ok(Reply::Affected(0)),
+        FleetWork::RollUp { most } => roll_up(tx, *most).await,
+        FleetWork::FindGaps { silent } => find_gaps(tx, silent, now_ms).await,
+        FleetWork::Retain { before_ms, most } => retain(tx, *before_ms, *most).await,
+        FleetWork::Publish => publish(tx, Publisher { epoch, name: fence.owner() }, now_ms).await,
+        FleetWork::PrepareExport { before_ms, most } => prepare_export(tx, *before_ms, *most, now_ms).await,
+        FleetWork::AppendHistory { after, rows } => append_history(tx, after, rows).await,
+        FleetWork::RetainHistory { before_ms } => {
             let old = tx.query(sql::HISTORY_OLD, args![*before_ms]).await?;
-            let Some(row) = old.first() else { return Ok(Reply::Did(0)) };
+            let Some(row) = old.first() else { return Ok(Reply::Affected(0)) };
             tx.execute(sql::HISTORY_BASE_SET, args![row.int(0)?, &row.text(1)?]).await?;
-            Ok(Reply::Did(tx.execute(sql::HISTORY_GONE, args![row.int(0)?]).await?))
+            Ok(Reply::Affected(tx.execute(sql::HISTORY_GONE, args![row.int(0)?]).await?))
         }
-        Work::FinishExport { number, digest } => {
+        FleetWork::FinishExport { number, digest } => {
             let done = tx.execute(sql::EXPORT_DONE, args![*number, digest, epoch]).await?;
-            Ok(Reply::Did(done))
+            Ok(Reply::Affected(done))
         }
     }
 }
@@ -121,7 +121,7 @@
         args.extend(args![r.within_ms, r.told_ms, &r.prev, &r.hash]);
         tx.execute(sql::HISTORY_NEW, args).await?;
     }
-    Ok(Reply::Did(rows.len() as u64))
+    Ok(Reply::Affected(rows.len() as u64))
 }
 
 fn one(rows: &[Row]) -> Result<i64, Error> {
@@ -134,7 +134,7 @@
     if batches > 0 {
         tx.execute(sql::ROLL_ADD, args![round]).await?;
     }
-    Ok(Reply::Did(batches))
+    Ok(Reply::Affected(batches))
 }
 
 async fn find_gaps<T: Tx>(tx: &mut T, silent: &[(String, i64)], now_ms: i64) -> Result<Reply, Error> {
@@ -144,7 +144,7 @@
     for (instance, epoch_ms) in silent {
         found += tx.execute(sql::GAP_SILENT, args![instance, *epoch_ms, now_ms]).await?;
     }
-    Ok(Reply::Did(found))
+    Ok(Reply::Affected(found))
 }
 
 /// The batches of a life that may go: from the first one kept on, with none left out, and never the last one, which says
@@ -174,7 +174,7 @@
         gone += tx.execute(sql::BATCHES_GONE, args![&instance, epoch_ms, from, to]).await?;
         tx.execute(sql::LIFE_PURGED, args![&instance, epoch_ms, to]).await?;
     }
-    Ok(Reply::Did(gone))
+    Ok(Reply::Affected(gone))
 }
 
 /// A row of use by day, as all statements about it begin.
--- a/crates/record/src/lib.rs
+++ b/crates/record/src/lib.rs
@@ -27,7 +27,7 @@
 pub mod upload;
 
 pub use error::Error;
-pub use fleet::Work;
+pub use fleet::FleetWork;
 pub use ops::{Op, Reply};
 
 use async_trait::async_trait;
@@ -52,7 +52,7 @@
 
 /// Where the record is.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Place {
+pub struct RecordLocation {
     /// `sqlite:PATH` or `postgres://USER@HOST:PORT/DATABASE`.
     pub url: String,
     /// A file with the password, for PostgreSQL.
@@ -60,23 +60,23 @@
     /// A PEM file with who signs the server's certificate; wanted off loopback.
     pub ca: Option<std::path::PathBuf>,
     /// How long a connection may take to come up.
-    pub connect: std::time::Duration,
+    pub connect_timeout: std::time::Duration,
     /// How long a statement may take.
-    pub statement: std::time::Duration,
+    pub statement_timeout: std::time::Duration,
     /// Connections at once, for PostgreSQL.
     pub connections: usize,
 }
 
-impl Place {
+impl RecordLocation {
     /// With the usual limits.
     #[must_use]
-    pub fn new(url: &str) -> Place {
-        Place {
+    pub fn new(url: &str) -> RecordLocation {
+        RecordLocation {
             url: url.to_string(),
             password_file: None,
             ca: None,
-            connect: std::time::Duration::from_secs(2),
-            statement: std::time::Duration::from_secs(5),
+            connect_timeout: std::time::Duration::from_secs(2),
+            statement_timeout: std::time::Duration::from_secs(5),
             connections: 4,
         }
     }
--- a/crates/record/src/model.rs
+++ b/crates/record/src/model.rs
@@ -101,9 +101,9 @@
 
 /// Something kept with its revision and whose it is.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
-pub struct Kept<T> {
+pub struct Versioned<T> {
     /// What.
-    pub it: T,
+    pub value: T,
     /// Grows with every change of anything.
     pub revision: i64,
     /// Who set it.
@@ -120,25 +120,25 @@
     /// The newest revision of anything.
     pub revision: i64,
     /// The plans.
-    pub plans: Vec<Kept<Plan>>,
+    pub plans: Vec<Versioned<Plan>>,
     /// The overrides.
-    pub overrides: Vec<Kept<Override>>,
+    pub overrides: Vec<Versioned<Override>>,
     /// The plans that the owner of the publish duty has had take effect, by name.
     pub published: Vec<Published>,
     /// Grows whenever the set of published plans changes; 0 while none is published.
     pub published_revision: i64,
     /// What stands for each duty.
-    pub fences: Vec<Standing>,
+    pub fences: Vec<StandingFence>,
 }
 
 impl Snapshot {
     /// Whether a plan's time has come that is not published yet.
     #[must_use]
     pub fn has_due(&self, now_ms: i64) -> bool {
-        let is_published = |plan: &Kept<Plan>| {
-            self.published.iter().any(|p| p.plan.name == plan.it.name && p.revision == plan.revision)
+        let is_published = |plan: &Versioned<Plan>| {
+            self.published.iter().any(|p| p.plan.name == plan.value.name && p.revision == plan.revision)
         };
-        self.plans.iter().any(|plan| plan.it.from_ms <= now_ms && !is_published(plan))
+        self.plans.iter().any(|plan| plan.value.from_ms <= now_ms && !is_published(plan))
     }
 }
 
@@ -153,7 +153,7 @@
 
 /// The highest epoch that the record has seen of a duty.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
-pub struct Standing {
+pub struct StandingFence {
     /// Which duty.
     pub duty: String,
     /// The epoch.
@@ -211,7 +211,7 @@
 
 /// What one shop used of one class in a batch.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
-pub struct Line {
+pub struct UsageLine {
     /// 16 hex digits.
     pub shop: String,
     /// Its plan.
@@ -228,7 +228,7 @@
 
 /// Use that one life of one gatekeeper reports.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
-pub struct Batch {
+pub struct UsageBatch {
     /// The gatekeeper.
     pub instance: String,
     /// When its life began, UTC ms by its own clock: tells its lives apart.
@@ -244,12 +244,12 @@
     /// The plans' revision that all of it was decided under; 0 where that was the settings' own.
     pub revision: i64,
     /// What was used.
-    pub lines: Vec<Line>,
+    pub lines: Vec<UsageLine>,
 }
 
 /// Use by shop, plan, class and hour.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
-pub struct Total {
+pub struct UsageTotal {
     /// 16 hex digits.
     pub shop: String,
     /// Its plan.
@@ -268,7 +268,7 @@
 
 /// Use that nobody knows: a life of a gatekeeper ended without its last word.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
-pub struct Gap {
+pub struct UsageGap {
     /// The gatekeeper.
     pub instance: String,
     /// The life.
@@ -285,7 +285,7 @@
 
 /// What a shop's stores at one gatekeeper held.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct Level {
+pub struct TokenLevel {
     /// The shop's key in notes between gatekeepers.
     pub key: i64,
     /// The plan's number at the gatekeeper.
@@ -300,7 +300,7 @@
 
 /// An entry of the audit trail.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
-pub struct Entry {
+pub struct AuditEntry {
     /// When, UTC ms.
     pub at_ms: i64,
     /// Who.
--- a/crates/record/src/ops.rs
+++ b/crates/record/src/ops.rs
@@ -2,10 +2,10 @@
 //! changes carry numbers of their own, by which a second try after a lost answer is known.
 
 use crate::error::Error;
-use crate::fleet::{self, Work};
+use crate::fleet::{self, FleetWork};
 use crate::model::{
-    Batch, Change, Entry, Export, ExportPart, Gap, HistoryRow, Kept, Level, Line, Override, Plan,
-    RevisionUse, Shop, Snapshot, Standing, Total,
+    AuditEntry, Change, Export, ExportPart, HistoryRow, Override, Plan, RevisionUse, Shop, Snapshot,
+    StandingFence, TokenLevel, UsageBatch, UsageGap, UsageLine, UsageTotal, Versioned,
 };
 use crate::publish;
 use crate::sql;
@@ -95,12 +95,12 @@
     /// Lands batches of use, each once.
     Append {
         /// The batches.
-        batches: Vec<Batch>,
+        batches: Vec<UsageBatch>,
         /// When, UTC ms.
         now_ms: i64,
     },
     /// Notes gaps.
-    Gap(Gap),
+    Gap(UsageGap),
     /// Reads the gaps.
     Gaps,
     /// Keeps what stores hold.
@@ -108,7 +108,7 @@
         /// Whose.
         instance: String,
         /// What they hold.
-        levels: Vec<Level>,
+        levels: Vec<TokenLevel>,
     },
     /// Reads what an instance's stores held, if it is not older than this.
     Levels {
@@ -167,7 +167,7 @@
         /// The proof.
         fence: Fence,
         /// What.
-        work: Work,
+        work: FleetWork,
         /// When, UTC ms.
         now_ms: i64,
     },
@@ -191,14 +191,14 @@
 impl Op {
     /// Whether others are to be told.
     #[must_use]
-    pub fn tells(&self) -> bool {
+    pub fn notifies_others(&self) -> bool {
         matches!(
             self,
             Op::SetPlan(..)
                 | Op::SetShop(..)
                 | Op::SetOverride(..)
                 | Op::PublishDue { .. }
-                | Op::ForFleet { work: Work::Publish, .. }
+                | Op::ForFleet { work: FleetWork::Publish, .. }
         )
     }
 }
@@ -213,23 +213,23 @@
     /// All that gatekeepers are to know.
     Snapshot(Snapshot),
     /// A shop.
-    Shop(Option<Kept<Shop>>),
+    Shop(Option<Versioned<Shop>>),
     /// For each batch, whether it landed now; else it had before.
-    Landed(Vec<bool>),
+    Stored(Vec<bool>),
     /// Gaps.
-    Gaps(Vec<Gap>),
+    Gaps(Vec<UsageGap>),
     /// Levels.
-    Levels(Vec<Level>),
+    Levels(Vec<TokenLevel>),
     /// Use.
-    Totals(Vec<Total>),
+    Totals(Vec<UsageTotal>),
     /// The newest batch: number, end of its period, whether it was the last of its life; and how many there are.
     Watermark(Option<(i64, i64, bool)>, i64),
     /// Instances: name, host, life, when seen, revision.
     Instances(Vec<(String, String, i64, i64, i64)>),
     /// The audit trail, newest first.
-    Audit(Vec<Entry>),
+    Audit(Vec<AuditEntry>),
     /// Work for the fleet: how much was done.
-    Did(u64),
+    Affected(u64),
     /// Where the history begins and ends: number and digest of the row before its first, and of its last.
     HistoryEnds((i64, String), (i64, String)),
     /// Rows of the history, and where it begins.
@@ -264,7 +264,7 @@
         Op::Gaps => {
             let rows = tx.query(sql::GAPS, vec![]).await?;
             let gap = |r: &Row| {
-                Ok(Gap {
+                Ok(UsageGap {
                     instance: r.text(0)?,
                     epoch_ms: r.int(1)?,
                     after_seq: r.int(2)?,
@@ -285,7 +285,7 @@
         Op::Levels { instance, since_ms } => {
             let rows = tx.query(sql::LEVELS, args![instance, *since_ms]).await?;
             let level = |r: &Row| {
-                Ok(Level {
+                Ok(TokenLevel {
                     key: r.int(0)?,
                     plan: r.int(1)?,
                     store_milli: r.int(2)?,
@@ -302,7 +302,7 @@
         Op::Totals { shop, from_ms, to_ms, most } => {
             let rows = tx.query(sql::TOTALS, args![shop, *from_ms, *to_ms, *most]).await?;
             let total = |r: &Row| {
-                Ok(Total {
+                Ok(UsageTotal {
                     shop: r.text(0)?,
                     plan: r.text(1)?,
                     class: r.text(2)?,
@@ -397,7 +397,7 @@
         Op::Audit(most) => {
             let rows = tx.query(sql::AUDIT, args![*most]).await?;
             let entry = |r: &Row| {
-                Ok(Entry {
+                Ok(AuditEntry {
                     revision: r.int(0)?,
                     at_ms: r.int(1)?,
                     by: r.text(2)?,
@@ -415,11 +415,11 @@
 }
 
 /// What is kept, and the change that made it so.
-type Found<T> = (Kept<T>, String);
+type Found<T> = (Versioned<T>, String);
 
-fn kept<T>(it: T, row: &Row, at: usize) -> Result<Found<T>, Error> {
-    let kept = Kept {
-        it,
+fn kept<T>(value: T, row: &Row, at: usize) -> Result<Found<T>, Error> {
+    let kept = Versioned {
+        value,
         revision: row.int(at)?,
         by: row.text(at + 1)?,
         at_ms: row.int(at + 2)?,
@@ -462,8 +462,9 @@
     let overrides = tx.query(sql::OVERRIDES, vec![]).await?;
     let (published, published_revision) = (publish::published(tx).await?, publish::revision(tx).await?);
     let fences = tx.query(sql::FENCES, vec![]).await?;
-    let standing =
-        |r: &Row| Ok(Standing { duty: r.text(0)?, epoch: r.int(1)?, owner: r.text(2)?, at_ms: r.int(3)? });
+    let standing = |r: &Row| {
+        Ok(StandingFence { duty: r.text(0)?, epoch: r.int(1)?, owner: r.text(2)?, at_ms: r.int(3)? })
+    };
     Ok(Reply::Snapshot(Snapshot {
         revision,
         plans: plans.iter().map(|r| plan_of(r).map(|f| f.0)).collect::<Result<_, _>>()?,
@@ -514,7 +515,7 @@
 
 /// The row was there or not a moment ago, and is no longer so: somebody was faster within this very transaction.
 fn raced(subject: &str) -> Error {
-    Error::Again(format!("{subject} was changed meanwhile"))
+    Error::Contended(format!("{subject} was changed meanwhile"))
 }
 
 async fn set_plan<T: Tx>(tx: &mut T, plan: &Plan, change: &Change) -> Result<Reply, Error> {
@@ -550,7 +551,7 @@
     if changed != 1 {
         return Err(raced(&subject));
     }
-    let was = found.map_or(String::new(), |(kept, _)| publish::to_json(&kept.it));
+    let was = found.map_or(String::new(), |(kept, _)| publish::to_json(&kept.value));
     audit(tx, revision, change, "plan set", &plan.name, (was, publish::to_json(plan))).await?;
     Ok(Reply::Revision(revision))
 }
@@ -580,7 +581,7 @@
         return Err(raced(&subject));
     }
     let text = |s: &Shop| json!({"plan": s.plan, "first": s.first, "spread": s.spread}).to_string();
-    let was = found.map_or(String::new(), |(kept, _)| text(&kept.it));
+    let was = found.map_or(String::new(), |(kept, _)| text(&kept.value));
     audit(tx, revision, change, "shop set", &shop.shop, (was, text(shop))).await?;
     Ok(Reply::Revision(revision))
 }
@@ -612,7 +613,7 @@
         return Err(raced(&subject));
     }
     let text = |o: &Override| json!({"value": o.value, "until_ms": o.until_ms}).to_string();
-    let was = found.map_or(String::new(), |(kept, _)| text(&kept.it));
+    let was = found.map_or(String::new(), |(kept, _)| text(&kept.value));
     let about = format!("{} {}", over.kind, over.subject);
     audit(tx, revision, change, "override set", &about, (was, text(over))).await?;
     Ok(Reply::Revision(revision))
@@ -633,7 +634,7 @@
 
 const HOUR_MS: i64 = 3_600_000;
 
-async fn append<T: Tx>(tx: &mut T, batches: &[Batch], now_ms: i64) -> Result<Reply, Error> {
+async fn append<T: Tx>(tx: &mut T, batches: &[UsageBatch], now_ms: i64) -> Result<Reply, Error> {
     let mut landed = Vec::with_capacity(batches.len());
     for b in batches {
         let mut args = args![&b.instance, b.epoch_ms, b.seq, b.from_ms, b.to_ms, i64::from(b.last), now_ms];
@@ -645,7 +646,7 @@
         }
         let hour_ms = b.to_ms.div_euclid(HOUR_MS) * HOUR_MS;
         for l in &b.lines {
-            let Line { shop, plan, class, passed_milli, refused_milli, served_milli } = l;
+            let UsageLine { shop, plan, class, passed_milli, refused_milli, served_milli } = l;
             let figures = [*passed_milli, *refused_milli, *served_milli];
             if figures.iter().any(|f| *f < 0) {
                 return Err(Error::Invalid(format!("use of {shop}: below 0")));
@@ -658,5 +659,5 @@
             tx.execute(sql::TOTAL_ADD, total).await?;
         }
     }
-    Ok(Reply::Landed(landed))
+    Ok(Reply::Stored(landed))
 }
--- a/crates/record/src/postgres.rs
+++ b/crates/record/src/postgres.rs
@@ -4,7 +4,7 @@
 
 use crate::error::Error;
 use crate::ops::{self, Op, Reply, Row, Tx, Value};
-use crate::{Backend, Place, sql};
+use crate::{Backend, RecordLocation, sql};
 use async_trait::async_trait;
 use deadpool_postgres::{ClientWrapper, Manager, ManagerConfig, Object, Pool, RecyclingMethod};
 use rustls_pki_types::CertificateDer;
@@ -46,7 +46,7 @@
 ///
 /// # Errors
 /// With the field and what it may be.
-pub(crate) fn config(place: &Place) -> Result<(Config, bool), String> {
+pub(crate) fn config(place: &RecordLocation) -> Result<(Config, bool), String> {
     let mut config: Config = place.url.parse().map_err(|_| {
         // The text may hold a secret: it is not shown.
         "record.url: sqlite:PATH or postgres://USER@HOST:PORT/DATABASE".to_string()
@@ -69,7 +69,7 @@
         return Err("record.ca: wanted where the server is not on loopback".into());
     }
     let range = Duration::from_millis(10)..=Duration::from_secs(600);
-    if !range.contains(&place.connect) || !range.contains(&place.statement) {
+    if !range.contains(&place.connect_timeout) || !range.contains(&place.statement_timeout) {
         return Err("record.connect_ms, record.statement_ms: 10 to 600000".into());
     }
     if !(1..=100).contains(&place.connections) {
@@ -82,8 +82,8 @@
     }
     // An agent that is stopped in the middle of a transaction holds its rows, and with them whoever owns the duty next:
     // the server gives up what lies idle as long as a statement may take.
-    let most = place.statement.as_millis();
-    config.connect_timeout(place.connect).application_name("frostvale").options(format!(
+    let most = place.statement_timeout.as_millis();
+    config.connect_timeout(place.connect_timeout).application_name("frostvale").options(format!(
         "-c statement_timeout={most} -c lock_timeout={most} -c idle_in_transaction_session_timeout={most}"
     ));
     if place.ca.is_some() {
@@ -121,19 +121,19 @@
         }
     };
     let Some(code) = e.code() else {
-        return if making_final { Error::InDoubt(text) } else { Error::Away(text) };
+        return if making_final { Error::InDoubt(text) } else { Error::Unavailable(text) };
     };
     match code {
         c if *c == SqlState::T_R_SERIALIZATION_FAILURE || *c == SqlState::T_R_DEADLOCK_DETECTED => {
-            Error::Again(text)
+            Error::Contended(text)
         }
-        c if *c == SqlState::LOCK_NOT_AVAILABLE => Error::Again(text),
+        c if *c == SqlState::LOCK_NOT_AVAILABLE => Error::Contended(text),
         c if *c == SqlState::DISK_FULL => Error::Full(text),
         c if *c == SqlState::READ_ONLY_SQL_TRANSACTION => Error::ReadOnly(text),
         c if *c == SqlState::DATA_CORRUPTED || *c == SqlState::INDEX_CORRUPTED => Error::Corrupt(text),
         c if c.code().starts_with("42") || c.code().starts_with("22") => Error::Corrupt(text),
         _ if making_final => Error::InDoubt(text),
-        _ => Error::Away(text),
+        _ => Error::Unavailable(text),
     }
 }
 
@@ -153,7 +153,7 @@
 }
 
 fn late() -> Error {
-    Error::Away("no answer in time".into())
+    Error::Unavailable("no answer in time".into())
 }
 
 impl Tx for Open<'_> {
@@ -188,7 +188,7 @@
     ///
     /// # Errors
     /// When the place can't be used.
-    pub fn new(place: &Place) -> Result<Postgres, String> {
+    pub fn new(place: &RecordLocation) -> Result<Postgres, String> {
         let (config, _) = config(place)?;
         let manager = ManagerConfig { recycling_method: RecyclingMethod::Fast };
         let tls = place.ca.as_deref().map(tls).transpose()?;
@@ -198,24 +198,24 @@
         };
         let pool = Pool::builder(manager)
             .max_size(place.connections)
-            .wait_timeout(Some(place.connect))
-            .create_timeout(Some(place.connect))
-            .recycle_timeout(Some(place.connect))
+            .wait_timeout(Some(place.connect_timeout))
+            .create_timeout(Some(place.connect_timeout))
+            .recycle_timeout(Some(place.connect_timeout))
             .runtime(deadpool_postgres::Runtime::Tokio1)
             .build()
             .map_err(|e| format!("record: {e}"))?;
         let changes = watch::Sender::new(0);
-        let listener = tokio::spawn(listen(config, tls, place.connect, changes.clone()));
-        Ok(Postgres { pool, statement: place.statement, changes, listener })
+        let listener = tokio::spawn(listen(config, tls, place.connect_timeout, changes.clone()));
+        Ok(Postgres { pool, statement: place.statement_timeout, changes, listener })
     }
 
     async fn connection(&self) -> Result<Object, Error> {
         self.pool.get().await.map_err(|e| match e {
             deadpool_postgres::PoolError::Backend(e) => match meaning(&e, false) {
-                Error::Corrupt(text) => Error::Away(text),
+                Error::Corrupt(text) => Error::Unavailable(text),
                 other => other,
             },
-            other => Error::Away(other.to_string()),
+            other => Error::Unavailable(other.to_string()),
         })
     }
 
@@ -223,7 +223,7 @@
     async fn transaction(&self, work: &Work) -> Result<Done, Error> {
         let client = self.connection().await?;
         let done = self.within(&client, work).await;
-        if let Err(Error::Away(_) | Error::InDoubt(_) | Error::Again(_)) = &done {
+        if let Err(Error::Unavailable(_) | Error::InDoubt(_) | Error::Contended(_)) = &done {
             // Whatever it still holds open ends with it.
             drop(Object::take(client));
         }
@@ -238,7 +238,7 @@
                 step(client, self.statement, "COMMIT", true).await?;
                 Ok(done)
             }
-            Err(e @ (Error::Away(_) | Error::InDoubt(_))) => Err(e),
+            Err(e @ (Error::Unavailable(_) | Error::InDoubt(_))) => Err(e),
             Err(e) => {
                 step(client, self.statement, "ROLLBACK", false).await?;
                 Err(e)
@@ -251,7 +251,7 @@
         loop {
             tries += 1;
             match self.transaction(&work).await {
-                Err(Error::Again(_)) if tries < TRIES => {
+                Err(Error::Contended(_)) if tries < TRIES => {
                     tokio::time::sleep(Duration::from_millis(2 << tries)).await;
                 }
                 done => return done,
@@ -279,7 +279,7 @@
         match self {
             Work::Op(op) => {
                 let reply = ops::apply(tx, op).await?;
-                if op.tells() {
+                if op.notifies_others() {
                     step_in(tx, &format!("NOTIFY {CHANNEL}")).await?;
                 }
                 Ok(Done::Op(reply))
@@ -315,7 +315,7 @@
         _ => return Err(Error::Corrupt("no schema version".into())),
     };
     if found > sql::VERSION {
-        return Err(Error::Newer { found, known: sql::VERSION });
+        return Err(Error::SchemaTooNew { found, known: sql::VERSION });
     }
     for version in sql::MIGRATIONS.iter().skip(usize::try_from(found).unwrap_or(usize::MAX)) {
         for statement in *version {
--- a/crates/record/src/publish.rs
+++ b/crates/record/src/publish.rs
@@ -82,12 +82,12 @@
     let before = revision(tx).await?;
     let changed = tx.execute(sql::PUBLISH, vec![Value::Int(by.epoch), Value::Int(now_ms)]).await?;
     if changed == 0 {
-        return Ok(Reply::Did(0));
+        return Ok(Reply::Affected(0));
     }
     let newest = newest(tx).await?;
     let names_the_set = if newest > before { newest } else { named_anew(tx, by.name, now_ms).await? };
     tx.execute(sql::PUBLISHED_REVISION_SET, vec![Value::Int(names_the_set)]).await?;
-    Ok(Reply::Did(changed))
+    Ok(Reply::Affected(changed))
 }
 
 /// Takes the next revision for the published plans, with its entry in the audit trail.
--- a/crates/record/src/spool.rs
+++ b/crates/record/src/spool.rs
@@ -2,7 +2,7 @@
 //! business, which keeps whole transactions only.
 
 use crate::error::Error;
-use crate::model::{Batch, Line};
+use crate::model::{UsageBatch, UsageLine};
 use crate::sqlite::{Sqlite, meaning};
 use rusqlite::{Connection, OptionalExtension};
 use serde_json::{Value, json};
@@ -10,13 +10,13 @@
 
 /// A batch in the spool.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Spooled {
+pub struct SpooledBatch {
     /// Its place.
     pub id: i64,
     /// Bytes that it takes.
     pub bytes: u64,
     /// The batch.
-    pub batch: Batch,
+    pub batch: UsageBatch,
 }
 
 /// A spool in a file.
@@ -24,20 +24,20 @@
     file: Sqlite,
 }
 
-fn write(batch: &Batch) -> String {
+fn write(batch: &UsageBatch) -> String {
     let lines: Vec<Value> = batch
         .lines
         .iter()
         .map(|l| json!([l.shop, l.plan, l.class, l.passed_milli, l.refused_milli, l.served_milli]))
         .collect();
-    let Batch { instance, epoch_ms, seq, from_ms, to_ms, last, revision, .. } = batch;
+    let UsageBatch { instance, epoch_ms, seq, from_ms, to_ms, last, revision, .. } = batch;
     json!([instance, epoch_ms, seq, from_ms, to_ms, last, lines, revision]).to_string()
 }
 
-fn read(text: &str) -> Option<Batch> {
+fn read(text: &str) -> Option<UsageBatch> {
     let value: Value = serde_json::from_str(text).ok()?;
     let line = |l: &Value| {
-        Some(Line {
+        Some(UsageLine {
             shop: l[0].as_str()?.into(),
             plan: l[1].as_str()?.into(),
             class: l[2].as_str()?.into(),
@@ -46,7 +46,7 @@
             served_milli: l[5].as_i64()?,
         })
     };
-    Some(Batch {
+    Some(UsageBatch {
         instance: value[0].as_str()?.into(),
         epoch_ms: value[1].as_i64()?,
         seq: value[2].as_i64()?,
@@ -86,7 +86,7 @@
 
     /// Bytes that a batch takes.
     #[must_use]
-    pub fn size(batch: &Batch) -> u64 {
+    pub fn size_bytes(batch: &UsageBatch) -> u64 {
         write(batch).len() as u64
     }
 
@@ -94,7 +94,7 @@
     ///
     /// # Errors
     /// When the file takes none; then none is in it.
-    pub async fn put(&self, batches: Vec<Batch>) -> Result<Vec<bool>, Error> {
+    pub async fn append(&self, batches: Vec<UsageBatch>) -> Result<Vec<bool>, Error> {
         self.file
             .with(move |c| {
                 let put = |c: &mut Connection| -> rusqlite::Result<Vec<bool>> {
@@ -123,7 +123,7 @@
     ///
     /// # Errors
     /// When the file can't be read.
-    pub async fn oldest(&self, most: usize) -> Result<Vec<Spooled>, Error> {
+    pub async fn oldest(&self, most: usize) -> Result<Vec<SpooledBatch>, Error> {
         let most = i64::try_from(most).unwrap_or(i64::MAX);
         let rows = self
             .file
@@ -139,7 +139,7 @@
         let one = |(id, bytes, text): (i64, i64, String)| {
             let batch =
                 read(&text).ok_or_else(|| Error::Corrupt(format!("spool: entry {id} can't be read")))?;
-            Ok(Spooled { id, bytes: u64::try_from(bytes).unwrap_or(0), batch })
+            Ok(SpooledBatch { id, bytes: u64::try_from(bytes).unwrap_or(0), batch })
         };
         rows.into_iter().map(one).collect()
     }
@@ -148,7 +148,7 @@
     ///
     /// # Errors
     /// When the file can't be read.
-    pub async fn latest(&self, instance: &str) -> Result<Option<Batch>, Error> {
+    pub async fn latest(&self, instance: &str) -> Result<Option<UsageBatch>, Error> {
         let instance = instance.to_string();
         let text = self
             .file
--- a/crates/record/src/sqlite.rs
+++ b/crates/record/src/sqlite.rs
@@ -37,7 +37,7 @@
         ErrorCode::DatabaseBusy | ErrorCode::DatabaseLocked => Error::Locked(text),
         ErrorCode::DatabaseCorrupt | ErrorCode::NotADatabase => Error::Corrupt(text),
         ErrorCode::CannotOpen => Error::Unusable(text),
-        _ => Error::Away(text),
+        _ => Error::Unavailable(text),
     }
 }
 
@@ -106,7 +106,7 @@
     in_transaction(c, |c| {
         ops::apply(&mut Open(c), op)
             .now_or_never()
-            .unwrap_or_else(|| Err(Error::Away("it did not end".into())))
+            .unwrap_or_else(|| Err(Error::Unavailable("it did not end".into())))
     })
 }
 
@@ -122,7 +122,7 @@
 fn migrate(c: &mut Connection) -> Result<(i64, i64), Error> {
     let found = version(c).map_err(|e| meaning(&e))?;
     if found > sql::VERSION {
-        return Err(Error::Newer { found, known: sql::VERSION });
+        return Err(Error::SchemaTooNew { found, known: sql::VERSION });
     }
     if found == sql::VERSION {
         return Ok((found, found));
@@ -144,7 +144,7 @@
         };
         let found = run(c).map_err(|e| meaning(&e))?;
         if found > sql::VERSION {
-            return Err(Error::Newer { found, known: sql::VERSION });
+            return Err(Error::SchemaTooNew { found, known: sql::VERSION });
         }
         Ok((found, sql::VERSION))
     })
@@ -201,7 +201,7 @@
     ) -> Result<T, Error> {
         let (tell, told) = oneshot::channel();
         let job: Job = Box::new(move |c| drop(tell.send(work(c))));
-        self.jobs.try_send(job).map_err(|_| Error::Away("too much waits for the disk".into()))?;
+        self.jobs.try_send(job).map_err(|_| Error::Unavailable("too much waits for the disk".into()))?;
         told.await.unwrap_or_else(|_| Err(Error::InDoubt("its thread has ended".into())))
     }
 
@@ -217,7 +217,7 @@
 #[async_trait]
 impl Backend for Sqlite {
     async fn run(&self, op: Op) -> Result<Reply, Error> {
-        let tells = op.tells();
+        let tells = op.notifies_others();
         let done = self.with(move |c| apply(c, &op)).await;
         if tells && done.is_ok() {
             self.changes.send_modify(|n| *n += 1);
--- a/crates/record/tests/backends.rs
+++ b/crates/record/tests/backends.rs
@@ -1,7 +1,7 @@
 //! Both databases alike: what is kept, who wins, and what failures leave behind.
 
-use frostvale_record::model::{Batch, Change, Level, Line, Override, Plan, Shop};
-use frostvale_record::{Backend, Error, Op, Place, Reply, sql};
+use frostvale_record::model::{Change, Override, Plan, Shop, TokenLevel, UsageBatch, UsageLine};
+use frostvale_record::{Backend, Error, Op, RecordLocation, Reply, sql};
 use frostvale_standin::postgres::{Login, Postgres, tls_acceptor};
 use std::net::Ipv4Addr;
 use std::path::{Path, PathBuf};
@@ -26,12 +26,12 @@
         self.folder.path().join(name)
     }
 
-    fn sqlite(&self) -> Place {
-        Place::new(&format!("sqlite:{}", self.path("record.db").display()))
+    fn sqlite(&self) -> RecordLocation {
+        RecordLocation::new(&format!("sqlite:{}", self.path("record.db").display()))
     }
 
     /// A server, and where it is.
-    async fn postgres(&mut self, login: Login) -> Place {
+    async fn postgres(&mut self, login: Login) -> RecordLocation {
         let server = Postgres::start(Ipv4Addr::LOCALHOST.into(), &self.path("pg.db"), PASSWORD, login)
             .await
             .expect("started");
@@ -40,13 +40,13 @@
         place
     }
 
-    fn place(&self, at: std::net::SocketAddr) -> Place {
+    fn place(&self, at: std::net::SocketAddr) -> RecordLocation {
         std::fs::write(self.path("password"), format!("{PASSWORD}\n")).expect("written");
-        Place {
+        RecordLocation {
             password_file: Some(self.path("password")),
-            connect: Duration::from_millis(500),
-            statement: Duration::from_millis(500),
-            ..Place::new(&format!("postgres://agent@{at}/frostvale"))
+            connect_timeout: Duration::from_millis(500),
+            statement_timeout: Duration::from_millis(500),
+            ..RecordLocation::new(&format!("postgres://agent@{at}/frostvale"))
         }
     }
 
@@ -55,7 +55,7 @@
     }
 }
 
-async fn open(place: &Place) -> Arc<dyn Backend> {
+async fn open(place: &RecordLocation) -> Arc<dyn Backend> {
     let backend = place.open().await.expect("opened");
     backend.migrate().await.expect("migrated");
     backend
@@ -69,8 +69,8 @@
     Plan { name: "tienda".into(), rate_milli, burst_milli: 12_000, ..Plan::default() }
 }
 
-fn batch(seq: i64, units: i64) -> Batch {
-    let line = |shop: &str| Line {
+fn batch(seq: i64, units: i64) -> UsageBatch {
+    let line = |shop: &str| UsageLine {
         shop: shop.into(),
         plan: "tienda".into(),
         class: "mix-record".into(),
@@ -78,7 +78,7 @@
         refused_milli: 500,
         served_milli: units * 1000,
     };
-    Batch {
+    UsageBatch {
         instance: "n1".into(),
         epoch_ms: 77,
         seq,
@@ -109,7 +109,7 @@
         Error::Conflict { subject: "plan tienda".into(), revision: 2, by: "ben".into(), since_ms: 1000 };
     assert_eq!(lost, told);
     let Ok(Reply::Snapshot(all)) = backend.run(Op::Load).await else { panic!("not loaded") };
-    assert_eq!((all.revision, all.plans.len(), all.plans[0].it.rate_milli), (2, 1, 4000));
+    assert_eq!((all.revision, all.plans.len(), all.plans[0].value.rate_milli), (2, 1, 4000));
     assert_eq!((all.plans[0].by.as_str(), all.plans[0].why.as_str()), ("ben", "a test"));
     // Bad figures cost nothing.
     for bad in [Plan { burst_milli: 0, ..plan(1) }, plan(-1), Plan { name: String::new(), ..plan(1) }] {
@@ -122,7 +122,7 @@
     let Ok(Reply::Shop(Some(kept))) = backend.run(Op::Shop(shop.shop.clone())).await else {
         panic!("no shop")
     };
-    assert_eq!((kept.it, kept.revision), (shop, 3));
+    assert_eq!((kept.value, kept.revision), (shop, 3));
     let pin = Override { kind: "pin".into(), subject: "s1".into(), value: "f2".into(), until_ms: 99 };
     assert_eq!(
         backend.run(Op::SetOverride(pin.clone(), change("f", "ana", 0))).await,
@@ -141,12 +141,12 @@
         trail[2].before.contains("\"rate_milli\":3000") && trail[2].after.contains("\"rate_milli\":4000")
     );
     // Use lands once, however often, and in whatever order it is sent.
-    let send = |batches: Vec<Batch>| backend.run(Op::Append { batches, now_ms: 5000 });
-    assert_eq!(send(vec![batch(2, 3), batch(1, 2)]).await, Ok(Reply::Landed(vec![true, true])));
-    assert_eq!(send(vec![batch(1, 2), batch(3, 1)]).await, Ok(Reply::Landed(vec![false, true])));
+    let send = |batches: Vec<UsageBatch>| backend.run(Op::Append { batches, now_ms: 5000 });
+    assert_eq!(send(vec![batch(2, 3), batch(1, 2)]).await, Ok(Reply::Stored(vec![true, true])));
+    assert_eq!(send(vec![batch(1, 2), batch(3, 1)]).await, Ok(Reply::Stored(vec![false, true])));
     // An old life of the same instance numbers its batches from 1 as well.
-    let old = Batch { epoch_ms: 66, ..batch(1, 10) };
-    assert_eq!(send(vec![old.clone(), old]).await, Ok(Reply::Landed(vec![true, false])));
+    let old = UsageBatch { epoch_ms: 66, ..batch(1, 10) };
+    assert_eq!(send(vec![old.clone(), old]).await, Ok(Reply::Stored(vec![true, false])));
     assert_eq!(total(backend).await, 2 * (3 + 2 + 1 + 10) * 1000);
     let mark = Op::Watermark { instance: "n1".into(), epoch_ms: 77 };
     assert_eq!(backend.run(mark).await, Ok(Reply::Watermark(Some((3, 4000, false)), 3)));
@@ -156,7 +156,7 @@
     assert!(send(vec![batch(4, 1), bad]).await.is_err());
     assert_eq!(total(backend).await, 32_000);
     // Levels: the newest word stands.
-    let level = |store_milli, at_ms| Level { key: 9, plan: 0, store_milli, ceiling_milli: 5, at_ms };
+    let level = |store_milli, at_ms| TokenLevel { key: 9, plan: 0, store_milli, ceiling_milli: 5, at_ms };
     for (store, at) in [(100, 10), (200, 30), (150, 20)] {
         let op = Op::SaveLevels { instance: "n1".into(), levels: vec![level(store, at)] };
         assert_eq!(backend.run(op).await, Ok(Reply::Done));
@@ -212,10 +212,10 @@
         ("postgres://agent@10.0.0.1/db", "record.ca"),
     ];
     for (url, word) in bad {
-        let said = Place::new(url).check().expect_err("refused");
+        let said = RecordLocation::new(url).check().expect_err("refused");
         assert!(said.contains(word) && !said.contains("hunter2"), "{said}");
     }
-    assert!(Place::new("postgres://agent@127.0.0.1:5432/db").check().is_ok());
+    assert!(RecordLocation::new("postgres://agent@127.0.0.1:5432/db").check().is_ok());
 }
 
 // ---- two at once ----
@@ -293,7 +293,7 @@
         drop(c);
         let backend = place.open().await.expect("opened");
         let said = backend.migrate().await.expect_err("refused");
-        assert_eq!(said, Error::Newer { found: newer, known: sql::VERSION });
+        assert_eq!(said, Error::SchemaTooNew { found: newer, known: sql::VERSION });
         assert!(!said.to_string().contains('\n'));
     }
 }
@@ -325,11 +325,11 @@
         Postgres::start_at(at, &file, PASSWORD, Login::Scram, Some(acceptor)).await.expect("started");
     let password = folder.path().join("password");
     std::fs::write(&password, PASSWORD).expect("written");
-    let place = |at: std::net::SocketAddr, ca: &Path| Place {
+    let place = |at: std::net::SocketAddr, ca: &Path| RecordLocation {
         password_file: Some(password.clone()),
         ca: Some(ca.to_path_buf()),
-        connect: Duration::from_secs(2),
-        ..Place::new(&format!("postgres://agent@localhost:{}/frostvale", at.port()))
+        connect_timeout: Duration::from_secs(2),
+        ..RecordLocation::new(&format!("postgres://agent@localhost:{}/frostvale", at.port()))
     };
     let backend = place(server.at, &ours_file).open().await.expect("opened");
     backend.migrate().await.expect("migrated over TLS");
@@ -360,7 +360,7 @@
         let lost = backend.run(append.clone()).await.expect_err("the answer is lost");
         assert!(matches!(lost, Error::InDoubt(_)), "{lost:?}");
         // Again: it lands now, or is known to have.
-        assert_eq!(backend.run(append.clone()).await, Ok(Reply::Landed(vec![!die_after])));
+        assert_eq!(backend.run(append.clone()).await, Ok(Reply::Stored(vec![!die_after])));
         assert_eq!(total(&*backend).await, 2000 * seq);
         // A change as well.
         let set = Op::SetPlan(plan(1000 + seq), change(&format!("c{seq}"), "ana", seq - 1));
@@ -377,11 +377,11 @@
     let backend = open(&place).await;
     kept.server().faults.serialization_failures.store(3, Ordering::SeqCst);
     let append = Op::Append { batches: vec![batch(1, 1)], now_ms: 1 };
-    assert_eq!(backend.run(append).await, Ok(Reply::Landed(vec![true])));
+    assert_eq!(backend.run(append).await, Ok(Reply::Stored(vec![true])));
     // For ever is not tried.
     kept.server().faults.serialization_failures.store(1000, Ordering::SeqCst);
     let append = Op::Append { batches: vec![batch(2, 1)], now_ms: 1 };
-    assert!(matches!(backend.run(append).await, Err(Error::Again(_))));
+    assert!(matches!(backend.run(append).await, Err(Error::Contended(_))));
     assert!(kept.server().faults.serialization_failures.load(Ordering::SeqCst) > 900);
 }
 
@@ -406,9 +406,9 @@
             break;
         }
         hung += 1;
-        assert!(done.as_ref().is_err_and(Error::passes), "{done:?}");
+        assert!(done.as_ref().is_err_and(Error::is_transient), "{done:?}");
         let again = backend.run(append).await.expect("done again");
-        assert!(matches!(again, Reply::Landed(_)));
+        assert!(matches!(again, Reply::Stored(_)));
         assert_eq!(total(&*backend).await, 2000 * seq, "after a hang at message {after}");
         if hung >= 12 {
             break;
@@ -435,7 +435,7 @@
     }
     kept.server().faults.half_a_row.store(true, Ordering::SeqCst);
     let half = backend.run(Op::Load).await;
-    assert!(half.as_ref().is_err_and(Error::passes), "{half:?}");
+    assert!(half.as_ref().is_err_and(Error::is_transient), "{half:?}");
     assert!(backend.run(Op::Load).await.is_ok());
 }
 
@@ -450,14 +450,14 @@
     let at = server.at;
     server.kill().await;
     let gone = backend.run(append(2)).await;
-    assert!(matches!(gone, Err(Error::Away(_))), "{gone:?}");
+    assert!(matches!(gone, Err(Error::Unavailable(_))), "{gone:?}");
     let server =
         Postgres::start_at(at, &kept.path("pg.db"), PASSWORD, Login::Scram, None).await.expect("started");
     server.faults.refuse.store(true, Ordering::SeqCst);
     let refused = backend.run(append(2)).await;
-    assert!(matches!(refused, Err(Error::Away(_))), "{refused:?}");
+    assert!(matches!(refused, Err(Error::Unavailable(_))), "{refused:?}");
     server.faults.refuse.store(false, Ordering::SeqCst);
-    assert_eq!(backend.run(append(2)).await, Ok(Reply::Landed(vec![true])));
+    assert_eq!(backend.run(append(2)).await, Ok(Reply::Stored(vec![true])));
     assert_eq!(total(&*backend).await, 4000, "what was made final before the kill is there");
 }
 
@@ -479,7 +479,7 @@
     let mark = Op::Watermark { instance: "n1".into(), epoch_ms: 77 };
     assert_eq!(backend.run(mark).await, Ok(Reply::Watermark(Some((1, 2000, false)), 1)));
     let sent = Op::Append { batches: vec![batch(1, 1), batch(2, 1)], now_ms: 1 };
-    assert_eq!(backend.run(sent).await, Ok(Reply::Landed(vec![false, true])));
+    assert_eq!(backend.run(sent).await, Ok(Reply::Stored(vec![false, true])));
     assert_eq!(total(&*backend).await, 4000);
 }
 
@@ -539,11 +539,11 @@
         full = done.err();
     }
     let full = full.expect("full");
-    assert!(matches!(full, Error::Full(_)) && full.passes() && full.state() == "full", "{full:?}");
+    assert!(matches!(full, Error::Full(_)) && full.is_transient() && full.state() == "full", "{full:?}");
     assert_eq!(total(&backend).await, 2000 * (seq - 1), "the last one is not there in part");
     backend.limit_pages(10_000).await.expect("room");
     let again = backend.run(Op::Append { batches: vec![batch(seq, 1)], now_ms: 1 }).await;
-    assert_eq!(again, Ok(Reply::Landed(vec![true])));
+    assert_eq!(again, Ok(Reply::Stored(vec![true])));
     drop(backend);
     assert_eq!(total(&*place.open().await.expect("opened")).await, 2000 * seq);
 }
@@ -569,7 +569,7 @@
         let at = cut.len().saturating_sub(100);
         cut[at..].fill(0x5a);
         std::fs::write(kept.path(&format!("torn{part}.db-wal")), cut).expect("written");
-        let place = Place::new(&format!("sqlite:{}", torn.display()));
+        let place = RecordLocation::new(&format!("sqlite:{}", torn.display()));
         let torn = place.open().await.expect("opened");
         torn.migrate().await.expect("migrated");
         let landed = total(&*torn).await;
@@ -586,9 +586,10 @@
     let foreign = kept.path("foreign.db");
     std::fs::write(&foreign, "this is a text and no database at all, and long enough to be looked at")
         .expect("written");
-    let said = Place::new(&format!("sqlite:{}", foreign.display())).open().await.err().expect("refused");
+    let said =
+        RecordLocation::new(&format!("sqlite:{}", foreign.display())).open().await.err().expect("refused");
     assert!(matches!(said, Error::Corrupt(_)), "{said:?}");
-    let nowhere = Place::new("sqlite:/nowhere/at/all.db").open().await.err().expect("refused");
+    let nowhere = RecordLocation::new("sqlite:/nowhere/at/all.db").open().await.err().expect("refused");
     assert!(matches!(nowhere, Error::Unusable(_)), "{nowhere:?}");
     // Damaged in its middle.
     let place = kept.sqlite();
@@ -602,7 +603,8 @@
     let len = bytes.len();
     bytes[4096..len - 4096].fill(0x5a);
     std::fs::write(&damaged, bytes).expect("written");
-    let said = Place::new(&format!("sqlite:{}", damaged.display())).open().await.err().expect("refused");
+    let said =
+        RecordLocation::new(&format!("sqlite:{}", damaged.display())).open().await.err().expect("refused");
     assert!(matches!(said, Error::Corrupt(_)) && said.to_string().contains("backup"), "{said:?}");
 }
 
@@ -617,7 +619,7 @@
     assert!(matches!(held, Err(Error::Locked(_))), "{held:?}");
     other.execute_batch("ROLLBACK").expect("free");
     let done = backend.run(Op::Append { batches: vec![batch(1, 1)], now_ms: 1 }).await;
-    assert_eq!(done, Ok(Reply::Landed(vec![true])));
+    assert_eq!(done, Ok(Reply::Stored(vec![true])));
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -638,7 +640,7 @@
     });
     backend.backup(&to).await.expect("copied");
     writing.await.expect("ended");
-    let copy = Place::new(&format!("sqlite:{}", to.display())).open().await.expect("opened");
+    let copy = RecordLocation::new(&format!("sqlite:{}", to.display())).open().await.expect("opened");
     let landed = total(&*copy).await;
     assert!((60_000..=120_000).contains(&landed) && landed % 2000 == 0, "{landed}");
     copy.check().await.expect("whole");
@@ -652,7 +654,7 @@
     let path = kept.path("spool.db");
     let (spool, count, bytes) = Spool::open(&path).await.expect("opened");
     assert_eq!((count, bytes), (0, 0));
-    let put = |batches: Vec<Batch>| spool.put(batches);
+    let put = |batches: Vec<UsageBatch>| spool.append(batches);
     assert_eq!(put(vec![batch(1, 1), batch(2, 1)]).await, Ok(vec![true, true]));
     assert_eq!(
         put(vec![batch(2, 1), batch(3, 1)]).await,
--- a/crates/record/tests/fleet.rs
+++ b/crates/record/tests/fleet.rs
@@ -1,10 +1,10 @@
 //! Work on behalf of the fleet, on both databases: who is refused, and that each unit counts once however steps are cut off.
 
 use frostvale_owner::fence::Owner;
-use frostvale_owner::{Action, Command, Fence, Host, Settings, State};
+use frostvale_owner::{Action, Command, DutyController, Fence, Settings, State};
 use frostvale_record::fleet::DAY_MS;
-use frostvale_record::model::{Batch, Change, HistoryRow, Line, Plan};
-use frostvale_record::{Backend, Error, Op, Place, Reply, Work};
+use frostvale_record::model::{Change, HistoryRow, Plan, UsageBatch, UsageLine};
+use frostvale_record::{Backend, Error, FleetWork, Op, RecordLocation, Reply};
 use frostvale_standin::postgres::{Login, Postgres};
 use std::net::Ipv4Addr;
 use std::sync::Arc;
@@ -12,14 +12,14 @@
 /// A fence as the owner of this epoch has it: there is no other way to one than by a lease.
 fn fence(duty: &str, agent: &str, epoch: u64) -> Fence {
     let mut state = State::default();
-    let mut host = Host::new(agent, "a", &[duty.to_string()], Settings::default(), 1, 1);
+    let mut host = DutyController::new(agent, "a", &[duty.to_string()], Settings::default(), 1, 1);
     state.apply(&Command::Raise { epoch: epoch - 1 });
     for now in 1..100 {
-        for action in host.turn(now * 20, &state.clone()) {
+        for action in host.tick(now * 20, &state.clone()) {
             match action {
                 Action::Propose(command) => {
                     let outcome = state.apply(&command);
-                    host.answered(now * 20, &command, Some(&outcome));
+                    host.handle_outcome(now * 20, &command, Some(&outcome));
                 }
                 Action::Begin(lease) => return lease.fence(now * 20).expect("held"),
                 _ => {}
@@ -35,7 +35,7 @@
         let folder = tempfile::tempdir().expect("a folder");
         let file = folder.path().join(format!("{name}.db"));
         let (place, server) = if kind == "sqlite" {
-            (Place::new(&format!("sqlite:{}", file.display())), None)
+            (RecordLocation::new(&format!("sqlite:{}", file.display())), None)
         } else {
             let server = Postgres::start(Ipv4Addr::LOCALHOST.into(), &file, "sesame", Login::Scram)
                 .await
@@ -43,7 +43,7 @@
             let password = folder.path().join("password");
             std::fs::write(&password, "sesame").expect("written");
             let url = format!("postgres://agent@{}/frostvale", server.at);
-            (Place { password_file: Some(password), ..Place::new(&url) }, Some(server))
+            (RecordLocation { password_file: Some(password), ..RecordLocation::new(&url) }, Some(server))
         };
         let backend = place.open().await.expect("opened");
         backend.migrate().await.expect("migrated");
@@ -52,12 +52,12 @@
     all
 }
 
-async fn work(backend: &dyn Backend, fence: &Fence, work: Work, now_ms: i64) -> Result<Reply, Error> {
+async fn work(backend: &dyn Backend, fence: &Fence, work: FleetWork, now_ms: i64) -> Result<Reply, Error> {
     backend.run(Op::ForFleet { fence: fence.clone(), work, now_ms }).await
 }
 
-fn batch(epoch_ms: i64, seq: i64, day: i64, units: i64, last: bool) -> Batch {
-    let line = |shop: &str, units: i64| Line {
+fn batch(epoch_ms: i64, seq: i64, day: i64, units: i64, last: bool) -> UsageBatch {
+    let line = |shop: &str, units: i64| UsageLine {
         shop: shop.into(),
         plan: "tienda".into(),
         class: "mix-record".into(),
@@ -67,12 +67,21 @@
     };
     let to_ms = day * DAY_MS + seq * 1000;
     let lines = vec![line("00000000b4d65521", units), line("00000000b4d65522", 2 * units)];
-    Batch { instance: "n1".into(), epoch_ms, seq, from_ms: to_ms - 1000, to_ms, last, revision: 0, lines }
+    UsageBatch {
+        instance: "n1".into(),
+        epoch_ms,
+        seq,
+        from_ms: to_ms - 1000,
+        to_ms,
+        last,
+        revision: 0,
+        lines,
+    }
 }
 
-async fn append(backend: &dyn Backend, batches: Vec<Batch>, now_ms: i64) -> Vec<bool> {
+async fn append(backend: &dyn Backend, batches: Vec<UsageBatch>, now_ms: i64) -> Vec<bool> {
     match backend.run(Op::Append { batches, now_ms }).await {
-        Ok(Reply::Landed(new)) => new,
+        Ok(Reply::Stored(new)) => new,
         other => panic!("{other:?}"),
     }
 }
@@ -87,18 +96,18 @@
     for (backend, _server, _folder) in both("fence").await {
         append(&*backend, vec![batch(1, 1, 0, 5, false)], 0).await;
         let (old, new) = (fence("roll-up", "a", 5), fence("roll-up", "b", 6));
-        assert_eq!(work(&*backend, &old, Work::Touch, 0).await, Ok(Reply::Did(0)));
-        assert_eq!(work(&*backend, &new, Work::Touch, 0).await, Ok(Reply::Did(0)));
-        let refused = work(&*backend, &old, Work::RollUp { most: 10 }, 0).await;
+        assert_eq!(work(&*backend, &old, FleetWork::Touch, 0).await, Ok(Reply::Affected(0)));
+        assert_eq!(work(&*backend, &new, FleetWork::Touch, 0).await, Ok(Reply::Affected(0)));
+        let refused = work(&*backend, &old, FleetWork::RollUp { most: 10 }, 0).await;
         let stands = Error::Fenced { duty: "roll-up".into(), epoch: 5, stands: 6, by: "b#1".into() };
         assert_eq!(refused, Err(stands));
         assert_eq!(days(&*backend).await, (0, 0), "nothing was done");
         // One number, two owners: the first that came has it.
         let twin = fence("roll-up", "c", 6);
-        assert!(matches!(work(&*backend, &twin, Work::Touch, 0).await, Err(Error::Fenced { .. })));
+        assert!(matches!(work(&*backend, &twin, FleetWork::Touch, 0).await, Err(Error::Fenced { .. })));
         // Another duty's numbers are its own affair.
-        assert!(work(&*backend, &fence("gaps", "a", 2), Work::Touch, 0).await.is_ok());
-        assert_eq!(work(&*backend, &new, Work::RollUp { most: 10 }, 0).await, Ok(Reply::Did(1)));
+        assert!(work(&*backend, &fence("gaps", "a", 2), FleetWork::Touch, 0).await.is_ok());
+        assert_eq!(work(&*backend, &new, FleetWork::RollUp { most: 10 }, 0).await, Ok(Reply::Affected(1)));
         let Ok(Reply::Snapshot(all)) = backend.run(Op::Load).await else { panic!("no snapshot") };
         let stands: Vec<(&str, i64, &str)> =
             all.fences.iter().map(|f| (f.duty.as_str(), f.epoch, f.owner.as_str())).collect();
@@ -113,12 +122,12 @@
         let units = |n: i64| 3 * n * 1000;
         append(&*backend, (1..=5).map(|seq| batch(1, seq, 0, seq, false)).collect(), 10).await;
         for left in [2, 2, 1, 0] {
-            let done = work(&*backend, &owner, Work::RollUp { most: 2 }, 0).await;
-            assert_eq!(done, Ok(Reply::Did(left)));
+            let done = work(&*backend, &owner, FleetWork::RollUp { most: 2 }, 0).await;
+            assert_eq!(done, Ok(Reply::Affected(left)));
         }
         assert_eq!(days(&*backend).await, (units(15), 0));
         // A day that has not ended is not exported.
-        let prepare = |before_ms| Work::PrepareExport { before_ms, most: 1 };
+        let prepare = |before_ms| FleetWork::PrepareExport { before_ms, most: 1 };
         assert_eq!(work(&*backend, &owner, prepare(DAY_MS - 1), 0).await, Ok(Reply::Export(None)));
         let Ok(Reply::Export(Some(one))) = work(&*backend, &owner, prepare(DAY_MS), 0).await else {
             panic!("no part")
@@ -127,16 +136,16 @@
         // Its owner dies before it is written: the next one finds the very same part.
         append(&*backend, vec![batch(1, 6, 0, 100, false)], 20).await;
         let heir = fence("export", "b", 2);
-        work(&*backend, &heir, Work::RollUp { most: 10 }, 0).await.expect("rolled up");
+        work(&*backend, &heir, FleetWork::RollUp { most: 10 }, 0).await.expect("rolled up");
         let again = work(&*backend, &heir, prepare(DAY_MS), 0).await;
         assert_eq!(again, Ok(Reply::Export(Some(one.clone()))));
         // The old owner wakes up: it may neither prepare nor finish.
-        for late in [prepare(DAY_MS), Work::FinishExport { number: 1, digest: "x".into() }] {
+        for late in [prepare(DAY_MS), FleetWork::FinishExport { number: 1, digest: "x".into() }] {
             assert!(matches!(work(&*backend, &owner, late, 0).await, Err(Error::Fenced { .. })));
         }
-        let finish = Work::FinishExport { number: 1, digest: "abc".into() };
-        assert_eq!(work(&*backend, &heir, finish.clone(), 0).await, Ok(Reply::Did(1)));
-        assert_eq!(work(&*backend, &heir, finish, 0).await, Ok(Reply::Did(0)), "once");
+        let finish = FleetWork::FinishExport { number: 1, digest: "abc".into() };
+        assert_eq!(work(&*backend, &heir, finish.clone(), 0).await, Ok(Reply::Affected(1)));
+        assert_eq!(work(&*backend, &heir, finish, 0).await, Ok(Reply::Affected(0)), "once");
         // What came meanwhile is in later parts, as differences; all parts together are the days.
         let mut out: i64 = one.rows.iter().map(|r| r.passed_milli).sum();
         let mut number = 1;
@@ -144,7 +153,7 @@
             number += 1;
             assert_eq!(part.number, number);
             out += part.rows.iter().map(|r| r.passed_milli).sum::<i64>();
-            let finish = Work::FinishExport { number, digest: "abc".into() };
+            let finish = FleetWork::FinishExport { number, digest: "abc".into() };
             work(&*backend, &heir, finish, 0).await.expect("finished");
         }
         assert_eq!((out, number), (units(115), 3));
@@ -158,16 +167,28 @@
 async fn what_is_let_go_of_never_lands_again_and_the_sums_still_agree() {
     for (backend, _server, _folder) in both("retain").await {
         let owner = fence("retention", "a", 1);
-        let all: Vec<Batch> = [1, 2, 3, 5, 6].map(|seq| batch(1, seq, 0, seq, false)).to_vec();
+        let all: Vec<UsageBatch> = [1, 2, 3, 5, 6].map(|seq| batch(1, seq, 0, seq, false)).to_vec();
         append(&*backend, all.clone(), 10).await;
-        let retain = Work::Retain { before_ms: 100, most: 100 };
-        assert_eq!(work(&*backend, &owner, retain.clone(), 0).await, Ok(Reply::Did(0)), "not rolled up yet");
-        work(&*backend, &owner, Work::RollUp { most: 100 }, 0).await.expect("rolled up");
-        assert_eq!(work(&*backend, &owner, retain.clone(), 0).await, Ok(Reply::Did(3)), "4 has not landed");
+        let retain = FleetWork::Retain { before_ms: 100, most: 100 };
+        assert_eq!(
+            work(&*backend, &owner, retain.clone(), 0).await,
+            Ok(Reply::Affected(0)),
+            "not rolled up yet"
+        );
+        work(&*backend, &owner, FleetWork::RollUp { most: 100 }, 0).await.expect("rolled up");
+        assert_eq!(
+            work(&*backend, &owner, retain.clone(), 0).await,
+            Ok(Reply::Affected(3)),
+            "4 has not landed"
+        );
         assert_eq!(append(&*backend, all, 20).await, [false; 5], "known, whether kept or let go of");
         assert_eq!(append(&*backend, vec![batch(1, 4, 0, 4, false)], 30).await, [true]);
-        work(&*backend, &owner, Work::RollUp { most: 100 }, 0).await.expect("rolled up");
-        assert_eq!(work(&*backend, &owner, retain, 0).await, Ok(Reply::Did(2)), "the last of the life stays");
+        work(&*backend, &owner, FleetWork::RollUp { most: 100 }, 0).await.expect("rolled up");
+        assert_eq!(
+            work(&*backend, &owner, retain, 0).await,
+            Ok(Reply::Affected(2)),
+            "the last of the life stays"
+        );
         assert_eq!(days(&*backend).await.0, 21 * 3000);
         let mark = Op::Watermark { instance: "n1".into(), epoch_ms: 1 };
         assert_eq!(backend.run(mark).await, Ok(Reply::Watermark(Some((6, 6000, false)), 1)));
@@ -182,14 +203,14 @@
         let owner = fence("gaps", "a", 1);
         let seen =
             |epoch_ms| Op::Seen { name: "n1".into(), host: "h".into(), epoch_ms, now_ms: 50, revision: 0 };
-        let find = |silent: &[(&str, i64)]| Work::FindGaps {
+        let find = |silent: &[(&str, i64)]| FleetWork::FindGaps {
             silent: silent.iter().map(|(n, e)| ((*n).to_string(), *e)).collect(),
         };
         append(&*backend, vec![batch(1, 1, 0, 5, false), batch(2, 1, 0, 5, true)], 0).await;
         backend.run(seen(3)).await.expect("seen");
-        assert_eq!(work(&*backend, &owner, find(&[]), 90).await, Ok(Reply::Did(1)));
-        assert_eq!(work(&*backend, &owner, find(&[("n1", 3)]), 90).await, Ok(Reply::Did(1)));
-        assert_eq!(work(&*backend, &owner, find(&[("n1", 3), ("n9", 1)]), 91).await, Ok(Reply::Did(0)));
+        assert_eq!(work(&*backend, &owner, find(&[]), 90).await, Ok(Reply::Affected(1)));
+        assert_eq!(work(&*backend, &owner, find(&[("n1", 3)]), 90).await, Ok(Reply::Affected(1)));
+        assert_eq!(work(&*backend, &owner, find(&[("n1", 3), ("n9", 1)]), 91).await, Ok(Reply::Affected(0)));
         let Ok(Reply::Gaps(gaps)) = backend.run(Op::Gaps).await else { panic!("no gaps") };
         let lives: Vec<(i64, i64)> = gaps.iter().map(|g| (g.epoch_ms, g.after_seq)).collect();
         assert_eq!(lives, [(3, 0), (1, 1)], "the second life ended in order");
@@ -227,12 +248,12 @@
             }
             other => panic!("{other:?}"),
         };
-        assert_eq!(work(&*backend, &old, Work::Publish, 50).await, Ok(Reply::Did(1)));
+        assert_eq!(work(&*backend, &old, FleetWork::Publish, 50).await, Ok(Reply::Affected(1)));
         assert_eq!(published().await, [("basico".to_string(), 1)]);
-        assert_eq!(work(&*backend, &new, Work::Publish, 60).await, Ok(Reply::Did(0)));
-        assert!(work(&*backend, &old, Work::Publish, 100).await.is_err());
+        assert_eq!(work(&*backend, &new, FleetWork::Publish, 60).await, Ok(Reply::Affected(0)));
+        assert!(work(&*backend, &old, FleetWork::Publish, 100).await.is_err());
         assert_eq!(published().await.len(), 1);
-        assert_eq!(work(&*backend, &new, Work::Publish, 100).await, Ok(Reply::Did(1)));
+        assert_eq!(work(&*backend, &new, FleetWork::Publish, 100).await, Ok(Reply::Affected(1)));
         assert_eq!(published().await, [("basico".to_string(), 1), ("tienda".to_string(), 2)]);
     }
 }
@@ -254,7 +275,8 @@
             other => panic!("{other:?}"),
         };
         let owner = fence("publish", "a", 1);
-        let publish = async |now_ms| work(&*backend, &owner, Work::Publish, now_ms).await.expect("published");
+        let publish =
+            async |now_ms| work(&*backend, &owner, FleetWork::Publish, now_ms).await.expect("published");
         let figures = |all: &[(&str, i64)]| all.iter().map(|(n, r)| (n.to_string(), *r)).collect::<Vec<_>>();
 
         set("basico", 1000, 0, 0).await;
@@ -301,10 +323,10 @@
         let owner = fence("audit", "a", 5);
         let append = async |after: (i64, &str), rows: Vec<HistoryRow>| {
             let after = (after.0, after.1.to_string());
-            work(&*backend, &owner, Work::AppendHistory { after, rows }, 0).await
+            work(&*backend, &owner, FleetWork::AppendHistory { after, rows }, 0).await
         };
         let rows = (1..=40).map(|n| history_row(n, 100 * n)).collect();
-        assert_eq!(append((0, ""), rows).await, Ok(Reply::Did(40)));
+        assert_eq!(append((0, ""), rows).await, Ok(Reply::Affected(40)));
         // From another place, or with a number left out: nothing of it is entered.
         for (after, rows, what) in [
             ((39, "h39"), vec![history_row(40, 1)], "it ends at row 40"),
@@ -319,8 +341,8 @@
         };
         assert_eq!((base, head), ((0, String::new()), (40, "h40".into())));
         assert_eq!(
-            work(&*backend, &owner, Work::RetainHistory { before_ms: 1050 }, 0).await,
-            Ok(Reply::Did(10))
+            work(&*backend, &owner, FleetWork::RetainHistory { before_ms: 1050 }, 0).await,
+            Ok(Reply::Affected(10))
         );
         let Ok(Reply::History(rows, base)) = backend.run(Op::History { after: 0, most: 5 }).await else {
             panic!("none")
@@ -328,12 +350,12 @@
         assert_eq!((base, rows.len(), rows[0].clone()), ((10, "h10".into()), 5, history_row(11, 1100)));
         // However old all of it is, its last row stays: the next one goes on from it.
         assert_eq!(
-            work(&*backend, &owner, Work::RetainHistory { before_ms: 1_000_000 }, 0).await,
-            Ok(Reply::Did(29))
+            work(&*backend, &owner, FleetWork::RetainHistory { before_ms: 1_000_000 }, 0).await,
+            Ok(Reply::Affected(29))
         );
-        assert_eq!(append((40, "h40"), vec![history_row(41, 9)]).await, Ok(Reply::Did(1)));
+        assert_eq!(append((40, "h40"), vec![history_row(41, 9)]).await, Ok(Reply::Affected(1)));
         let later = fence("audit", "b", 6);
-        assert!(work(&*backend, &later, Work::Touch, 0).await.is_ok());
+        assert!(work(&*backend, &later, FleetWork::Touch, 0).await.is_ok());
         assert!(matches!(append((41, "h41"), vec![history_row(42, 9)]).await, Err(Error::Fenced { .. })));
     }
 }
@@ -341,7 +363,7 @@
 #[tokio::test]
 async fn use_is_summed_by_the_revision_that_it_was_decided_under() {
     for (backend, _server, _folder) in both("revisions").await {
-        let of = |seq: i64, revision: i64| Batch { revision, ..batch(1, seq, 0, 5, false) };
+        let of = |seq: i64, revision: i64| UsageBatch { revision, ..batch(1, seq, 0, 5, false) };
         append(&*backend, vec![of(1, 41), of(2, 41), of(3, 42)], 0).await;
         append(&*backend, vec![of(2, 41)], 0).await;
         let Ok(Reply::Revisions(rows)) = backend.run(Op::UseByRevision).await else { panic!("none") };
--- a/crates/sim/src/conns.rs
+++ b/crates/sim/src/connections.rs
@@ -8,13 +8,13 @@
 
 /// What an attempt goes by.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Way {
+pub(crate) enum ConnectionUse {
     /// A connection that rested.
-    Kept,
+    Reused,
     /// A new one: a handshake comes first.
     New,
     /// The server holds as many as it may, and turns a new one away unread.
-    TurnedAway,
+    Rejected,
 }
 
 /// Connections of one gatekeeper to one server.
@@ -48,20 +48,20 @@
 }
 
 /// All connections.
-pub(crate) struct Conns {
+pub(crate) struct ConnectionPools {
     /// A server holds so many at the most; 0 for any number.
     most: u32,
     idle_ms: f64,
     servers: Vec<Server>,
 }
 
-impl Conns {
-    pub fn new(most: u32, idle_ms: f64) -> Conns {
-        Conns { most, idle_ms, servers: Vec::new() }
+impl ConnectionPools {
+    pub fn new(most: u32, idle_ms: f64) -> ConnectionPools {
+        ConnectionPools { most, idle_ms, servers: Vec::new() }
     }
 
     /// A gatekeeper's attempt needs a connection to a server. Gives also the server's life it was made in.
-    pub fn take(&mut self, now: f64, gatekeeper: u32, server: u32) -> (Way, u32) {
+    pub fn acquire(&mut self, now: f64, gatekeeper: u32, server: u32) -> (ConnectionUse, u32) {
         let (most, before) = (self.most, now - self.idle_ms);
         let k = server as usize;
         if self.servers.len() <= k {
@@ -73,22 +73,22 @@
             if pool.rest.back().is_some_and(|since| *since >= before) {
                 pool.rest.pop_back();
                 pool.busy += 1;
-                return (Way::Kept, s.life);
+                return (ConnectionUse::Reused, s.life);
             }
         }
         if most > 0 && s.open >= most {
             s.sweep(before);
             if s.open >= most {
-                return (Way::TurnedAway, s.life);
+                return (ConnectionUse::Rejected, s.life);
             }
         }
         s.open += 1;
         s.pools.entry(gatekeeper).or_default().busy += 1;
-        (Way::New, s.life)
+        (ConnectionUse::New, s.life)
     }
 
     /// An attempt has ended; its connection rests if it was answered, and is closed if it was given up.
-    pub fn give(&mut self, now: f64, gatekeeper: u32, (server, life): (u32, u32), answered: bool) {
+    pub fn release(&mut self, now: f64, gatekeeper: u32, (server, life): (u32, u32), answered: bool) {
         // Of a life that has ended nothing is left to give back.
         let Some(s) = self.servers.get_mut(server as usize).filter(|s| s.life == life) else { return };
         let Some(pool) = s.pools.get_mut(&gatekeeper).filter(|p| p.busy > 0) else { return };
@@ -124,31 +124,31 @@
 
     #[test]
     fn one_that_rests_is_taken_again_until_it_is_old() {
-        let mut c = Conns::new(0, 100.0);
-        assert_eq!(c.take(0.0, 1, 0).0, Way::New);
-        assert_eq!(c.take(0.0, 1, 0).0, Way::New, "one attempt at a time");
-        c.give(10.0, 1, (0, 0), true);
-        c.give(10.0, 1, (0, 0), false);
+        let mut c = ConnectionPools::new(0, 100.0);
+        assert_eq!(c.acquire(0.0, 1, 0).0, ConnectionUse::New);
+        assert_eq!(c.acquire(0.0, 1, 0).0, ConnectionUse::New, "one attempt at a time");
+        c.release(10.0, 1, (0, 0), true);
+        c.release(10.0, 1, (0, 0), false);
         assert_eq!(c.servers[0].open, 1, "what was given up is closed");
-        assert_eq!(c.take(110.0, 1, 0).0, Way::Kept);
-        c.give(110.0, 1, (0, 0), true);
-        assert_eq!(c.take(211.0, 1, 0).0, Way::New);
+        assert_eq!(c.acquire(110.0, 1, 0).0, ConnectionUse::Reused);
+        c.release(110.0, 1, (0, 0), true);
+        assert_eq!(c.acquire(211.0, 1, 0).0, ConnectionUse::New);
     }
 
     #[test]
     fn a_server_turns_away_past_its_cap_and_old_ones_make_room() {
-        let mut c = Conns::new(2, 100.0);
-        let took = [1, 2, 3].map(|k| c.take(0.0, k, 0).0);
-        assert_eq!(took, [Way::New, Way::New, Way::TurnedAway]);
-        c.give(5.0, 1, (0, 0), true);
-        assert_eq!(c.take(6.0, 3, 0).0, Way::TurnedAway, "one that rests holds its place");
-        assert_eq!(c.take(106.0, 3, 0).0, Way::New, "until it is old");
+        let mut c = ConnectionPools::new(2, 100.0);
+        let took = [1, 2, 3].map(|k| c.acquire(0.0, k, 0).0);
+        assert_eq!(took, [ConnectionUse::New, ConnectionUse::New, ConnectionUse::Rejected]);
+        c.release(5.0, 1, (0, 0), true);
+        assert_eq!(c.acquire(6.0, 3, 0).0, ConnectionUse::Rejected, "one that rests holds its place");
+        assert_eq!(c.acquire(106.0, 3, 0).0, ConnectionUse::New, "until it is old");
         c.gatekeeper_ended(2);
         assert_eq!(c.servers[0].open, 1);
         c.server_ended(0);
         assert_eq!(c.servers[0].open, 0);
-        assert_eq!(c.take(107.0, 3, 0), (Way::New, 1));
-        c.give(108.0, 3, (0, 0), false);
+        assert_eq!(c.acquire(107.0, 3, 0), (ConnectionUse::New, 1));
+        c.release(108.0, 3, (0, 0), false);
         assert_eq!(c.servers[0].open, 1, "what an ended life had is not given back to the next");
     }
 
@@ -158,13 +158,13 @@
         fn the_count_is_what_the_pools_hold_and_never_past_the_cap(
             steps in prop::collection::vec((0u8..4, 0u32..4, 0u32..2, any::<bool>(), 0.0f64..80.0), 1..200),
         ) {
-            let mut c = Conns::new(3, 100.0);
+            let mut c = ConnectionPools::new(3, 100.0);
             let (mut now, mut life) = (0.0, 0);
             for (what, gatekeeper, server, answered, pause) in steps {
                 now += pause;
                 match what {
-                    0 | 1 => life = c.take(now, gatekeeper, server).1,
-                    2 => c.give(now, gatekeeper, (server, life), answered),
+                    0 | 1 => life = c.acquire(now, gatekeeper, server).1,
+                    2 => c.release(now, gatekeeper, (server, life), answered),
                     _ if answered => c.gatekeeper_ended(gatekeeper),
                     _ => c.server_ended(server),
                 }
--- a/crates/sim/src/queue.rs
+++ b/crates/sim/src/event_queue.rs
@@ -30,24 +30,24 @@
 }
 
 /// The queue. Times are ms, kept to the microsecond.
-pub(crate) struct Queue<T> {
+pub(crate) struct EventQueue<T> {
     heap: BinaryHeap<Reverse<Entry<T>>>,
     seq: u64,
 }
 
-impl<T> Default for Queue<T> {
+impl<T> Default for EventQueue<T> {
     fn default() -> Self {
-        Queue { heap: BinaryHeap::new(), seq: 0 }
+        EventQueue { heap: BinaryHeap::new(), seq: 0 }
     }
 }
 
-impl<T> Queue<T> {
-    pub fn put(&mut self, at: f64, what: T) {
+impl<T> EventQueue<T> {
+    pub fn push(&mut self, at: f64, what: T) {
         self.seq += 1;
         self.heap.push(Reverse(Entry { at: (at * 1000.0).ceil().max(0.0) as u64, seq: self.seq, what }));
     }
 
-    pub fn next(&mut self) -> Option<(f64, T)> {
+    pub fn pop(&mut self) -> Option<(f64, T)> {
         self.heap.pop().map(|Reverse(e)| (e.at as f64 / 1000.0, e.what))
     }
 }
@@ -58,11 +58,11 @@
 
     #[test]
     fn by_time_then_as_said() {
-        let mut queue = Queue::default();
+        let mut queue = EventQueue::default();
         for (at, what) in [(2.0, 'c'), (1.0, 'a'), (1.0, 'b'), (2.0, 'd')] {
-            queue.put(at, what);
+            queue.push(at, what);
         }
-        let all: String = std::iter::from_fn(|| queue.next()).map(|(_, what)| what).collect();
+        let all: String = std::iter::from_fn(|| queue.pop()).map(|(_, what)| what).collect();
         assert_eq!(all, "abcd");
     }
 }
--- a/crates/sim/src/expect.rs
+++ b/crates/sim/src/expectations.rs
@@ -1,7 +1,7 @@
 //! What a scenario expects beside the rules, held against a run.
 
 use crate::scenario::Expect;
-use crate::tally::Report;
+use crate::stats::Report;
 
 /// A second with fewer requests inside quotas says too little.
 const SECOND_LEAST: u64 = 20;
@@ -58,7 +58,7 @@
     }
     if let Some(least) = expect.second_least {
         let seconds = r.seconds.iter().enumerate().skip(expect.after_s.max(0.0) as usize);
-        let part = |s: &crate::tally::Second| s.inside_in_time as f64 / s.inside as f64;
+        let part = |s: &crate::stats::Second| s.inside_in_time as f64 / s.inside as f64;
         let worst =
             seconds.filter(|(_, s)| s.inside >= SECOND_LEAST).min_by(|a, b| part(a.1).total_cmp(&part(b.1)));
         if let Some((at, s)) = worst.filter(|(_, s)| part(s) < least) {
--- a/crates/sim/src/formula.rs
+++ b/crates/sim/src/formula_server.rs
@@ -5,7 +5,7 @@
 
 /// What is wrong with a server.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub(crate) enum Sick {
+pub(crate) enum ServerFault {
     No,
     /// So many times slower.
     Slow(f64),
@@ -28,7 +28,7 @@
 
 /// What becomes of a request that has come whole to a server.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub(crate) enum Taken {
+pub(crate) enum JobAdmission {
     /// It is begun, and done after so many ms.
     Begun(f64),
     /// It waits.
@@ -42,7 +42,7 @@
 /// An answer without work takes so many ms.
 pub(crate) const ERROR_MS: f64 = 0.3;
 
-pub(crate) struct Formula {
+pub(crate) struct FormulaServer {
     pub name: Name,
     pub zone: u32,
     pub cell: u32,
@@ -51,7 +51,7 @@
     pub speed: f64,
     /// When it started; 0 is long ago.
     pub since: f64,
-    pub sick: Sick,
+    pub sick: ServerFault,
     /// Whether it has fallen over.
     pub fallen: bool,
     /// Its life: what a former one had is gone.
@@ -73,14 +73,14 @@
 
 /// How a cold start goes.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Cold {
+pub(crate) struct SlowStart {
     pub from: f64,
     pub warm_ms: f64,
     /// More than so many times what it can do, within a second, and it falls over.
     pub times: f64,
 }
 
-impl Formula {
+impl FormulaServer {
     pub fn new(
         name: Name,
         place: (u32, u32),
@@ -88,8 +88,8 @@
         cores: u32,
         speed: f64,
         queue_most: usize,
-    ) -> Formula {
-        Formula {
+    ) -> FormulaServer {
+        FormulaServer {
             name,
             zone: place.0,
             cell: place.1,
@@ -97,7 +97,7 @@
             cores,
             speed,
             since: 0.0,
-            sick: Sick::No,
+            sick: ServerFault::No,
             fallen: false,
             life: 0,
             queue_most,
@@ -113,29 +113,29 @@
     }
 
     /// The part of its capacity that it has by now.
-    pub fn warmth(&self, now: f64, cold: &Cold) -> f64 {
+    pub fn warmth(&self, now: f64, cold: &SlowStart) -> f64 {
         if self.since <= 0.0 || cold.warm_ms <= 0.0 {
             return 1.0;
         }
         cold.from + (1.0 - cold.from) * ((now - self.since) / cold.warm_ms).clamp(0.0, 1.0)
     }
 
-    pub fn up(&self) -> bool {
-        !self.fallen && self.sick != Sick::Dead
+    pub fn is_up(&self) -> bool {
+        !self.fallen && self.sick != ServerFault::Dead
     }
 
-    pub fn in_hand(&self) -> usize {
+    pub fn in_flight(&self) -> usize {
         self.working.len() + self.waiting.len()
     }
 
-    fn time(&self, work: f64, now: f64, cold: &Cold) -> f64 {
-        let slower = if let Sick::Slow(times) = self.sick { times } else { 1.0 };
+    fn time(&self, work: f64, now: f64, cold: &SlowStart) -> f64 {
+        let slower = if let ServerFault::Slow(times) = self.sick { times } else { 1.0 };
         work * slower / (self.speed * self.warmth(now, cold))
     }
 
     /// A request's last byte has come. `again`: its key is remembered, so it is answered and not done. Gives what
     /// becomes of it, and whether the server was pushed over by it.
-    pub fn take(&mut self, job: Job, again: bool, now: f64, cold: &Cold) -> (Taken, bool) {
+    pub fn accept(&mut self, job: Job, again: bool, now: f64, cold: &SlowStart) -> (JobAdmission, bool) {
         self.attempts += 1;
         let warmth = self.warmth(now, cold);
         self.cold_load = 0.0;
@@ -154,24 +154,24 @@
             // One request that is already more than that by itself is nobody's fault.
             if self.recent.len() > 1 && self.recent_work - job.work > cold.times * can {
                 self.fallen = true;
-                return (Taken::Nothing, true);
+                return (JobAdmission::Nothing, true);
             }
         }
         let taken = match self.sick {
-            Sick::Silent | Sick::Dead => Taken::Nothing,
-            Sick::Errors => Taken::Answered(AttemptOutcome::Error, ERROR_MS),
-            _ if again => Taken::Answered(AttemptOutcome::Ok, ERROR_MS),
-            _ if self.working.len() < self.cores as usize => Taken::Begun(self.begin(job, now, cold)),
+            ServerFault::Silent | ServerFault::Dead => JobAdmission::Nothing,
+            ServerFault::Errors => JobAdmission::Answered(AttemptOutcome::Error, ERROR_MS),
+            _ if again => JobAdmission::Answered(AttemptOutcome::Ok, ERROR_MS),
+            _ if self.working.len() < self.cores as usize => JobAdmission::Begun(self.begin(job, now, cold)),
             _ if self.waiting.len() < self.queue_most => {
                 self.waiting.push_back(job);
-                Taken::Waits
+                JobAdmission::Waits
             }
-            _ => Taken::Answered(AttemptOutcome::Full, ERROR_MS),
+            _ => JobAdmission::Answered(AttemptOutcome::Full, ERROR_MS),
         };
         (taken, false)
     }
 
-    fn begin(&mut self, job: Job, now: f64, cold: &Cold) -> f64 {
+    fn begin(&mut self, job: Job, now: f64, cold: &SlowStart) -> f64 {
         let ms = self.time(job.work, now, cold);
         self.worked += ms;
         self.working.push(job);
@@ -179,7 +179,7 @@
     }
 
     /// A request is done; gives the next one and how long it takes.
-    pub fn done(&mut self, id: u64, attempt: u32, now: f64, cold: &Cold) -> Option<(Job, f64)> {
+    pub fn complete(&mut self, id: u64, attempt: u32, now: f64, cold: &SlowStart) -> Option<(Job, f64)> {
         if let Some(at) = self.working.iter().position(|j| (j.id, j.attempt) == (id, attempt)) {
             self.working.swap_remove(at);
         }
@@ -189,7 +189,7 @@
     }
 
     /// This life ends; gives what it had in hand.
-    pub fn end(&mut self) -> Vec<Job> {
+    pub fn stop(&mut self) -> Vec<Job> {
         self.life += 1;
         self.recent.clear();
         self.recent_work = 0.0;
@@ -201,42 +201,42 @@
 mod tests {
     use super::*;
 
-    const COLD: Cold = Cold { from: 0.25, warm_ms: 10_000.0, times: 2.0 };
+    const COLD: SlowStart = SlowStart { from: 0.25, warm_ms: 10_000.0, times: 2.0 };
 
     fn job(id: u64) -> Job {
         Job { id, attempt: 0, work: 100.0 }
     }
 
-    fn server() -> Formula {
-        Formula::new("s".into(), (0, 0), 0, 2, 1.0, 1)
+    fn server() -> FormulaServer {
+        FormulaServer::new("s".into(), (0, 0), 0, 2, 1.0, 1)
     }
 
     #[test]
     fn cores_then_the_queue_then_full_and_the_next_begins_when_one_is_done() {
         let mut s = server();
-        let mut take = |id| s.take(job(id), false, 0.0, &COLD).0;
+        let mut take = |id| s.accept(job(id), false, 0.0, &COLD).0;
         assert_eq!(
             [take(1), take(2), take(3), take(4)],
             [
-                Taken::Begun(100.0),
-                Taken::Begun(100.0),
-                Taken::Waits,
-                Taken::Answered(AttemptOutcome::Full, ERROR_MS)
+                JobAdmission::Begun(100.0),
+                JobAdmission::Begun(100.0),
+                JobAdmission::Waits,
+                JobAdmission::Answered(AttemptOutcome::Full, ERROR_MS)
             ]
         );
-        assert_eq!(s.done(1, 0, 100.0, &COLD).map(|(j, ms)| (j.id, ms)), Some((3, 100.0)));
-        assert_eq!(s.end().len(), 2);
-        assert_eq!(s.in_hand(), 0);
+        assert_eq!(s.complete(1, 0, 100.0, &COLD).map(|(j, ms)| (j.id, ms)), Some((3, 100.0)));
+        assert_eq!(s.stop().len(), 2);
+        assert_eq!(s.in_flight(), 0);
     }
 
     #[test]
     fn a_cold_one_is_slow_and_falls_over_past_twice_what_it_can_do() {
         let mut s = server();
         s.since = 1.0;
-        assert_eq!(s.take(job(0), false, 1.0, &COLD).0, Taken::Begun(400.0));
+        assert_eq!(s.accept(job(0), false, 1.0, &COLD).0, JobAdmission::Begun(400.0));
         // 500 ms of work a second is all it can do; it bears 1,000 and the one that passes them.
-        let over = (1..20).find(|k| s.take(job(*k), false, 1.0, &COLD).1);
+        let over = (1..20).find(|k| s.accept(job(*k), false, 1.0, &COLD).1);
         assert_eq!(over, Some(11));
-        assert!(!s.up());
+        assert!(!s.is_up());
     }
 }
--- a/crates/sim/src/herds.rs
+++ b/crates/sim/src/herd_detection.rs
@@ -12,7 +12,7 @@
 /// What many may do at once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Act {
+pub enum HerdAction {
     /// An attempt is sent to a server.
     Attempt,
     /// A connection is opened to a server.
@@ -23,15 +23,15 @@
     List,
 }
 
-impl Act {
+impl HerdAction {
     /// As it is told.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
-            Act::Attempt => "sent an attempt to server",
-            Act::Handshake => "opened a connection to server",
-            Act::Note => "sent a note to gatekeeper",
-            Act::List => "fetched the list from discovery",
+            HerdAction::Attempt => "sent an attempt to server",
+            HerdAction::Handshake => "opened a connection to server",
+            HerdAction::Note => "sent a note to gatekeeper",
+            HerdAction::List => "fetched the list from discovery",
         }
     }
 }
@@ -40,7 +40,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Herd {
     /// What they did.
-    pub act: Act,
+    pub act: HerdAction,
     /// To which server or gatekeeper.
     pub target: u32,
     /// In the 100 ms from this time on, in ms.
@@ -53,14 +53,14 @@
 
 /// The worst slot of each target, and the counts of the slot that runs.
 #[derive(Default)]
-pub(crate) struct Herds {
+pub(crate) struct HerdDetector {
     slot: u64,
-    now: FxHashMap<(Act, u32), (BTreeSet<u32>, u32)>,
-    worst: BTreeMap<(Act, u32), (u32, u32, u64)>,
+    now: FxHashMap<(HerdAction, u32), (BTreeSet<u32>, u32)>,
+    worst: BTreeMap<(HerdAction, u32), (u32, u32, u64)>,
 }
 
-impl Herds {
-    pub fn seen(&mut self, at: f64, act: Act, gatekeeper: u32, target: u32) {
+impl HerdDetector {
+    pub fn record(&mut self, at: f64, act: HerdAction, gatekeeper: u32, target: u32) {
         let slot = (at / SLOT_MS).max(0.0) as u64;
         if slot != self.slot {
             self.close();
@@ -83,7 +83,7 @@
     }
 
     /// The largest of each act, the largest first; one gatekeeper alone is no herd.
-    pub fn told(mut self) -> Vec<Herd> {
+    pub fn into_herds(mut self) -> Vec<Herd> {
         self.close();
         let mut all: Vec<Herd> = self
             .worst
@@ -112,30 +112,30 @@
 
     #[test]
     fn the_worst_slot_of_each_target_is_told_and_one_alone_is_no_herd() {
-        let mut herds = Herds::default();
+        let mut herds = HerdDetector::default();
         for (at, who) in [(10.0, 1), (20.0, 1), (99.0, 2), (100.0, 3), (110.0, 4), (120.0, 5), (450.0, 1)] {
-            herds.seen(at, Act::Handshake, who, 7);
+            herds.record(at, HerdAction::Handshake, who, 7);
         }
-        herds.seen(460.0, Act::Note, 1, 2);
+        herds.record(460.0, HerdAction::Note, 1, 2);
         assert_eq!(
-            herds.told(),
-            [Herd { act: Act::Handshake, target: 7, at_ms: 100, gatekeepers: 3, times: 3 }]
+            herds.into_herds(),
+            [Herd { act: HerdAction::Handshake, target: 7, at_ms: 100, gatekeepers: 3, times: 3 }]
         );
     }
 
     #[test]
     fn of_each_act_the_largest_few_are_told_in_order() {
-        let mut herds = Herds::default();
+        let mut herds = HerdDetector::default();
         for target in 0..20u32 {
             for who in 0..=target {
-                herds.seen(1.0, Act::Attempt, who, target);
+                herds.record(1.0, HerdAction::Attempt, who, target);
             }
         }
-        herds.seen(2.0, Act::List, 1, 0);
-        herds.seen(3.0, Act::List, 2, 0);
-        let told = herds.told();
+        herds.record(2.0, HerdAction::List, 1, 0);
+        herds.record(3.0, HerdAction::List, 2, 0);
+        let told = herds.into_herds();
         let targets: Vec<_> = told.iter().map(|h| (h.act, h.target, h.gatekeepers)).collect();
-        let attempts = (15..20).rev().map(|t| (Act::Attempt, t, t + 1));
-        assert_eq!(targets, attempts.chain([(Act::List, 0, 2)]).collect::<Vec<_>>());
+        let attempts = (15..20).rev().map(|t| (HerdAction::Attempt, t, t + 1));
+        assert_eq!(targets, attempts.chain([(HerdAction::List, 0, 2)]).collect::<Vec<_>>());
     }
 }
--- a/crates/sim/src/lib.rs
+++ b/crates/sim/src/lib.rs
@@ -17,22 +17,22 @@
 //! # Ok::<(), String>(())
 //! ```
 
-pub mod bound;
-mod conns;
-mod expect;
-mod formula;
-pub mod herds;
+mod connections;
+mod event_queue;
+mod expectations;
+mod formula_server;
+pub mod herd_detection;
 mod oracle;
-pub mod page;
-mod queue;
+pub mod quota_bound;
+pub mod report_page;
 pub mod scenario;
-mod shops;
+mod shop_population;
 pub mod shrink;
-mod tally;
+mod stats;
 mod world;
 
-pub use herds::{Act, Herd};
-pub use oracle::{Broken, Final};
+pub use herd_detection::{Herd, HerdAction};
+pub use oracle::{FinalAnswer, Violation};
 pub use scenario::Scenario;
-pub use tally::{Percentiles, PlanSums, Report, Second, ServerSums};
-pub use world::{Maker, Mind, real, run};
+pub use stats::{Percentiles, PlanSums, Report, Second, ServerSums};
+pub use world::{DecisionModule, ModuleFactory, control_module, run};
--- a/crates/sim/src/oracle.rs
+++ b/crates/sim/src/oracle.rs
@@ -27,7 +27,7 @@
 /// A final answer to a client.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Final {
+pub enum FinalAnswer {
     /// With a value.
     Served,
     /// Trying again is harmless.
@@ -38,7 +38,7 @@
 
 /// The first rule that was broken.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Broken {
+pub struct Violation {
     /// Which.
     pub rule: String,
     /// When, in ms.
@@ -54,7 +54,7 @@
     gatekeeper: u32,
     class: usize,
     key: u64,
-    answer: Option<Final>,
+    answer: Option<FinalAnswer>,
     left: bool,
     out: bool,
     attempts: u32,
@@ -96,7 +96,7 @@
     /// Effects of a key.
     effects: FxHashMap<u64, u32>,
     ring: VecDeque<Trace>,
-    pub broken: Option<Broken>,
+    pub broken: Option<Violation>,
     /// The least that any ceiling's store held, as a part of its slack that was used: 1 is the limit.
     pub ceiling_used: f64,
 }
@@ -131,7 +131,7 @@
         self.ring.push_back(trace);
     }
 
-    pub fn breaks(&mut self, rule: &'static str, at: f64, what: impl FnOnce() -> String) {
+    pub fn record_violation(&mut self, rule: &'static str, at: f64, what: impl FnOnce() -> String) {
         if self.broken.is_some() {
             return;
         }
@@ -139,7 +139,7 @@
             let server = t.server.map_or(String::new(), |s| format!(" server {s}"));
             format!("{:>12.3} ms  gatekeeper {}  {}  request {}{server}", t.at, t.gatekeeper, t.what, t.id)
         };
-        self.broken = Some(Broken {
+        self.broken = Some(Violation {
             rule: rule.into(),
             at,
             what: what(),
@@ -148,7 +148,7 @@
     }
 
     /// A gatekeeper has taken a request.
-    pub fn taken(&mut self, id: u64, gatekeeper: u32, class: usize, key: u64) {
+    pub fn request_accepted(&mut self, id: u64, gatekeeper: u32, class: usize, key: u64) {
         let w = Watched {
             gatekeeper,
             class,
@@ -164,10 +164,10 @@
     }
 
     /// An attempt goes out.
-    pub fn sent(&mut self, at: f64, gatekeeper: u32, id: u64, server: u32, place: (u32, u32)) {
+    pub fn attempt_sent(&mut self, at: f64, gatekeeper: u32, id: u64, server: u32, place: (u32, u32)) {
         let told = self.told.get(&(gatekeeper, server)).copied();
         if let Some(when) = told.filter(|when| at > when + self.grace) {
-            self.breaks("drain", at, || {
+            self.record_violation("drain", at, || {
                 format!(
                     "request {id} went to server {server} {:.0} ms after gatekeeper {gatekeeper} was told to leave it",
                     at - when
@@ -175,8 +175,9 @@
             });
         }
         let Some(w) = self.watched.get_mut(&id) else {
-            return self
-                .breaks("answers", at, || format!("request {id} was sent on, and no such request is open"));
+            return self.record_violation("answers", at, || {
+                format!("request {id} was sent on, and no such request is open")
+            });
         };
         let (answer, left, out, may_run) = (w.answer, w.left, w.out, w.may_run);
         let (repeat, window) = self.repeats[w.class];
@@ -184,10 +185,10 @@
         w.attempts += 1;
         w.sent = (place.0, place.1, at);
         if answer.is_some() || left {
-            self.breaks("answers", at, || format!("request {id} was sent on after its end"));
+            self.record_violation("answers", at, || format!("request {id} was sent on after its end"));
         }
         if out {
-            self.breaks("twice", at, || format!("request {id} has two attempts out at once"));
+            self.record_violation("twice", at, || format!("request {id} has two attempts out at once"));
         }
         if let Some((zone, cell, when)) = may_run {
             let allowed = match repeat {
@@ -198,7 +199,7 @@
                 Repeat::All => at < when + window,
             };
             if !allowed {
-                self.breaks("twice", at, || {
+                self.record_violation("twice", at, || {
                     format!("request {id} ({repeat:?}) may have run {:.0} ms ago in rack {cell} and was sent to server {server} in rack {}", at - when, place.1)
                 });
             }
@@ -219,14 +220,14 @@
     }
 
     /// Whether servers at this place drop a request as a repeat.
-    pub fn dropped(&self, at: f64, id: u64, place: (u32, u32)) -> bool {
+    pub fn is_duplicate_dropped(&self, at: f64, id: u64, place: (u32, u32)) -> bool {
         self.group(id, place).is_some_and(|(key, group, window)| {
             self.keys.get(&(key, group)).is_some_and(|when| at - when < window)
         })
     }
 
     /// A server has taken a request in hand, so it takes effect, now or later.
-    pub fn effect(&mut self, at: f64, id: u64, place: (u32, u32)) {
+    pub fn record_effect(&mut self, at: f64, id: u64, place: (u32, u32)) {
         while let Some((_, key, group)) =
             self.key_ages.front().copied().filter(|(when, _, _)| at - when > KEYS_MS)
         {
@@ -241,14 +242,14 @@
         *effects += 1;
         let effects = *effects;
         if effects > 1 {
-            self.breaks("twice", at, || {
+            self.record_violation("twice", at, || {
                 format!("request {id} took effect {effects} times, the last in rack {}", place.1)
             });
         }
     }
 
     /// The last byte of a first attempt has come to a server: its units are taken.
-    pub fn charge(&mut self, at: f64, id: u64, (shop, plan): (u64, usize), units: f64) {
+    pub fn record_charge(&mut self, at: f64, id: u64, (shop, plan): (u64, usize), units: f64) {
         let (rate, burst, slack) = self.ceilings[plan];
         let Some(level) = self.levels.get_mut(shop as usize).filter(|_| rate > 0.0) else { return };
         let held =
@@ -258,14 +259,14 @@
         let slack = slack + rate * SLACK_MS / 1000.0;
         self.ceiling_used = self.ceiling_used.max(below / slack.max(1e-9));
         if below > slack + 1e-6 {
-            self.breaks("ceiling", at, || {
+            self.record_violation("ceiling", at, || {
                 format!("request {id} of shop {shop} leaves its ceiling's store {below:.2} below nothing, {slack:.2} is the slack")
             });
         }
     }
 
     /// An attempt has ended, as its gatekeeper sees it.
-    pub fn ended(&mut self, id: u64, outcome: AttemptOutcome) {
+    pub fn attempt_ended(&mut self, id: u64, outcome: AttemptOutcome) {
         let Some(w) = self.watched.get_mut(&id) else { return };
         w.out = false;
         let never =
@@ -277,23 +278,26 @@
     }
 
     /// A final answer was given.
-    pub fn answered(&mut self, at: f64, id: u64, answer: Final) {
+    pub fn request_answered(&mut self, at: f64, id: u64, answer: FinalAnswer) {
         let Some(w) = self.watched.get_mut(&id) else {
-            return self
-                .breaks("answers", at, || format!("request {id} is answered, and no such request is open"));
+            return self.record_violation("answers", at, || {
+                format!("request {id} is answered, and no such request is open")
+            });
         };
         let before = w.answer.replace(answer);
         let (out, may_run, left) = (w.out, w.may_run, w.left);
         let (repeat, _) = self.repeats[w.class];
         if let Some(before) = before {
-            self.breaks("answers", at, || format!("request {id} was {before:?}, and then {answer:?}"));
+            self.record_violation("answers", at, || {
+                format!("request {id} was {before:?}, and then {answer:?}")
+            });
         }
         if left {
-            self.breaks("lost", at, || format!("request {id} is answered after its client left"));
+            self.record_violation("lost", at, || format!("request {id} is answered after its client left"));
         }
         let harmless = matches!(repeat, Repeat::Safe | Repeat::All) || (may_run.is_none() && !out);
-        if answer == Final::Refused && !harmless {
-            self.breaks("twice", at, || {
+        if answer == FinalAnswer::Refused && !harmless {
+            self.record_violation("twice", at, || {
                 format!("request {id} ({repeat:?}) is refused, though it may have run")
             });
         }
@@ -301,12 +305,12 @@
     }
 
     /// A client's time is up.
-    pub fn left(&mut self, at: f64, id: u64) {
+    pub fn client_left(&mut self, at: f64, id: u64) {
         let Some(w) = self.watched.get_mut(&id) else { return };
         if w.answer.is_none() {
             w.left = true;
             let (gatekeeper, attempts) = (w.gatekeeper, w.attempts);
-            self.breaks("lost", at, || {
+            self.record_violation("lost", at, || {
                 format!("request {id} has no answer from gatekeeper {gatekeeper} when its client leaves, after {attempts} attempts")
             });
         }
@@ -314,7 +318,7 @@
     }
 
     /// The gatekeeper that had it is gone.
-    pub fn orphaned(&mut self, id: u64) {
+    pub fn request_orphaned(&mut self, id: u64) {
         self.watched.remove(&id);
     }
 
@@ -326,7 +330,7 @@
     }
 
     /// A gatekeeper was told of a server, and when that last started.
-    pub fn told(&mut self, at: f64, gatekeeper: u32, server: u32, up: bool, since: f64) {
+    pub fn server_listed(&mut self, at: f64, gatekeeper: u32, server: u32, up: bool, since: f64) {
         if up {
             self.told.remove(&(gatekeeper, server));
             self.lives.insert((gatekeeper, server), since);
@@ -337,9 +341,9 @@
 
     /// A server that started at `since` is pushed over by this gatekeeper's request. It is no fault of those that
     /// could not know.
-    pub fn pushed_over(&mut self, at: f64, gatekeeper: u32, server: u32, id: u64, since: f64) {
+    pub fn check_overload(&mut self, at: f64, gatekeeper: u32, server: u32, id: u64, since: f64) {
         if self.lives.get(&(gatekeeper, server)) == Some(&since) {
-            self.breaks("cold", at, || {
+            self.record_violation("cold", at, || {
                 let age = (at - since) / 1000.0;
                 format!(
                     "server {server}, known to have started {age:.1} s ago, is pushed over by request {id}"
@@ -349,13 +353,13 @@
     }
 
     /// A gatekeeper starts, knowing nothing.
-    pub fn started(&mut self, gatekeeper: u32) {
+    pub fn gatekeeper_started(&mut self, gatekeeper: u32) {
         self.told.retain(|(g, _), _| *g != gatekeeper);
         self.lives.retain(|(g, _), _| *g != gatekeeper);
     }
 
     /// Requests that are open still.
-    pub fn open(&self) -> usize {
+    pub fn open_requests(&self) -> usize {
         self.watched.values().filter(|w| w.answer.is_none() && !w.left).count()
     }
 }
--- a/crates/sim/src/bound.rs
+++ b/crates/sim/src/quota_bound.rs
@@ -19,7 +19,7 @@
 
 /// What is cut.
 #[derive(Debug, Clone, Copy)]
-pub struct Cut {
+pub struct PartitionCut {
     /// Gatekeepers of the shop's set.
     pub set: u32,
     /// Those of them that do not hear its keeper.
@@ -34,7 +34,7 @@
 
 /// The most units that a shop with this quota passes beyond it.
 #[must_use]
-pub fn over(rate: f64, burst: f64, cut: &Cut) -> f64 {
+pub fn max_overrun(rate: f64, burst: f64, cut: &PartitionCut) -> f64 {
     let part = f64::from(cut.cut_off) / f64::from(cut.set.max(1));
     part * (rate * cut.seconds + burst) + f64::from(cut.cut_off) * cut.largest + WORD_S * cut.offered
 }
--- a/crates/sim/src/page.rs
+++ b/crates/sim/src/report_page.rs
@@ -1,7 +1,7 @@
 //! Reports on runs: text for a terminal, and one HTML page with plots.
 
-use crate::herds::{Act, Herd};
-use crate::tally::{Report, Second};
+use crate::herd_detection::{Herd, HerdAction};
+use crate::stats::{Report, Second};
 use frostvale_charts::{self as charts, AMBER, BLUE, GREEN, PURPLE, RED};
 use std::fmt::Write;
 
@@ -21,7 +21,7 @@
 
 /// A herd as a line.
 fn herd(h: &Herd) -> String {
-    let target = if h.act == Act::List { String::new() } else { format!(" {}", h.target) };
+    let target = if h.act == HerdAction::List { String::new() } else { format!(" {}", h.target) };
     let (at, many) = (h.at_ms as f64 / 1000.0, h.gatekeepers);
     format!("{many} gatekeepers {}{target} ({} times) in the 100 ms from {at:.1} s", h.act.name(), h.times)
 }
--- a/crates/sim/src/scenario.rs
+++ b/crates/sim/src/scenario.rs
@@ -7,15 +7,15 @@
 use std::path::Path;
 
 /// The longest simulated time, in seconds.
-pub const SECONDS_MOST: f64 = 3600.0;
+pub const MAX_SECONDS: f64 = 3600.0;
 /// The most gatekeepers, servers and shops.
-pub const GATEKEEPERS_MOST: u32 = 4000;
-/// See [`GATEKEEPERS_MOST`].
-pub const SERVERS_MOST: u32 = 20_000;
-/// See [`GATEKEEPERS_MOST`].
-pub const SHOPS_MOST: u32 = 4_000_000;
+pub const MAX_GATEKEEPERS: u32 = 4000;
+/// See [`MAX_GATEKEEPERS`].
+pub const MAX_SERVERS: u32 = 20_000;
+/// See [`MAX_GATEKEEPERS`].
+pub const MAX_SHOPS: u32 = 4_000_000;
 /// The most requests a second.
-pub const RATE_MOST: f64 = 500_000.0;
+pub const MAX_RATE: f64 = 500_000.0;
 
 /// A scenario.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -348,7 +348,7 @@
 /// What goes wrong.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Kind {
+pub enum FaultKind {
     /// A zone is lost: its servers die, and come back cold at the end; so do its agent and this part of its gatekeepers, if
     /// any.
     ZoneLost,
@@ -395,7 +395,7 @@
 #[serde(deny_unknown_fields)]
 pub struct Fault {
     /// What.
-    pub kind: Kind,
+    pub kind: FaultKind,
     /// From when, in seconds.
     pub at_s: f64,
     /// For how long.
@@ -589,15 +589,15 @@
     /// # Errors
     /// With the first field that is wrong, and what it may be.
     pub fn check(&self) -> Result<(), String> {
-        within("seconds", self.seconds, 0.1, SECONDS_MOST)?;
+        within("seconds", self.seconds, 0.1, MAX_SECONDS)?;
         let g = &self.gatekeepers;
-        within("gatekeepers.count", g.count.into(), 1.0, GATEKEEPERS_MOST.into())?;
+        within("gatekeepers.count", g.count.into(), 1.0, MAX_GATEKEEPERS.into())?;
         span("gatekeepers.spread", g.spread.map(f64::from), 1.0, g.count.into())?;
         within("gatekeepers.note_intake", g.note_intake, 1.0, 1e6)?;
         within("gatekeepers.max_attempts", g.max_attempts.into(), 0.0, 100.0)?;
-        within("gatekeepers.down_s", g.down_s, 0.001, SECONDS_MOST)?;
+        within("gatekeepers.down_s", g.down_s, 0.001, MAX_SECONDS)?;
         let s = &self.servers;
-        within("servers.count", s.count.into(), 1.0, SERVERS_MOST.into())?;
+        within("servers.count", s.count.into(), 1.0, MAX_SERVERS.into())?;
         within("servers.zones", s.zones.into(), 1.0, 1000.0)?;
         within("servers.cells", s.cells.into(), s.zones.into(), 10_000.0)?;
         within("servers.queue", s.queue.into(), 0.0, 1e5)?;
@@ -640,8 +640,8 @@
         shares(self.classes.iter().map(|c| c.share).sum(), "class.share")?;
         shares(self.plans.iter().map(|p| p.share).sum(), "plan.share")?;
         let l = &self.load;
-        within("load.shops", l.shops.into(), 1.0, SHOPS_MOST.into())?;
-        within("load.rate", l.rate, 0.001, RATE_MOST)?;
+        within("load.shops", l.shops.into(), 1.0, MAX_SHOPS.into())?;
+        within("load.rate", l.rate, 0.001, MAX_RATE)?;
         within("load.zipf", l.zipf, 0.0, 4.0)?;
         within("load.top", l.top, 0.0, 1.0)?;
         within("load.once", l.once, 0.0, 1.0 - l.top)?;
@@ -654,7 +654,7 @@
         span("discovery.lag_ms", self.discovery.lag_ms, 0.0, 600_000.0)?;
         within("discovery.drain_s", self.discovery.drain_s, 0.0, 600.0)?;
         within("discovery.grace_ms", self.discovery.grace_ms, 0.0, 600_000.0)?;
-        within("discovery.known_s", self.discovery.known_s.unwrap_or(0.0), 0.0, SECONDS_MOST)?;
+        within("discovery.known_s", self.discovery.known_s.unwrap_or(0.0), 0.0, MAX_SECONDS)?;
         for (field, all) in
             [("gatekeepers.zone_shares", &g.zone_shares), ("servers.zone_shares", &s.zone_shares)]
         {
@@ -679,16 +679,16 @@
             within("zones.fade_ms", z.fade_ms, 0.0, 3.6e6)?;
             within("zones.takeover_ms", z.takeover_ms, 0.0, 600_000.0)?;
             z.judge.check().map_err(|e| format!("zones.judge.{e}"))?;
-            within("servers.zones", s.zones.into(), 1.0, frostvale_zones::ZONES_MOST as f64)?;
+            within("servers.zones", s.zones.into(), 1.0, frostvale_zones::MAX_ZONES as f64)?;
         }
         for f in &self.faults {
             within("fault.zone", f.zone.into(), 0.0, f64::from(s.zones) - 1.0)?;
-            within("fault.at_s", f.at_s, 0.0, SECONDS_MOST)?;
-            within("fault.for_s", f.for_s, 0.0, SECONDS_MOST)?;
+            within("fault.at_s", f.at_s, 0.0, MAX_SECONDS)?;
+            within("fault.for_s", f.for_s, 0.0, MAX_SECONDS)?;
             within("fault.part", f.part, 0.0, 1.0)?;
             within("fault.times", f.times, 0.0, 1e6)?;
             within("fault.count", f.count.into(), 1.0, 1000.0)?;
-            if f.kind == Kind::Slow {
+            if f.kind == FaultKind::Slow {
                 within("fault.times", f.times, 0.001, 1e6)?;
             }
         }
@@ -708,8 +708,8 @@
         }
         within("expect.decisions_most", e.decisions_most.unwrap_or(0.0), 0.0, 1e6)?;
         within("expect.agreed_most_ms", e.agreed_most_ms.unwrap_or(0.0), 0.0, 3.6e6)?;
-        within("expect.after_s", e.after_s, 0.0, SECONDS_MOST)?;
-        within("expect.back_most_s", e.back_most_s.unwrap_or(0.0), 0.0, SECONDS_MOST)?;
+        within("expect.after_s", e.after_s, 0.0, MAX_SECONDS)?;
+        within("expect.back_most_s", e.back_most_s.unwrap_or(0.0), 0.0, MAX_SECONDS)?;
         for (name, most) in &self.expect.over_most {
             within(&format!("expect.over_most.{name}"), *most, 0.0, 1.0)?;
             if !self.plans.iter().any(|p| p.name == *name) {
@@ -801,7 +801,7 @@
     fn a_scenario_that_is_written_reads_the_same() {
         let mut one = Scenario::default();
         one.faults.push(Fault {
-            kind: Kind::KillKeeper,
+            kind: FaultKind::KillKeeper,
             at_s: 1.5,
             for_s: 2.0,
             part: 1.0,
--- a/crates/sim/src/shops.rs
+++ b/crates/sim/src/shop_population.rs
@@ -20,7 +20,7 @@
     pub spread: u32,
 }
 
-pub(crate) struct Shops {
+pub(crate) struct ShopPopulation {
     load: Load,
     gatekeepers: u32,
     spread: [u32; 2],
@@ -40,8 +40,8 @@
     z ^ (z >> 31)
 }
 
-impl Shops {
-    pub fn new(scenario: &Scenario, seed: u64) -> Shops {
+impl ShopPopulation {
+    pub fn new(scenario: &Scenario, seed: u64) -> ShopPopulation {
         let load = scenario.load.clone();
         let mut order: Vec<usize> = (0..scenario.plans.len()).collect();
         let rate = |k: &usize| {
@@ -58,7 +58,7 @@
                 ((upto * f64::from(load.shops)).round() as u32, k)
             })
             .collect();
-        Shops {
+        ShopPopulation {
             zipf: Zipf::new(f64::from(load.shops), load.zipf).ok(),
             names: vec![None; load.shops as usize + 1],
             gatekeepers: scenario.gatekeepers.count,
@@ -76,7 +76,7 @@
     }
 
     /// Whose the next request is.
-    pub fn draw(&mut self, rng: &mut Pcg64Mcg) -> Shop {
+    pub fn sample(&mut self, rng: &mut Pcg64Mcg) -> Shop {
         let lot = rng.random::<f64>();
         if lot < self.load.once {
             self.singles += 1;
@@ -118,7 +118,7 @@
     }
 
     /// The gatekeeper that the front deals a request to.
-    pub fn gatekeeper(&self, shop: &Shop, now: f64, rng: &mut Pcg64Mcg) -> u32 {
+    pub fn pick_gatekeeper(&self, shop: &Shop, now: f64, rng: &mut Pcg64Mcg) -> u32 {
         let busy = mixed(shop.number, (now / BUSY_MS) as u64) % u64::from(shop.spread);
         let which = if rng.random::<f64>() < self.load.uneven {
             busy as u32
@@ -145,11 +145,11 @@
     fn shops_are_as_busy_as_said_and_the_busiest_are_on_the_largest_plans() {
         let mut scenario = Scenario::default();
         (scenario.load.zipf, scenario.load.top, scenario.load.once) = (1.0, 0.3, 0.1);
-        let mut shops = Shops::new(&scenario, 5);
+        let mut shops = ShopPopulation::new(&scenario, 5);
         let mut rng = Pcg64Mcg::seed_from_u64(1);
         let mut by_number: BTreeMap<u64, u32> = BTreeMap::new();
         for _ in 0..100_000 {
-            let shop = shops.draw(&mut rng);
+            let shop = shops.sample(&mut rng);
             assert!(shop.first < 3 && (2..=3).contains(&shop.spread));
             *by_number.entry(shop.number).or_default() += 1;
         }
--- a/crates/sim/src/shrink.rs
+++ b/crates/sim/src/shrink.rs
@@ -2,11 +2,11 @@
 //! shops, servers and gatekeepers, on any of a few seeds.
 
 use crate::scenario::Scenario;
-use crate::tally::Report;
-use crate::world::{Maker, run};
+use crate::stats::Report;
+use crate::world::{ModuleFactory, run};
 
 /// So many runs at the most.
-pub const RUNS_MOST: usize = 400;
+pub const MAX_RUNS: usize = 400;
 /// Each candidate is tried on so many seeds from the failing one on.
 const SEEDS: u64 = 3;
 
@@ -34,7 +34,7 @@
 ///
 /// # Errors
 /// When it does not fail with it, or can't be run.
-pub fn shrink(scenario: &Scenario, seed: u64, make: Maker<'_>) -> Result<Shrunk, String> {
+pub fn shrink(scenario: &Scenario, seed: u64, make: ModuleFactory<'_>) -> Result<Shrunk, String> {
     let first = run(scenario, seed, make)?;
     let failure_ = failure(&first).ok_or_else(|| format!("nothing fails with seed {seed}"))?;
     let mut best = Shrunk { scenario: scenario.clone(), seed, failure: failure_, runs: 1 };
@@ -44,12 +44,12 @@
         best.scenario.seconds = best.scenario.seconds.min(end);
     }
     let mut again = true;
-    while again && best.runs < RUNS_MOST {
+    while again && best.runs < MAX_RUNS {
         again = false;
         // Each step that works is taken again before the next kind is tried.
         let mut which = 0;
         while let Some(candidate) = candidates(&best.scenario).into_iter().nth(which) {
-            if best.runs >= RUNS_MOST {
+            if best.runs >= MAX_RUNS {
                 break;
             }
             match fails(&candidate, &mut best, make) {
@@ -62,7 +62,7 @@
 }
 
 /// The seed with which a candidate fails in the same way.
-fn fails(candidate: &Scenario, best: &mut Shrunk, make: Maker<'_>) -> Option<u64> {
+fn fails(candidate: &Scenario, best: &mut Shrunk, make: ModuleFactory<'_>) -> Option<u64> {
     if candidate.check().is_err() || *candidate == best.scenario {
         return None;
     }
