--- a/crates/sim/src/tally.rs
+++ b/crates/sim/src/stats.rs
@@ -1,7 +1,7 @@
 //! What a run comes to: by plan, by second, by server.
 
-use crate::herds::Herd;
-use crate::oracle::Broken;
+use crate::herd_detection::Herd;
+use crate::oracle::Violation;
 use crate::scenario::Scenario;
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
@@ -104,7 +104,7 @@
     /// The seed.
     pub seed: u64,
     /// The first rule that was broken, if any was.
-    pub broken: Option<Broken>,
+    pub broken: Option<Violation>,
     /// What was expected beside the rules and did not hold.
     pub missed: Vec<String>,
     /// Of the worth that was asked inside quotas, the part that was served in time.
@@ -197,7 +197,7 @@
 }
 
 /// The counts as a run goes on.
-pub(crate) struct Tally {
+pub(crate) struct RunStats {
     pub plans: Vec<PlanSums>,
     pub seconds: Vec<Second>,
     quotas: Vec<Quota>,
@@ -216,11 +216,11 @@
     ways: Vec<std::collections::BTreeMap<(u32, u32), u64>>,
 }
 
-impl Tally {
-    pub fn new(scenario: &Scenario, shops: usize) -> Result<Tally, String> {
+impl RunStats {
+    pub fn new(scenario: &Scenario, shops: usize) -> Result<RunStats, String> {
         let names = scenario.plans.iter().map(|p| PlanSums { name: p.name.clone(), ..PlanSums::default() });
         let times = Histogram::new_with_max(3_600_000_000, 3).map_err(|e| e.to_string())?;
-        Ok(Tally {
+        Ok(RunStats {
             plans: names.collect(),
             seconds: Vec::new(),
             quotas: vec![Quota::default(); shops],
@@ -240,7 +240,7 @@
         })
     }
 
-    pub fn second(&mut self, at: f64) -> &mut Second {
+    pub fn second_mut(&mut self, at: f64) -> &mut Second {
         let k = (at / 1000.0).max(0.0) as usize;
         if self.seconds.len() <= k {
             self.seconds.resize(k + 1, Second::default());
@@ -262,7 +262,7 @@
     }
 
     /// A request is asked; gives whether it is inside its quota.
-    pub fn asked(&mut self, at: f64, shop: u64, plan: usize, class: usize, units: f64) -> bool {
+    pub fn record_request(&mut self, at: f64, shop: u64, plan: usize, class: usize, units: f64) -> bool {
         let inside = self.quota(at, shop, plan).is_none_or(|q| {
             let inside = q.asked >= units;
             q.asked -= if inside { units } else { 0.0 };
@@ -274,13 +274,13 @@
         if inside {
             p.inside += 1;
             p.worth += worth * units;
-            self.second(at).inside += 1;
+            self.second_mut(at).inside += 1;
         }
         inside
     }
 
     /// A try's units were passed.
-    pub fn passed(&mut self, at: f64, shop: u64, plan: usize, units: f64) {
+    pub fn record_passed(&mut self, at: f64, shop: u64, plan: usize, units: f64) {
         let over = self.quota(at, shop, plan).map_or(0.0, |q| {
             let over = (units - q.passed).clamp(0.0, units);
             q.passed = (q.passed - units).max(0.0);
@@ -291,13 +291,21 @@
         let p = &mut self.plans[plan];
         p.units += units;
         p.over += over;
-        let second = self.second(at);
+        let second = self.second_mut(at);
         second.units += units;
         second.over += over;
     }
 
     /// A request is served to its client.
-    pub fn served(&mut self, plan: usize, class: usize, units: f64, inside: Option<f64>, ms: f64, aim: f64) {
+    pub fn record_served(
+        &mut self,
+        plan: usize,
+        class: usize,
+        units: f64,
+        inside: Option<f64>,
+        ms: f64,
+        aim: f64,
+    ) {
         self.times.saturating_record((ms * 1000.0) as u64);
         let worth = self.worths[class];
         let p = &mut self.plans[plan];
@@ -309,30 +317,30 @@
         if let Some(asked_at) = inside {
             p.inside_in_time += 1;
             p.worth_in_time += worth * units;
-            self.second(asked_at).inside_in_time += 1;
+            self.second_mut(asked_at).inside_in_time += 1;
         }
     }
 
     /// A connection is opened, or turned away.
-    pub fn handshake(&mut self, at: f64, turned_away: bool) {
-        let second = self.second(at);
+    pub fn record_handshake(&mut self, at: f64, turned_away: bool) {
+        let second = self.second_mut(at);
         second.handshakes += u64::from(!turned_away);
         second.turned_away += u64::from(turned_away);
     }
 
     /// A whole list is asked for.
-    pub fn list(&mut self, at: f64) {
-        self.second(at).lists += 1;
+    pub fn record_list(&mut self, at: f64) {
+        self.second_mut(at).lists += 1;
     }
 
     /// A cold server was sent this part of what pushes it over.
-    pub fn cold(&mut self, at: f64, load: f64) {
-        let second = self.second(at);
+    pub fn record_cold_load(&mut self, at: f64, load: f64) {
+        let second = self.second_mut(at);
         second.cold = second.cold.max(load);
     }
 
     /// An attempt goes from a zone to one.
-    pub fn way(&mut self, at: f64, from: u32, to: u32) {
+    pub fn record_zone_path(&mut self, at: f64, from: u32, to: u32) {
         let second = (at / 1000.0) as usize;
         if self.ways.len() <= second {
             self.ways.resize_with(second + 1, Default::default);
@@ -341,10 +349,10 @@
     }
 
     /// A note is on its way to a gatekeeper.
-    pub fn note(&mut self, at: f64, to: u32, bytes: usize) {
+    pub fn record_message(&mut self, at: f64, to: u32, bytes: usize) {
         self.notes += 1;
         self.note_bytes += bytes as u64;
-        self.second(at).notes += 1;
+        self.second_mut(at).notes += 1;
         let second = (at / 1000.0) as u64;
         let (when, count) = &mut self.notes_in[to as usize];
         *count = if *when == second { *count + 1 } else { 1 };
@@ -353,7 +361,7 @@
     }
 
     /// The report; what servers came to and the oracle's word are put in by the world.
-    pub fn report(mut self, scenario: &Scenario, seed: u64) -> Report {
+    pub fn into_report(mut self, scenario: &Scenario, seed: u64) -> Report {
         for (k, plan) in self.plans.iter_mut().enumerate() {
             let of_plan = self.quotas.iter().filter(|q| q.plan == k);
             plan.worst_over = of_plan.map(|q| q.over).fold(0.0, f64::max);
@@ -426,7 +434,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::scenario::{Fault, Kind};
+    use crate::scenario::{Fault, FaultKind};
 
     #[test]
     fn the_way_back_is_counted_from_the_first_fault() {
@@ -434,8 +442,15 @@
         let second = |inside_in_time| Second { inside: 100, inside_in_time, ..Second::default() };
         let mut seconds: Vec<Second> = [10, 90, 90, 90, 20, 40, 90, 50, 85, 88, 90, 90].map(second).to_vec();
         assert_eq!(back(&day, &seconds), None, "nothing went wrong");
-        let fault =
-            |at_s| Fault { kind: Kind::KillAny, at_s, for_s: 1.0, part: 1.0, times: 1.0, count: 1, zone: 0 };
+        let fault = |at_s| Fault {
+            kind: FaultKind::KillAny,
+            at_s,
+            for_s: 1.0,
+            part: 1.0,
+            times: 1.0,
+            count: 1,
+            zone: 0,
+        };
         day.faults.push(fault(4.0));
         assert_eq!(back(&day, &seconds), Some(4.0));
         seconds[9] = second(60);
--- a/crates/sim/src/world.rs
+++ b/crates/sim/src/world.rs
@@ -2,16 +2,16 @@
 //! clients, all in one order of events by virtual time. Nothing here reads a clock; every random number comes from the
 //! run's seed.
 
-mod zoned;
-
-use crate::conns::{Conns, Way};
-use crate::formula::{Cold, ERROR_MS, Formula, Job, Sick, Taken};
-use crate::herds::{Act, Herds};
-use crate::oracle::{Final, Oracle, Trace};
-use crate::queue::Queue;
-use crate::scenario::{Kind, Scenario};
-use crate::shops::{Shop, Shops};
-use crate::tally::{Report, ServerSums, Tally};
+mod zones;
+
+use crate::connections::{ConnectionPools, ConnectionUse};
+use crate::event_queue::EventQueue;
+use crate::formula_server::{ERROR_MS, FormulaServer, Job, JobAdmission, ServerFault, SlowStart};
+use crate::herd_detection::{HerdAction, HerdDetector};
+use crate::oracle::{FinalAnswer, Oracle, Trace};
+use crate::scenario::{FaultKind, Scenario};
+use crate::shop_population::{Shop, ShopPopulation};
+use crate::stats::{Report, RunStats, ServerSums};
 use frostvale::{
     Action, AttemptOutcome, AttemptResult, Control, EndpointUpdateKind, Event, Health, LoadReport, Name,
     Request, Server, Settings, ZoneObservation,
@@ -36,7 +36,7 @@
 const FINISH_MS: f64 = 10_000.0;
 
 /// One gatekeeper's decisions. The real ones are [`Control`]; tests put others in their place to see the oracles fail.
-pub trait Mind {
+pub trait DecisionModule {
     /// Takes an event at a time in ms, and gives what is to be done.
     fn handle(&mut self, now: f64, event: Event) -> Vec<Action>;
 
@@ -49,7 +49,7 @@
     fn watch_zones(&mut self) {}
 }
 
-impl Mind for Control {
+impl DecisionModule for Control {
     fn handle(&mut self, now: f64, event: Event) -> Vec<Action> {
         Control::handle(self, now, event)
     }
@@ -64,13 +64,13 @@
 }
 
 /// Makes a gatekeeper's mind from its settings and a seed.
-pub type Maker<'a> = &'a dyn Fn(Settings, u64) -> Result<Box<dyn Mind>, String>;
+pub type ModuleFactory<'a> = &'a dyn Fn(Settings, u64) -> Result<Box<dyn DecisionModule>, String>;
 
 /// The real decision module.
 ///
 /// # Errors
 /// When it refuses the settings.
-pub fn real(settings: Settings, seed: u64) -> Result<Box<dyn Mind>, String> {
+pub fn control_module(settings: Settings, seed: u64) -> Result<Box<dyn DecisionModule>, String> {
     Ok(Box::new(Control::new(settings, seed).map_err(|e| e.to_string())?))
 }
 
@@ -78,7 +78,7 @@
 type Lines = Rc<Vec<(u32, Server)>>;
 
 /// What happens.
-enum Ev {
+enum SimEvent {
     /// The next request of any client.
     Next,
     /// A client tries, for the first time or again.
@@ -136,11 +136,11 @@
         life: u32,
     },
     Gone(u32),
-    Zones(zoned::Step),
+    Zones(zones::ZoneStep),
 }
 
 /// A client's request over all of its tries.
-struct Asked {
+struct ClientRequest {
     shop: Shop,
     class: usize,
     units: f64,
@@ -154,7 +154,7 @@
 }
 
 /// An attempt that is out.
-struct Out {
+struct OutstandingAttempt {
     attempt: u32,
     server: u32,
     at: f64,
@@ -164,18 +164,18 @@
 }
 
 /// One try of a client at one gatekeeper.
-struct Tried {
+struct GatekeeperTry {
     asked: u64,
     gatekeeper: u32,
     at: f64,
     attempts: u32,
     charged: bool,
-    out: Option<Out>,
+    out: Option<OutstandingAttempt>,
     answered: bool,
 }
 
 struct Gatekeeper {
-    mind: Option<Box<dyn Mind>>,
+    mind: Option<Box<dyn DecisionModule>>,
     life: u32,
     /// When the last news of the list reaches it: a watch keeps its order.
     listed: f64,
@@ -184,25 +184,25 @@
 
 pub(crate) struct World<'a> {
     scenario: &'a Scenario,
-    make: Maker<'a>,
-    cold: Cold,
+    make: ModuleFactory<'a>,
+    cold: SlowStart,
     now: f64,
-    queue: Queue<Ev>,
+    queue: EventQueue<SimEvent>,
     rng: Pcg64Mcg,
-    shops: Shops,
-    conns: Conns,
-    herds: Herds,
+    shops: ShopPopulation,
+    conns: ConnectionPools,
+    herds: HerdDetector,
     /// The list as it was, for those that start with an old one.
     history: Vec<(f64, Lines)>,
     gatekeepers: Vec<Gatekeeper>,
-    servers: Vec<Formula>,
+    servers: Vec<FormulaServer>,
     by_name: FxHashMap<Name, u32>,
     health: Vec<Health>,
-    asked: FxHashMap<u64, Asked>,
-    tries: FxHashMap<u64, Tried>,
+    asked: FxHashMap<u64, ClientRequest>,
+    tries: FxHashMap<u64, GatekeeperTry>,
     numbers: u64,
     oracle: Oracle,
-    tally: Tally,
+    tally: RunStats,
     // What is wrong just now.
     surge: f64,
     split: bool,
@@ -215,18 +215,18 @@
     note_double: f64,
     sick: BTreeSet<u32>,
     hit: Vec<Vec<u32>>,
-    zoned: zoned::Zoned,
+    zoned: zones::ZoneSimulation,
 }
 
 /// Runs a scenario with this seed, and gives what it came to.
 ///
 /// # Errors
 /// When the scenario can't be run at all.
-pub fn run(scenario: &Scenario, seed: u64, make: Maker<'_>) -> Result<Report, String> {
+pub fn run(scenario: &Scenario, seed: u64, make: ModuleFactory<'_>) -> Result<Report, String> {
     scenario.check()?;
     let mut world = World::new(scenario, seed, make)?;
     let end = scenario.seconds * 1000.0 + TAIL_MS;
-    while let Some((at, event)) = world.queue.next() {
+    while let Some((at, event)) = world.queue.pop() {
         if at > end || world.oracle.broken.is_some() {
             break;
         }
@@ -240,20 +240,20 @@
 }
 
 impl<'a> World<'a> {
-    fn new(scenario: &'a Scenario, seed: u64, make: Maker<'a>) -> Result<World<'a>, String> {
+    fn new(scenario: &'a Scenario, seed: u64, make: ModuleFactory<'a>) -> Result<World<'a>, String> {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        let shops = Shops::new(scenario, rng.random());
+        let shops = ShopPopulation::new(scenario, rng.random());
         let s = &scenario.servers;
         let mut world = World {
             make,
-            cold: Cold { from: s.cold_from, warm_ms: s.warm_s * 1000.0, times: s.cold_times },
+            cold: SlowStart { from: s.cold_from, warm_ms: s.warm_s * 1000.0, times: s.cold_times },
             now: 0.0,
-            queue: Queue::default(),
+            queue: EventQueue::default(),
             oracle: Oracle::new(scenario, shops.count()),
-            tally: Tally::new(scenario, shops.count())?,
+            tally: RunStats::new(scenario, shops.count())?,
             shops,
-            conns: Conns::new(s.connections, s.idle_ms),
-            herds: Herds::default(),
+            conns: ConnectionPools::new(s.connections, s.idle_ms),
+            herds: HerdDetector::default(),
             history: Vec::new(),
             gatekeepers: Vec::new(),
             servers: Vec::new(),
@@ -272,7 +272,7 @@
             note_double: 0.0,
             sick: BTreeSet::new(),
             hit: vec![Vec::new(); scenario.faults.len()],
-            zoned: zoned::Zoned::new(
+            zoned: zones::ZoneSimulation::new(
                 scenario.zones.as_ref().map_or_else(Default::default, |z| z.judge),
                 scenario.gatekeepers.count,
             ),
@@ -293,12 +293,12 @@
             world.start(k)?;
         }
         for (which, fault) in scenario.faults.iter().enumerate() {
-            world.queue.put(fault.at_s * 1000.0, Ev::Fault { which, step: 0 });
-            if fault.kind != Kind::Replace {
-                world.queue.put((fault.at_s + fault.for_s) * 1000.0, Ev::FaultEnd(which));
+            world.queue.push(fault.at_s * 1000.0, SimEvent::Fault { which, step: 0 });
+            if fault.kind != FaultKind::Replace {
+                world.queue.push((fault.at_s + fault.for_s) * 1000.0, SimEvent::FaultEnd(which));
             }
         }
-        world.queue.put(0.0, Ev::Next);
+        world.queue.push(0.0, SimEvent::Next);
         world.begin_zones();
         Ok(world)
     }
@@ -335,13 +335,13 @@
         let (zone, cell) = if s.zone_shares.is_empty() {
             (number % s.cells % s.zones, number % s.cells)
         } else {
-            let zone = zoned::dealt(number, &s.zone_shares, s.zones);
+            let zone = zones::zone_of_index(number, &s.zone_shares, s.zones);
             (zone, zone + s.zones * (number % (s.cells / s.zones).max(1)))
         };
         let (cores, speed, queue) = (s.kinds[kind].cores, s.kinds[kind].speed, s.queue as usize);
         let speed = self.between(speed);
         let name: Name = format!("s-{number}").as_str().into();
-        let mut server = Formula::new(name.clone(), (zone, cell), kind as u32, cores, speed, queue);
+        let mut server = FormulaServer::new(name.clone(), (zone, cell), kind as u32, cores, speed, queue);
         server.since = since;
         self.servers.push(server);
         self.health.push(Health::Up);
@@ -387,7 +387,7 @@
             mind.watch_zones();
         }
         self.gatekeepers[k as usize].mind = Some(mind);
-        self.oracle.started(k);
+        self.oracle.gatekeeper_started(k);
         if let Some(old) = s.discovery.known_s {
             let then = self.now - 1000.0 * old;
             let known = self.history.iter().rev().find(|(at, _)| *at <= then).or(self.history.first());
@@ -401,8 +401,8 @@
 
     /// A gatekeeper asks for the whole list, as at its start; again in a while where it gets none.
     fn ask_list(&mut self, k: u32) {
-        self.tally.list(self.now);
-        self.herds.seen(self.now, Act::List, k, 0);
+        self.tally.record_list(self.now);
+        self.herds.record(self.now, HerdAction::List, k, 0);
         if self.list_silent == 0 && self.list_answers() {
             return self.tell_all(k, self.list_late);
         }
@@ -410,7 +410,7 @@
         if self.list_silent == 0 {
             let pause = self.between(LIST_AGAIN_MS);
             let life = self.gatekeepers[k as usize].life;
-            self.queue.put(self.now + pause, Ev::Ask { gatekeeper: k, life });
+            self.queue.push(self.now + pause, SimEvent::Ask { gatekeeper: k, life });
         }
     }
 
@@ -440,7 +440,7 @@
     fn tell_list(&mut self, k: u32, lag: f64, kind: EndpointUpdateKind, lines: Lines) {
         let g = &mut self.gatekeepers[k as usize];
         g.listed = g.listed.max(self.now + lag);
-        self.queue.put(g.listed, Ev::List { gatekeeper: k, life: g.life, kind, lines });
+        self.queue.push(g.listed, SimEvent::List { gatekeeper: k, life: g.life, kind, lines });
     }
 
     /// The entries of these servers have changed.
@@ -472,14 +472,14 @@
             self.tries.iter().filter(|(_, t)| t.gatekeeper == k).map(|(id, _)| *id).collect();
         had.sort_unstable();
         for id in had {
-            self.oracle.orphaned(id);
+            self.oracle.request_orphaned(id);
             if let Some(tried) = self.tries.remove(&id)
                 && !tried.answered
             {
                 self.client_again(tried.asked, None, true);
             }
         }
-        self.queue.put(self.now + 1000.0 * self.scenario.gatekeepers.down_s, Ev::Start(k));
+        self.queue.push(self.now + 1000.0 * self.scenario.gatekeepers.down_s, SimEvent::Start(k));
     }
 
     fn tell_mind(&mut self, k: u32, event: Event) {
@@ -495,8 +495,10 @@
     fn act(&mut self, k: u32, action: Action) {
         match action {
             Action::Send { id, server, deadline, .. } => self.send(k, id, &server, deadline),
-            Action::Refuse { id, retry_after_ms, .. } => self.answer(k, id, Final::Refused, retry_after_ms),
-            Action::Fail { id } => self.answer(k, id, Final::Failed, 0.0),
+            Action::Refuse { id, retry_after_ms, .. } => {
+                self.answer(k, id, FinalAnswer::Refused, retry_after_ms)
+            }
+            Action::Fail { id } => self.answer(k, id, FinalAnswer::Failed, 0.0),
             Action::Cancel { id, attempt } => {
                 if self.attempt_out(id, attempt).is_some() {
                     self.ended(id, AttemptOutcome::Cancelled, None);
@@ -510,7 +512,7 @@
             }
             Action::SetTimer { token, after } => {
                 let life = self.gatekeepers[k as usize].life;
-                self.queue.put(self.now + after, Ev::Timer { gatekeeper: k, life, token });
+                self.queue.push(self.now + after, SimEvent::Timer { gatekeeper: k, life, token });
             }
             Action::Probe { .. } | Action::Log { .. } | Action::CheckDecision { .. } => {}
         }
@@ -521,56 +523,64 @@
         let s = &self.servers[number as usize];
         let place = (s.zone, s.cell);
         let from = self.gatekeeper_zone(k);
-        self.tally.way(self.now, from, place.0);
+        self.tally.record_zone_path(self.now, from, place.0);
         let cut = self.cut_between(from, place.0);
         self.trace(k, "is sent on", id, Some(number));
-        self.oracle.sent(self.now, k, id, number, place);
+        self.oracle.attempt_sent(self.now, k, id, number, place);
         let hop = self.hop();
         let now = self.now;
         let Some(t) = self.tries.get_mut(&id) else { return };
         let attempt = t.attempts;
         t.attempts += 1;
-        t.out = Some(Out { attempt, server: number, at: now, whole: false, connected: None });
-        self.herds.seen(now, Act::Attempt, k, number);
+        t.out = Some(OutstandingAttempt { attempt, server: number, at: now, whole: false, connected: None });
+        self.herds.record(now, HerdAction::Attempt, k, number);
         self.tally.attempts += 1;
-        self.tally.second(now).attempts += 1;
+        self.tally.second_mut(now).attempts += 1;
         if !self.sick.is_empty() {
             self.tally.sick_of += 1;
             self.tally.sick += u64::from(self.sick.contains(&number));
         }
         if deadline <= now {
-            self.queue.put(now, Ev::Answer { id, attempt, outcome: AttemptOutcome::Moot, holds: None });
+            self.queue
+                .push(now, SimEvent::Answer { id, attempt, outcome: AttemptOutcome::Moot, holds: None });
             return;
         }
         if cut {
             // Nothing comes up: that shows when the connection has taken too long.
             let at = (now + CONNECT_MS).min(deadline);
-            self.queue.put(at, Ev::Answer { id, attempt, outcome: AttemptOutcome::Unreachable, holds: None });
+            self.queue.push(
+                at,
+                SimEvent::Answer { id, attempt, outcome: AttemptOutcome::Unreachable, holds: None },
+            );
             return;
         }
         // A dead server takes no connection: that shows when the attempt comes there.
-        let way = if self.servers[number as usize].up() { self.connect(id, k, number) } else { Way::Kept };
-        if way == Way::TurnedAway {
+        let way = if self.servers[number as usize].is_up() {
+            self.connect(id, k, number)
+        } else {
+            ConnectionUse::Reused
+        };
+        if way == ConnectionUse::Rejected {
             let back = self.hop();
-            self.queue.put(
+            self.queue.push(
                 now + hop + back,
-                Ev::Answer { id, attempt, outcome: AttemptOutcome::Full, holds: None },
+                SimEvent::Answer { id, attempt, outcome: AttemptOutcome::Full, holds: None },
             );
             return;
         }
-        let comes_up = if way == Way::New { self.scenario.servers.handshake_ms } else { 0.0 };
-        self.queue.put(now + comes_up + hop, Ev::Whole { id, attempt });
-        self.queue.put(deadline, Ev::Deadline { id, attempt });
+        let comes_up = if way == ConnectionUse::New { self.scenario.servers.handshake_ms } else { 0.0 };
+        self.queue.push(now + comes_up + hop, SimEvent::Whole { id, attempt });
+        self.queue.push(deadline, SimEvent::Deadline { id, attempt });
     }
 
     /// An attempt needs a connection to a server that is up.
-    fn connect(&mut self, id: u64, k: u32, server: u32) -> Way {
-        let (way, life) = self.conns.take(self.now, k, server);
-        if way != Way::Kept {
-            self.herds.seen(self.now, Act::Handshake, k, server);
-            self.tally.handshake(self.now, way == Way::TurnedAway);
+    fn connect(&mut self, id: u64, k: u32, server: u32) -> ConnectionUse {
+        let (way, life) = self.conns.acquire(self.now, k, server);
+        if way != ConnectionUse::Reused {
+            self.herds.record(self.now, HerdAction::Handshake, k, server);
+            self.tally.record_handshake(self.now, way == ConnectionUse::Rejected);
         }
-        if way != Way::TurnedAway
+        if way != ConnectionUse::Rejected
             && let Some(out) = self.tries.get_mut(&id).and_then(|t| t.out.as_mut())
         {
             out.connected = Some(life);
@@ -578,7 +588,7 @@
         way
     }
 
-    fn attempt_out(&self, id: u64, attempt: u32) -> Option<&Out> {
+    fn attempt_out(&self, id: u64, attempt: u32) -> Option<&OutstandingAttempt> {
         self.tries.get(&id)?.out.as_ref().filter(|o| o.attempt == attempt)
     }
 
@@ -591,9 +601,9 @@
         if let Some(life) = out.connected {
             let answered =
                 matches!(outcome, AttemptOutcome::Ok | AttemptOutcome::Error | AttemptOutcome::Full);
-            self.conns.give(now, k, (out.server, life), answered);
+            self.conns.release(now, k, (out.server, life), answered);
         }
-        self.oracle.ended(id, outcome);
+        self.oracle.attempt_ended(id, outcome);
         let result = AttemptResult {
             id,
             attempt: out.attempt,
@@ -621,7 +631,7 @@
             Some(out.server),
         );
         if outcome == AttemptOutcome::Ok && !answered {
-            self.answer(k, id, Final::Served, 0.0);
+            self.answer(k, id, FinalAnswer::Served, 0.0);
         }
         self.tell_mind(k, Event::AttemptEnded(result));
         if answered || outcome == AttemptOutcome::Ok {
@@ -630,8 +640,8 @@
     }
 
     fn note(&mut self, from: u32, to: u32, text: &str) {
-        self.tally.note(self.now, to, text.len());
-        self.herds.seen(self.now, Act::Note, from, to);
+        self.tally.record_message(self.now, to, text.len());
+        self.herds.record(self.now, HerdAction::Note, from, to);
         let half = self.scenario.gatekeepers.count / 2;
         let cut = self.split && (from < half) != (to < half)
             || self.cut_between(self.gatekeeper_zone(from), self.gatekeeper_zone(to));
@@ -642,7 +652,7 @@
         let times = 1 + u32::from(self.note_double > 0.0 && self.rng.random::<f64>() < self.note_double);
         for _ in 0..times {
             let after = self.between(self.scenario.network.note_ms) + self.note_delay;
-            self.queue.put(self.now + after, Ev::Note { to, from, text: text.into() });
+            self.queue.push(self.now + after, SimEvent::Note { to, from, text: text.into() });
         }
     }
 
@@ -664,9 +674,9 @@
         let rate = self.scenario.load.rate * self.surge;
         let next = self.now + 1000.0 * pause / rate;
         if next <= self.scenario.seconds * 1000.0 {
-            self.queue.put(next, Ev::Next);
+            self.queue.push(next, SimEvent::Next);
         }
-        let shop = self.shops.draw(&mut self.rng);
+        let shop = self.shops.sample(&mut self.rng);
         let all: f64 = self.scenario.classes.iter().map(|c| c.share).sum();
         let mut lot = self.rng.random::<f64>() * all;
         let mut class = 0;
@@ -677,17 +687,17 @@
         let c = &self.scenario.classes[class];
         let units = f64::from(self.rng.random_range(c.units[0]..=c.units[1]));
         let work = self.between(self.scenario.classes[class].work_ms);
-        let inside = self.tally.asked(self.now, shop.number, shop.plan, class, units);
+        let inside = self.tally.record_request(self.now, shop.number, shop.plan, class, units);
         let (id, key) = (self.number(), self.number());
         let left = self.scenario.load.retries;
-        let asked = Asked { shop, class, units, work, at: self.now, left, key, inside, again: false };
+        let asked = ClientRequest { shop, class, units, work, at: self.now, left, key, inside, again: false };
         self.asked.insert(id, asked);
         self.try_now(id);
     }
 
     fn try_now(&mut self, asked: u64) {
         let Some(a) = self.asked.get(&asked) else { return };
-        let mut k = self.shops.gatekeeper(&a.shop, self.now, &mut self.rng);
+        let mut k = self.shops.pick_gatekeeper(&a.shop, self.now, &mut self.rng);
         // The front knows who is down, and goes round the set.
         for _ in 0..a.shop.spread {
             if self.gatekeepers[k as usize].mind.is_some() {
@@ -698,7 +708,7 @@
             k = (a.shop.first + next % a.shop.spread) % self.scenario.gatekeepers.count;
         }
         let (class, units, key, shop, again) = (a.class, a.units, a.key, a.shop.clone(), a.again);
-        let second = self.tally.second(self.now);
+        let second = self.tally.second_mut(self.now);
         second.tries += 1;
         second.retries += u64::from(again);
         self.tally.plans[shop.plan].tries += 1;
@@ -707,7 +717,7 @@
         }
         let wait = self.scenario.classes[class].deadline_ms * (0.5 + 0.5 * self.rng.random::<f64>());
         let id = self.number();
-        let tried = Tried {
+        let tried = GatekeeperTry {
             asked,
             gatekeeper: k,
             at: self.now,
@@ -718,8 +728,8 @@
         };
         self.tries.insert(id, tried);
         self.trace(k, "takes", id, None);
-        self.oracle.taken(id, k, class, key);
-        self.queue.put(self.now + wait, Ev::Leave(id));
+        self.oracle.request_accepted(id, k, class, key);
+        self.queue.push(self.now + wait, SimEvent::Leave(id));
         let request = Request {
             id,
             customer: shop.name,
@@ -735,14 +745,14 @@
     }
 
     /// A final answer to a client.
-    fn answer(&mut self, k: u32, id: u64, answer: Final, pause: f64) {
+    fn answer(&mut self, k: u32, id: u64, answer: FinalAnswer, pause: f64) {
         let what = match answer {
-            Final::Served => "serves",
-            Final::Refused => "refuses",
-            Final::Failed => "fails",
+            FinalAnswer::Served => "serves",
+            FinalAnswer::Refused => "refuses",
+            FinalAnswer::Failed => "fails",
         };
         self.trace(k, what, id, None);
-        self.oracle.answered(self.now, id, answer);
+        self.oracle.request_answered(self.now, id, answer);
         let Some(t) = self.tries.get_mut(&id) else { return };
         if std::mem::replace(&mut t.answered, true) {
             return;
@@ -754,20 +764,20 @@
         let Some(a) = self.asked.get(&asked) else { return };
         let (plan, class, units) = (a.shop.plan, a.class, a.units);
         let inside = a.inside.then_some(a.at);
-        let second = self.tally.second(self.now);
+        let second = self.tally.second_mut(self.now);
         match answer {
-            Final::Served => {
+            FinalAnswer::Served => {
                 second.served += 1;
                 let aim = self.scenario.classes[class].aim_ms;
-                self.tally.served(plan, class, units, inside, self.now - at, aim);
+                self.tally.record_served(plan, class, units, inside, self.now - at, aim);
                 self.asked.remove(&asked);
             }
-            Final::Refused => {
+            FinalAnswer::Refused => {
                 second.refused += 1;
                 self.tally.plans[plan].refusals += 1;
                 self.client_again(asked, Some(pause), false);
             }
-            Final::Failed => {
+            FinalAnswer::Failed => {
                 second.failed += 1;
                 self.tally.plans[plan].failures += 1;
                 self.client_again(asked, None, true);
@@ -791,11 +801,11 @@
         if fresh {
             a.key = key;
         }
-        self.queue.put(self.now + wait, Ev::Try(asked));
+        self.queue.push(self.now + wait, SimEvent::Try(asked));
     }
 
     fn leave(&mut self, id: u64) {
-        self.oracle.left(self.now, id);
+        self.oracle.client_left(self.now, id);
         let Some(t) = self.tries.get_mut(&id) else { return };
         if std::mem::replace(&mut t.answered, true) {
             return;
@@ -815,10 +825,10 @@
         let Some(server) = self.attempt_out(id, attempt).map(|o| o.server) else { return };
         let (now, hop) = (self.now, self.hop());
         let s = &self.servers[server as usize];
-        if !s.up() {
-            self.queue.put(
+        if !s.is_up() {
+            self.queue.push(
                 now + hop,
-                Ev::Answer { id, attempt, outcome: AttemptOutcome::Unreachable, holds: None },
+                SimEvent::Answer { id, attempt, outcome: AttemptOutcome::Unreachable, holds: None },
             );
             return;
         }
@@ -835,33 +845,35 @@
             .get(&asked)
             .map_or(((u64::MAX, 0), 0.0, 50.0), |a| ((a.shop.number, a.shop.plan), a.units, a.work));
         if first {
-            self.tally.passed(now, shop.0, shop.1, units);
-            self.oracle.charge(now, id, shop, units);
+            self.tally.record_passed(now, shop.0, shop.1, units);
+            self.oracle.record_charge(now, id, shop, units);
         }
-        let again = self.oracle.dropped(now, id, place);
+        let again = self.oracle.is_duplicate_dropped(now, id, place);
         let job = Job { id, attempt, work };
         let cold = self.cold;
         let s = &mut self.servers[server as usize];
-        let (taken, over) = s.take(job, again, now, &cold);
-        let (life, holds, cold_load) = (s.life, s.in_hand(), s.cold_load);
+        let (taken, over) = s.accept(job, again, now, &cold);
+        let (life, holds, cold_load) = (s.life, s.in_flight(), s.cold_load);
         if cold_load > 0.0 {
-            self.tally.cold(now, cold_load);
+            self.tally.record_cold_load(now, cold_load);
         }
         let holds = self.scenario.servers.report.then_some(holds);
         // An error may have run; so may what a silent one has.
-        if !again && taken != Taken::Answered(AttemptOutcome::Full, ERROR_MS) && !over {
-            self.oracle.effect(now, id, place);
+        if !again && taken != JobAdmission::Answered(AttemptOutcome::Full, ERROR_MS) && !over {
+            self.oracle.record_effect(now, id, place);
         }
         match taken {
-            Taken::Begun(ms) => self.queue.put(now + ms, Ev::Done { server, life, id, attempt }),
-            Taken::Answered(outcome, ms) => {
-                self.queue.put(now + ms + hop, Ev::Answer { id, attempt, outcome, holds });
+            JobAdmission::Begun(ms) => {
+                self.queue.push(now + ms, SimEvent::Done { server, life, id, attempt })
+            }
+            JobAdmission::Answered(outcome, ms) => {
+                self.queue.push(now + ms + hop, SimEvent::Answer { id, attempt, outcome, holds });
             }
-            Taken::Waits | Taken::Nothing => {}
+            JobAdmission::Waits | JobAdmission::Nothing => {}
         }
         if over {
             let since = self.servers[server as usize].since;
-            self.oracle.pushed_over(now, k, server, id, since);
+            self.oracle.check_overload(now, k, server, id, since);
             self.lose(server);
         }
     }
@@ -873,25 +885,29 @@
         if s.life != life {
             return;
         }
-        if let Some((next, ms)) = s.done(id, attempt, now, &cold) {
-            self.queue.put(now + ms, Ev::Done { server, life, id: next.id, attempt: next.attempt });
+        if let Some((next, ms)) = s.complete(id, attempt, now, &cold) {
+            self.queue.push(now + ms, SimEvent::Done { server, life, id: next.id, attempt: next.attempt });
         }
         let s = &self.servers[server as usize];
-        if s.sick != Sick::Silent {
-            let holds = self.scenario.servers.report.then_some(s.in_hand());
-            self.queue.put(now + hop, Ev::Answer { id, attempt, outcome: AttemptOutcome::Ok, holds });
+        if s.sick != ServerFault::Silent {
+            let holds = self.scenario.servers.report.then_some(s.in_flight());
+            self.queue.push(now + hop, SimEvent::Answer { id, attempt, outcome: AttemptOutcome::Ok, holds });
         }
     }
 
     /// A server's life ends with all that it has in hand.
     fn lose(&mut self, server: u32) {
-        let had = self.servers[server as usize].end();
+        let had = self.servers[server as usize].stop();
         self.conns.server_ended(server);
         for job in had {
             let hop = self.hop();
-            let lost =
-                Ev::Answer { id: job.id, attempt: job.attempt, outcome: AttemptOutcome::Reset, holds: None };
-            self.queue.put(self.now + hop, lost);
+            let lost = SimEvent::Answer {
+                id: job.id,
+                attempt: job.attempt,
+                outcome: AttemptOutcome::Reset,
+                holds: None,
+            };
+            self.queue.push(self.now + hop, lost);
         }
     }
 
@@ -910,7 +926,7 @@
 
     fn some_servers(&mut self, part: f64) -> Vec<u32> {
         let up: Vec<u32> = (0..self.servers.len() as u32)
-            .filter(|n| self.health[*n as usize] == Health::Up && self.servers[*n as usize].up())
+            .filter(|n| self.health[*n as usize] == Health::Up && self.servers[*n as usize].is_up())
             .collect();
         let many = ((part * up.len() as f64).round() as usize).clamp(1.min(up.len()), up.len());
         let mut some: Vec<u32> = sample(&mut self.rng, up.len(), many).iter().map(|k| up[k]).collect();
@@ -920,7 +936,7 @@
 
     fn fault(&mut self, which: usize, step: u32) {
         let fault = self.scenario.faults[which].clone();
-        let sicken = |world: &mut Self, sick: Sick| {
+        let sicken = |world: &mut Self, sick: ServerFault| {
             let some = world.some_servers(fault.part);
             for n in &some {
                 world.servers[*n as usize].sick = sick;
@@ -929,14 +945,14 @@
             world.hit[which] = some;
         };
         match fault.kind {
-            Kind::Slow => sicken(self, Sick::Slow(fault.times)),
-            Kind::Errors => sicken(self, Sick::Errors),
-            Kind::Silent => sicken(self, Sick::Silent),
-            Kind::ZoneLost | Kind::ZoneCut | Kind::ZoneSlow | Kind::ZoneErrors => {
+            FaultKind::Slow => sicken(self, ServerFault::Slow(fault.times)),
+            FaultKind::Errors => sicken(self, ServerFault::Errors),
+            FaultKind::Silent => sicken(self, ServerFault::Silent),
+            FaultKind::ZoneLost | FaultKind::ZoneCut | FaultKind::ZoneSlow | FaultKind::ZoneErrors => {
                 self.place_fault(&fault, which);
             }
-            Kind::Crash => {
-                sicken(self, Sick::Dead);
+            FaultKind::Crash => {
+                sicken(self, ServerFault::Dead);
                 for n in self.hit[which].clone() {
                     self.lose(n);
                     self.health[n as usize] = Health::Gone;
@@ -944,7 +960,7 @@
                 let some = self.hit[which].clone();
                 self.list_changes(&some);
             }
-            Kind::Replace => {
+            FaultKind::Replace => {
                 if step == 0 {
                     self.hit[which] = self.some_servers(fault.part);
                 }
@@ -952,11 +968,11 @@
                 let new = self.add_server(self.now);
                 self.health[old as usize] = Health::Draining;
                 self.list_changes(&[old, new]);
-                self.queue.put(self.now + self.scenario.discovery.drain_s * 1000.0, Ev::Gone(old));
+                self.queue.push(self.now + self.scenario.discovery.drain_s * 1000.0, SimEvent::Gone(old));
                 let gap = fault.for_s * 1000.0 / self.hit[which].len() as f64;
-                self.queue.put(self.now + gap, Ev::Fault { which, step: step + 1 });
+                self.queue.push(self.now + gap, SimEvent::Fault { which, step: step + 1 });
             }
-            Kind::Relist => {
+            FaultKind::Relist => {
                 let zones = self.scenario.servers.zones;
                 let all: Vec<u32> = (0..self.servers.len() as u32).collect();
                 for s in &mut self.servers {
@@ -964,16 +980,16 @@
                 }
                 self.list_changes(&all);
             }
-            Kind::DiscoverySilent => self.list_silent += 1,
-            Kind::DiscoverySlow => (self.list_part, self.list_late) = (fault.part, fault.times),
-            Kind::Partition => self.split = true,
-            Kind::NoteLoss => self.note_loss = fault.part,
-            Kind::NoteDelay => self.note_delay = fault.times,
-            Kind::NoteDouble => self.note_double = fault.part,
-            Kind::Surge => self.surge = fault.times,
-            Kind::KillKeeper | Kind::KillAny => {
+            FaultKind::DiscoverySilent => self.list_silent += 1,
+            FaultKind::DiscoverySlow => (self.list_part, self.list_late) = (fault.part, fault.times),
+            FaultKind::Partition => self.split = true,
+            FaultKind::NoteLoss => self.note_loss = fault.part,
+            FaultKind::NoteDelay => self.note_delay = fault.times,
+            FaultKind::NoteDouble => self.note_double = fault.part,
+            FaultKind::Surge => self.surge = fault.times,
+            FaultKind::KillKeeper | FaultKind::KillAny => {
                 let count = self.scenario.gatekeepers.count;
-                let k = if fault.kind == Kind::KillKeeper {
+                let k = if fault.kind == FaultKind::KillKeeper {
                     self.shops.keeper_of_busiest()
                 } else {
                     self.rng.random_range(0..count)
@@ -982,12 +998,12 @@
                 if step + 1 < fault.count {
                     let gap = fault.for_s * 1000.0 / f64::from(fault.count);
                     // The same keeper is up again before it dies again; a herd dies all at once.
-                    let least = if fault.kind == Kind::KillKeeper {
+                    let least = if fault.kind == FaultKind::KillKeeper {
                         1000.0 * self.scenario.gatekeepers.down_s + 1.0
                     } else {
                         1.0
                     };
-                    self.queue.put(self.now + gap.max(least), Ev::Fault { which, step: step + 1 });
+                    self.queue.push(self.now + gap.max(least), SimEvent::Fault { which, step: step + 1 });
                 }
             }
         }
@@ -1000,17 +1016,17 @@
         for n in &hit {
             self.sick.remove(n);
             let s = &mut self.servers[*n as usize];
-            s.sick = Sick::No;
-            if kind == Kind::Crash {
+            s.sick = ServerFault::No;
+            if kind == FaultKind::Crash {
                 s.since = self.now;
                 self.health[*n as usize] = Health::Up;
             }
         }
         self.place_fault_end(&fault, &hit);
         match kind {
-            Kind::Crash => self.list_changes(&hit),
-            Kind::DiscoverySilent | Kind::DiscoverySlow => {
-                if kind == Kind::DiscoverySilent {
+            FaultKind::Crash => self.list_changes(&hit),
+            FaultKind::DiscoverySilent | FaultKind::DiscoverySlow => {
+                if kind == FaultKind::DiscoverySilent {
                     self.list_silent -= 1;
                 } else {
                     (self.list_part, self.list_late) = (1.0, 0.0);
@@ -1020,32 +1036,32 @@
                     self.tell_all(k, lag);
                 }
             }
-            Kind::Partition => self.split = false,
-            Kind::NoteLoss => self.note_loss = self.scenario.network.note_loss,
-            Kind::NoteDelay => self.note_delay = 0.0,
-            Kind::NoteDouble => self.note_double = 0.0,
-            Kind::Surge => self.surge = 1.0,
+            FaultKind::Partition => self.split = false,
+            FaultKind::NoteLoss => self.note_loss = self.scenario.network.note_loss,
+            FaultKind::NoteDelay => self.note_delay = 0.0,
+            FaultKind::NoteDouble => self.note_double = 0.0,
+            FaultKind::Surge => self.surge = 1.0,
             _ => {}
         }
     }
 
     // ---- time ----
 
-    fn happens(&mut self, event: Ev) -> Result<(), String> {
+    fn happens(&mut self, event: SimEvent) -> Result<(), String> {
         match event {
-            Ev::Next => self.next_request(),
-            Ev::Try(asked) => self.try_now(asked),
-            Ev::Whole { id, attempt } => self.whole(id, attempt),
-            Ev::Done { server, life, id, attempt } => self.done(server, life, id, attempt),
-            Ev::Answer { id, attempt, outcome, holds } => self.answer_came(id, attempt, outcome, holds),
-            Ev::Deadline { id, attempt } => self.deadline(id, attempt),
-            Ev::Leave(id) => self.leave(id),
-            Ev::Timer { gatekeeper, life, token } => {
+            SimEvent::Next => self.next_request(),
+            SimEvent::Try(asked) => self.try_now(asked),
+            SimEvent::Whole { id, attempt } => self.whole(id, attempt),
+            SimEvent::Done { server, life, id, attempt } => self.done(server, life, id, attempt),
+            SimEvent::Answer { id, attempt, outcome, holds } => self.answer_came(id, attempt, outcome, holds),
+            SimEvent::Deadline { id, attempt } => self.deadline(id, attempt),
+            SimEvent::Leave(id) => self.leave(id),
+            SimEvent::Timer { gatekeeper, life, token } => {
                 if self.gatekeepers[gatekeeper as usize].life == life {
                     self.tell_mind(gatekeeper, Event::Timer { token });
                 }
             }
-            Ev::Note { to, from, text } => {
+            SimEvent::Note { to, from, text } => {
                 let up = self.gatekeepers.get(to as usize).is_some_and(|g| g.mind.is_some());
                 if up && self.takes_in(to) {
                     self.tell_mind(to, Event::PeerMessage { from, text: text.into() });
@@ -1053,27 +1069,27 @@
                     self.tally.notes_lost += 1;
                 }
             }
-            Ev::List { gatekeeper, life, kind, lines } => {
+            SimEvent::List { gatekeeper, life, kind, lines } => {
                 if self.gatekeepers[gatekeeper as usize].life == life {
                     self.list_came(gatekeeper, kind, &lines);
                 }
             }
-            Ev::Zones(step) => self.zone_step(step),
-            Ev::Fault { which, step } => self.fault(which, step),
-            Ev::FaultEnd(which) => self.fault_end(which),
-            Ev::Start(k) => self.start(k)?,
-            Ev::Ask { gatekeeper, life } => {
+            SimEvent::Zones(step) => self.zone_step(step),
+            SimEvent::Fault { which, step } => self.fault(which, step),
+            SimEvent::FaultEnd(which) => self.fault_end(which),
+            SimEvent::Start(k) => self.start(k)?,
+            SimEvent::Ask { gatekeeper, life } => {
                 if self.gatekeepers[gatekeeper as usize].life == life {
                     self.ask_list(gatekeeper);
                 }
             }
-            Ev::Gone(server) => {
+            SimEvent::Gone(server) => {
                 if self.health[server as usize] == Health::Draining {
                     self.health[server as usize] = Health::Gone;
                     self.list_changes(&[server]);
-                    self.queue.put(self.now + FINISH_MS, Ev::Gone(server));
+                    self.queue.push(self.now + FINISH_MS, SimEvent::Gone(server));
                 } else {
-                    self.servers[server as usize].sick = Sick::Dead;
+                    self.servers[server as usize].sick = ServerFault::Dead;
                     self.lose(server);
                 }
             }
@@ -1085,11 +1101,11 @@
         let mut named = BTreeSet::new();
         for (number, line) in lines {
             named.insert(*number);
-            self.oracle.told(self.now, k, *number, line.health == Health::Up, line.started_at);
+            self.oracle.server_listed(self.now, k, *number, line.health == Health::Up, line.started_at);
         }
         if kind == EndpointUpdateKind::Complete {
             for number in (0..self.servers.len() as u32).filter(|n| !named.contains(n)) {
-                self.oracle.told(self.now, k, number, false, 0.0);
+                self.oracle.server_listed(self.now, k, number, false, 0.0);
             }
         }
         let servers = lines.iter().map(|(_, line)| line.clone()).collect();
@@ -1097,10 +1113,10 @@
     }
 
     fn finish(mut self, seed: u64) -> Report {
-        let open = self.oracle.open();
+        let open = self.oracle.open_requests();
         if open > 0 {
             let now = self.now;
-            self.oracle.breaks("lost", now, || format!("{open} requests are open at the end"));
+            self.oracle.record_violation("lost", now, || format!("{open} requests are open at the end"));
         }
         let time = self.scenario.seconds * 1000.0;
         let servers = self.servers.iter().map(|s| ServerSums {
@@ -1111,13 +1127,13 @@
         });
         let servers = servers.collect();
         let (agreed_ms, decisions) = (self.agreed_ms(), std::mem::take(&mut self.zoned.told));
-        let mut report = self.tally.report(self.scenario, seed);
+        let mut report = self.tally.into_report(self.scenario, seed);
         report.servers = servers;
         (report.agreed_ms, report.decisions) = (agreed_ms, decisions);
-        report.herds = self.herds.told();
+        report.herds = self.herds.into_herds();
         report.ceiling_used = self.oracle.ceiling_used;
         report.broken = self.oracle.broken.take();
-        report.missed = crate::expect::missed(&self.scenario.expect, &report);
+        report.missed = crate::expectations::missed(&self.scenario.expect, &report);
         report
     }
 }
--- a/crates/sim/src/world/zoned.rs
+++ b/crates/sim/src/world/zones.rs
@@ -1,11 +1,11 @@
 //! Zones in the simulation: faults by place, and the shipped judge with agents that report to it and push what stands. The
 //! council is not simulated but by its times: how long an entry takes, how long an owner that is gone is missed.
 
-use super::{Ev, World};
-use crate::formula::Sick;
-use crate::scenario::{Fault, Kind};
+use super::{SimEvent, World};
+use crate::formula_server::ServerFault;
+use crate::scenario::{Fault, FaultKind};
 use frostvale::{Event, RoutingSnapshot, ZoneObservation, ZoneShare};
-use frostvale_zones::{Decision, Judge, Line, Place, Report, Share};
+use frostvale_zones::{AttemptCounts, Decision, FailoverController, Report, Share, ZoneCapacity};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
@@ -14,7 +14,7 @@
 const RENEW_MS: f64 = 500.0;
 
 /// What happens about zones.
-pub(super) enum Step {
+pub(super) enum ZoneStep {
     /// An agent of a zone reports.
     Report(u32),
     /// A report comes to the owner.
@@ -38,8 +38,8 @@
 }
 
 /// Zones of a run.
-pub(crate) struct Zoned {
-    judge: Judge,
+pub(crate) struct ZoneSimulation {
+    judge: FailoverController,
     /// The owner's zone; none while it is missed.
     owner: Option<u32>,
     numbers: BTreeMap<u32, u64>,
@@ -55,10 +55,10 @@
     pub agreed: Vec<(u64, f64)>,
 }
 
-impl Zoned {
-    pub fn new(settings: frostvale_zones::Settings, gatekeepers: u32) -> Zoned {
-        Zoned {
-            judge: Judge::new(settings),
+impl ZoneSimulation {
+    pub fn new(settings: frostvale_zones::Settings, gatekeepers: u32) -> ZoneSimulation {
+        ZoneSimulation {
+            judge: FailoverController::new(settings),
             owner: Some(0),
             numbers: BTreeMap::new(),
             stands: None,
@@ -91,7 +91,7 @@
 impl World<'_> {
     /// The zone of a gatekeeper, by the scenario's shares.
     pub(super) fn gatekeeper_zone(&self, k: u32) -> u32 {
-        dealt(k, &self.scenario.gatekeepers.zone_shares, self.scenario.servers.zones)
+        zone_of_index(k, &self.scenario.gatekeepers.zone_shares, self.scenario.servers.zones)
     }
 
     /// Whether what goes from one zone to another is lost on its way.
@@ -105,36 +105,36 @@
             let every = z.report_ms;
             for zone in 0..self.scenario.servers.zones {
                 let phase = self.between([0.0, every]);
-                self.queue.put(phase, Ev::Zones(Step::Report(zone)));
+                self.queue.push(phase, SimEvent::Zones(ZoneStep::Report(zone)));
             }
-            self.queue.put(LOOK_MS, Ev::Zones(Step::Look));
-            self.queue.put(RENEW_MS, Ev::Zones(Step::Renew));
+            self.queue.push(LOOK_MS, SimEvent::Zones(ZoneStep::Look));
+            self.queue.push(RENEW_MS, SimEvent::Zones(ZoneStep::Renew));
         }
     }
 
-    pub(super) fn zone_step(&mut self, step: Step) {
+    pub(super) fn zone_step(&mut self, step: ZoneStep) {
         let Some(z) = self.scenario.zones.clone() else { return };
         match step {
-            Step::Report(zone) => {
-                self.queue.put(self.now + z.report_ms, Ev::Zones(Step::Report(zone)));
+            ZoneStep::Report(zone) => {
+                self.queue.push(self.now + z.report_ms, SimEvent::Zones(ZoneStep::Report(zone)));
                 self.report(zone);
             }
-            Step::Heard { sent, report } => {
+            ZoneStep::Heard { sent, report } => {
                 if self.zoned.owner.is_some() {
-                    let _ = self.zoned.judge.heard(self.now as u64, sent as u64, *report);
+                    let _ = self.zoned.judge.record_report(self.now as u64, sent as u64, *report);
                 }
             }
-            Step::Look => {
-                self.queue.put(self.now + LOOK_MS, Ev::Zones(Step::Look));
+            ZoneStep::Look => {
+                self.queue.push(self.now + LOOK_MS, SimEvent::Zones(ZoneStep::Look));
                 self.look();
             }
-            Step::Push { zone, version } => {
+            ZoneStep::Push { zone, version } => {
                 if self.zoned.stands.as_ref().is_some_and(|s| s.version == version) {
                     self.push(zone);
                 }
             }
-            Step::Renew => {
-                self.queue.put(self.now + RENEW_MS, Ev::Zones(Step::Renew));
+            ZoneStep::Renew => {
+                self.queue.push(self.now + RENEW_MS, SimEvent::Zones(ZoneStep::Renew));
                 for zone in 0..self.scenario.servers.zones {
                     // Whose agent is cut off from the majority renews nothing.
                     if self.zoned.owner.is_some_and(|o| self.zoned.reaches(o, zone)) {
@@ -142,7 +142,7 @@
                     }
                 }
             }
-            Step::Take => {
+            ZoneStep::Take => {
                 let reaches = |zone: &u32| {
                     let others =
                         (0..self.scenario.servers.zones).filter(|o| self.zoned.reaches(*zone, *o)).count();
@@ -154,11 +154,11 @@
                         self.zoned.owner = Some(next);
                         let stands = self.zoned.stands.as_ref().map(|s| (*s.decision).clone());
                         self.zoned.judge = match stands {
-                            Some(stands) => Judge::resume(z.judge, stands, self.now as u64),
-                            None => Judge::new(z.judge),
+                            Some(stands) => FailoverController::resume(z.judge, stands, self.now as u64),
+                            None => FailoverController::new(z.judge),
                         };
                     }
-                    None => self.queue.put(self.now + LOOK_MS, Ev::Zones(Step::Take)),
+                    None => self.queue.push(self.now + LOOK_MS, SimEvent::Zones(ZoneStep::Take)),
                 }
             }
         }
@@ -204,7 +204,7 @@
             need,
             lines: lines
                 .into_iter()
-                .map(|((to, class), [attempts, bad, late])| Line {
+                .map(|((to, class), [attempts, bad, late])| AttemptCounts {
                     to: name(to),
                     class: class as u32,
                     attempts,
@@ -214,7 +214,7 @@
                 .collect(),
             places: places
                 .into_iter()
-                .map(|(zone, servers, size, warm)| Place {
+                .map(|(zone, servers, size, warm)| ZoneCapacity {
                     zone: name(zone),
                     servers,
                     size,
@@ -223,15 +223,15 @@
                 .collect(),
         };
         let hop = self.hop();
-        let heard = Step::Heard { sent: now, report: Box::new(report) };
-        self.queue.put(now + hop, Ev::Zones(heard));
+        let heard = ZoneStep::Heard { sent: now, report: Box::new(report) };
+        self.queue.push(now + hop, SimEvent::Zones(heard));
     }
 
     fn look(&mut self) {
         if self.zoned.owner.is_none() {
             return;
         }
-        let Some(decision) = self.zoned.judge.turn(self.now as u64) else { return };
+        let Some(decision) = self.zoned.judge.tick(self.now as u64) else { return };
         let version = self.zoned.stands.as_ref().map_or(1, |s| s.version + 1);
         let states = decision.zones.iter().map(|w| {
             let near = decision.row(&w.zone).map_or(Share::default(), |r| r.near);
@@ -244,7 +244,7 @@
         for zone in 0..self.scenario.servers.zones {
             if self.zoned.owner.is_some_and(|o| self.zoned.reaches(o, zone)) {
                 let after = self.between(enter);
-                self.queue.put(self.now + after, Ev::Zones(Step::Push { zone, version }));
+                self.queue.push(self.now + after, SimEvent::Zones(ZoneStep::Push { zone, version }));
             }
         }
     }
@@ -287,8 +287,12 @@
 
     /// From the first fault by place to when all that can be reached acted on a decision made after it, in ms.
     pub(super) fn agreed_ms(&self) -> Option<f64> {
-        let by_place =
-            |f: &&Fault| matches!(f.kind, Kind::ZoneLost | Kind::ZoneCut | Kind::ZoneSlow | Kind::ZoneErrors);
+        let by_place = |f: &&Fault| {
+            matches!(
+                f.kind,
+                FaultKind::ZoneLost | FaultKind::ZoneCut | FaultKind::ZoneSlow | FaultKind::ZoneErrors
+            )
+        };
         let from = self.scenario.faults.iter().filter(by_place).map(|f| f.at_s * 1000.0).reduce(f64::min)?;
         let first = self.zoned.told.iter().position(|(at, _)| *at >= from)? as u64 + 1;
         self.zoned.agreed.iter().find(|(v, _)| *v >= first).map(|(_, at)| at - from)
@@ -298,15 +302,15 @@
     pub(super) fn place_fault(&mut self, fault: &Fault, which: usize) {
         let zone = fault.zone;
         let here: Vec<u32> = (0..self.servers.len() as u32)
-            .filter(|n| self.servers[*n as usize].zone == zone && self.servers[*n as usize].up())
+            .filter(|n| self.servers[*n as usize].zone == zone && self.servers[*n as usize].is_up())
             .collect();
         let sick = match fault.kind {
-            Kind::ZoneLost => Sick::Dead,
-            Kind::ZoneSlow => Sick::Slow(fault.times),
-            Kind::ZoneErrors => Sick::Errors,
-            _ => Sick::No,
+            FaultKind::ZoneLost => ServerFault::Dead,
+            FaultKind::ZoneSlow => ServerFault::Slow(fault.times),
+            FaultKind::ZoneErrors => ServerFault::Errors,
+            _ => ServerFault::No,
         };
-        if fault.kind == Kind::ZoneCut {
+        if fault.kind == FaultKind::ZoneCut {
             self.zoned.cut.insert(zone);
         } else {
             for n in &here {
@@ -314,7 +318,7 @@
             }
             self.sick.extend(&here);
         }
-        if fault.kind == Kind::ZoneLost {
+        if fault.kind == FaultKind::ZoneLost {
             if fault.part > 0.0 {
                 self.zoned.gone.insert(zone);
             }
@@ -326,18 +330,18 @@
         }
         self.hit[which] = here;
         let Some(z) = &self.scenario.zones else { return };
-        let away = self.zoned.gone.contains(&zone) || fault.kind == Kind::ZoneCut;
+        let away = self.zoned.gone.contains(&zone) || fault.kind == FaultKind::ZoneCut;
         if away && self.zoned.owner == Some(zone) {
             self.zoned.owner = None;
-            self.queue.put(self.now + z.takeover_ms, Ev::Zones(Step::Take));
+            self.queue.push(self.now + z.takeover_ms, SimEvent::Zones(ZoneStep::Take));
         }
     }
 
     /// It ends. What was lost comes back cold.
     pub(super) fn place_fault_end(&mut self, fault: &Fault, hit: &[u32]) {
         match fault.kind {
-            Kind::ZoneCut => drop(self.zoned.cut.remove(&fault.zone)),
-            Kind::ZoneLost => {
+            FaultKind::ZoneCut => drop(self.zoned.cut.remove(&fault.zone)),
+            FaultKind::ZoneLost => {
                 self.zoned.gone.remove(&fault.zone);
                 for n in hit {
                     self.servers[*n as usize].since = self.now;
@@ -350,7 +354,7 @@
 }
 
 /// Which zone the k-th of something is dealt to: by shares, where there are any, else by turns.
-pub(super) fn dealt(k: u32, shares: &[f64], zones: u32) -> u32 {
+pub(super) fn zone_of_index(k: u32, shares: &[f64], zones: u32) -> u32 {
     if shares.is_empty() {
         return k % zones;
     }
--- a/crates/sim/tests/days.rs
+++ b/crates/sim/tests/days.rs
@@ -1,8 +1,8 @@
 //! Every scenario in `scenarios/`, any day that faults make, and the same bytes each time.
 
-use frostvale_sim::bound::{self, Cut};
-use frostvale_sim::scenario::{Fault, Kind, Zones};
-use frostvale_sim::{Report, Scenario, page, real, run};
+use frostvale_sim::quota_bound::{self, PartitionCut};
+use frostvale_sim::scenario::{Fault, FaultKind, Zones};
+use frostvale_sim::{Report, Scenario, control_module, report_page, run};
 use proptest::prelude::*;
 use std::path::{Path, PathBuf};
 use std::sync::Mutex;
@@ -30,9 +30,9 @@
             scope.spawn(|| {
                 loop {
                     let Some((scenario, seed)) = work.lock().expect("whole").pop() else { return };
-                    let report = run(scenario, seed, &real).expect("it runs");
+                    let report = run(scenario, seed, &control_module).expect("it runs");
                     if !report.held() {
-                        failed.lock().expect("whole").push(page::text(&report));
+                        failed.lock().expect("whole").push(report_page::text(&report));
                     }
                 }
             });
@@ -56,43 +56,43 @@
 #[test]
 fn the_same_seed_gives_the_same_bytes_and_another_gives_others() {
     let mut scenario = Scenario { seconds: 8.0, ..Scenario::default() };
-    for (kind, at_s) in [(Kind::Crash, 1.0), (Kind::KillKeeper, 2.0), (Kind::Replace, 3.0)] {
+    for (kind, at_s) in [(FaultKind::Crash, 1.0), (FaultKind::KillKeeper, 2.0), (FaultKind::Replace, 3.0)] {
         scenario.faults.push(Fault { kind, at_s, for_s: 2.0, part: 0.3, times: 1.0, count: 1, zone: 0 });
     }
-    let of = |seed| json(&run(&scenario, seed, &real).expect("it runs"));
+    let of = |seed| json(&run(&scenario, seed, &control_module).expect("it runs"));
     assert_eq!(of(5), of(5));
     assert_ne!(of(5), of(6));
     let read: Report = serde_json::from_str(&of(5)).expect("a report");
-    let html = page::html(&[read]).expect("drawn");
+    let html = report_page::html(&[read]).expect("drawn");
     assert_eq!(html.matches("<svg").count(), 9);
     assert!(html.contains("gatekeepers fetched the list from discovery (3 times)"), "who did what at once");
 }
 
 fn faults() -> impl Strategy<Value = Fault> {
     let kinds = prop::sample::select(vec![
-        Kind::Slow,
-        Kind::Errors,
-        Kind::Crash,
-        Kind::Silent,
-        Kind::Replace,
-        Kind::Relist,
-        Kind::DiscoverySilent,
-        Kind::DiscoverySlow,
-        Kind::Partition,
-        Kind::NoteLoss,
-        Kind::NoteDelay,
-        Kind::NoteDouble,
-        Kind::KillKeeper,
-        Kind::KillAny,
-        Kind::Surge,
-        Kind::ZoneLost,
-        Kind::ZoneCut,
-        Kind::ZoneSlow,
-        Kind::ZoneErrors,
+        FaultKind::Slow,
+        FaultKind::Errors,
+        FaultKind::Crash,
+        FaultKind::Silent,
+        FaultKind::Replace,
+        FaultKind::Relist,
+        FaultKind::DiscoverySilent,
+        FaultKind::DiscoverySlow,
+        FaultKind::Partition,
+        FaultKind::NoteLoss,
+        FaultKind::NoteDelay,
+        FaultKind::NoteDouble,
+        FaultKind::KillKeeper,
+        FaultKind::KillAny,
+        FaultKind::Surge,
+        FaultKind::ZoneLost,
+        FaultKind::ZoneCut,
+        FaultKind::ZoneSlow,
+        FaultKind::ZoneErrors,
     ]);
     (kinds, 0.0..8.0f64, 0.0..8.0f64, 0.0..1.0f64, 0.5..8.0f64, 1u32..4, 0u32..3).prop_map(
         |(kind, at_s, for_s, part, times, count, zone)| {
-            let times = if kind == Kind::NoteDelay { times * 200.0 } else { times };
+            let times = if kind == FaultKind::NoteDelay { times * 200.0 } else { times };
             Fault { kind, at_s, for_s, part, times, count, zone }
         },
     )
@@ -118,8 +118,8 @@
         scenario.servers.connections = if caps < 2 { 0 } else { caps };
         scenario.discovery.known_s = known.then_some(3.0);
         scenario.zones = decided.then(Zones::default);
-        let report = run(&scenario, seed, &real).expect("it runs");
-        prop_assert!(report.broken.is_none(), "{}\n{}", scenario.write().expect("TOML"), page::text(&report));
+        let report = run(&scenario, seed, &control_module).expect("it runs");
+        prop_assert!(report.broken.is_none(), "{}\n{}", scenario.write().expect("TOML"), report_page::text(&report));
     }
 }
 
@@ -131,7 +131,7 @@
     let scenario = Scenario::read(&path).expect("sound");
     let mut tightest = 0.0f64;
     for seed in 1..=4 {
-        let report = run(&scenario, seed, &real).expect("it runs");
+        let report = run(&scenario, seed, &control_module).expect("it runs");
         assert!(report.held());
         let shops = f64::from(scenario.load.shops);
         let weights: f64 = (1..=scenario.load.shops).map(|k| f64::from(k).powf(-scenario.load.zipf)).sum();
@@ -141,8 +141,8 @@
             let first = rank.powf(-scenario.load.zipf) / weights;
             let tries = 1.0 + f64::from(scenario.load.retries);
             let offered = scenario.load.rate * 5.0 * first * 1.22 * tries * 0.5;
-            let cut = Cut { set: 4, cut_off: 2, seconds: 30.0, offered, largest: 2.0 };
-            let stated = bound::over(plan.rate, plan.burst, &cut);
+            let cut = PartitionCut { set: 4, cut_off: 2, seconds: 30.0, offered, largest: 2.0 };
+            let stated = quota_bound::max_overrun(plan.rate, plan.burst, &cut);
             let sums = report.plans.iter().find(|p| p.name == plan.name).expect("the plan");
             assert!(sums.worst_over <= stated, "{}: {} over, {stated} stated", plan.name, sums.worst_over);
             tightest = tightest.max(sums.worst_over / stated);
@@ -167,8 +167,8 @@
         ..scenario.clone()
     };
     for seed in 1..=3 {
-        let with = run(&scenario, seed, &real).expect("it runs");
-        let without = run(&free, seed, &real).expect("it runs");
+        let with = run(&scenario, seed, &control_module).expect("it runs");
+        let without = run(&free, seed, &control_module).expect("it runs");
         let away: u64 = with.seconds.iter().map(|s| s.turned_away).sum();
         assert!(away > 20, "{away} turned away: the caps did not bind");
         assert!(without.seconds.iter().all(|s| s.turned_away == 0));
@@ -184,13 +184,13 @@
     let mut scenario = short("many-list-slow");
     scenario.discovery.known_s = None;
     for seed in 1..=3 {
-        let report = run(&scenario, seed, &real).expect("it runs");
-        assert!(report.broken.is_none(), "{}", page::text(&report));
+        let report = run(&scenario, seed, &control_module).expect("it runs");
+        assert!(report.broken.is_none(), "{}", report_page::text(&report));
         let asked = |from: usize, to: usize| report.seconds[from..to].iter().map(|s| s.lists).sum::<u64>();
         // 20 are killed at most; each asks once in 0.55 s until it has one, over the seven seconds that are left.
         assert!((40..=20 * 14).contains(&asked(6, 15)), "{}", asked(6, 15));
         assert_eq!(asked(16, 22), 0, "all have one");
-        let herd = report.herds.iter().filter(|h| h.act == frostvale_sim::Act::List && h.at_ms > 0);
+        let herd = report.herds.iter().filter(|h| h.act == frostvale_sim::HerdAction::List && h.at_ms > 0);
         assert!(herd.map(|h| h.gatekeepers).max().unwrap_or(0) <= 20);
     }
 }
@@ -204,8 +204,8 @@
         ..with.clone()
     };
     let silent = |scenario: &Scenario| {
-        let report = run(scenario, 1, &real).expect("it runs");
-        assert!(report.broken.is_none(), "{}", page::text(&report));
+        let report = run(scenario, 1, &control_module).expect("it runs");
+        assert!(report.broken.is_none(), "{}", report_page::text(&report));
         report.seconds[8..10].iter().map(|s| s.inside_in_time).sum::<u64>()
     };
     let (with, without) = (silent(&with), silent(&without));
--- a/crates/sim/tests/oracles.rs
+++ b/crates/sim/tests/oracles.rs
@@ -1,9 +1,9 @@
 //! The oracles see each rule broken by a mind that breaks it, and a failing scenario shrinks.
 
 use frostvale::{Action, AttemptResult, Control, Event, Health, RefusalReason, Request, Settings};
-use frostvale_sim::scenario::{Fault, Kind, Repeat};
+use frostvale_sim::scenario::{Fault, FaultKind, Repeat};
 use frostvale_sim::shrink::shrink;
-use frostvale_sim::{Mind, Report, Scenario, real, run};
+use frostvale_sim::{DecisionModule, Report, Scenario, control_module, run};
 
 /// A real mind whose events and actions pass through somebody's hands.
 struct Between<E, A> {
@@ -12,7 +12,7 @@
     actions: A,
 }
 
-impl<E: FnMut(&mut Event), A: FnMut(Vec<Action>) -> Vec<Action>> Mind for Between<E, A> {
+impl<E: FnMut(&mut Event), A: FnMut(Vec<Action>) -> Vec<Action>> DecisionModule for Between<E, A> {
     fn handle(&mut self, now: f64, mut event: Event) -> Vec<Action> {
         (self.events)(&mut event);
         (self.actions)(self.mind.handle(now, event))
@@ -29,7 +29,7 @@
     E: FnMut(&mut Event) + 'static,
     A: FnMut(Vec<Action>) -> Vec<Action> + 'static,
 {
-    let make = |mut s: Settings, seed: u64| -> Result<Box<dyn Mind>, String> {
+    let make = |mut s: Settings, seed: u64| -> Result<Box<dyn DecisionModule>, String> {
         settings(&mut s);
         let mind = Control::new(s, seed).map_err(|e| e.to_string())?;
         Ok(Box::new(Between { mind, events: events(), actions: actions() }))
@@ -45,7 +45,7 @@
     Scenario { seconds: 20.0, faults: faults.to_vec(), ..Scenario::default() }
 }
 
-fn fault(kind: Kind, at_s: f64, for_s: f64, part: f64) -> Fault {
+fn fault(kind: FaultKind, at_s: f64, for_s: f64, part: f64) -> Fault {
     Fault { kind, at_s, for_s, part, times: 1.0, count: 1, zone: 0 }
 }
 
@@ -89,7 +89,7 @@
 /// Said to be safe, it is sent on again wherever there is room: it takes effect in two racks.
 #[test]
 fn a_repeat_outside_its_rack_is_seen() {
-    let faults = [fault(Kind::Errors, 2.0, 10.0, 0.5)];
+    let faults = [fault(FaultKind::Errors, 2.0, 10.0, 0.5)];
     let report = broken(
         &day(&faults),
         |s| s.classes.iter_mut().for_each(|c| c.effect = frostvale::Effect::Safe),
@@ -101,7 +101,7 @@
 
 #[test]
 fn refusing_what_may_have_run_is_seen() {
-    let mut scenario = day(&[fault(Kind::Silent, 2.0, 10.0, 0.5)]);
+    let mut scenario = day(&[fault(FaultKind::Silent, 2.0, 10.0, 0.5)]);
     scenario.classes[1].repeat = Repeat::Once;
     scenario.classes[1].window_ms = 0.0;
     let kindly = |all: Vec<Action>| {
@@ -125,7 +125,7 @@
 
 #[test]
 fn work_for_a_draining_server_is_seen() {
-    let scenario = day(&[fault(Kind::Replace, 2.0, 5.0, 0.3)]);
+    let scenario = day(&[fault(FaultKind::Replace, 2.0, 5.0, 0.3)]);
     assert_eq!(rule(&broken(&scenario, |_| {}, || deaf_to_drains, || |all| all)), "drain");
 }
 
@@ -134,7 +134,7 @@
     listed: bool,
 }
 
-impl Mind for Floods {
+impl DecisionModule for Floods {
     fn handle(&mut self, _: f64, event: Event) -> Vec<Action> {
         match event {
             Event::EndpointUpdate { servers, .. } => {
@@ -162,12 +162,12 @@
 
 #[test]
 fn a_cold_server_that_is_pushed_over_is_seen() {
-    let mut scenario = day(&[fault(Kind::Crash, 2.0, 3.0, 1.0)]);
+    let mut scenario = day(&[fault(FaultKind::Crash, 2.0, 3.0, 1.0)]);
     scenario.classes.truncate(1);
     (scenario.load.rate, scenario.servers.queue) = (300.0, 400);
-    let floods = |_, _| -> Result<Box<dyn Mind>, String> { Ok(Box::new(Floods { listed: false })) };
+    let floods = |_, _| -> Result<Box<dyn DecisionModule>, String> { Ok(Box::new(Floods { listed: false })) };
     assert_eq!(rule(&run(&scenario, 1, &floods).expect("it runs")), "cold");
-    assert_eq!(rule(&run(&scenario, 1, &real).expect("it runs")), "none");
+    assert_eq!(rule(&run(&scenario, 1, &control_module).expect("it runs")), "none");
 }
 
 #[test]
@@ -179,18 +179,18 @@
         s.plans.iter_mut().for_each(|p| (p.ceiling_rate, p.rate) = (0.0, 0.0));
     };
     assert_eq!(rule(&broken(&scenario, unheld, || pass, || |all| all)), "ceiling");
-    let report = run(&scenario, 1, &real).expect("it runs");
+    let report = run(&scenario, 1, &control_module).expect("it runs");
     assert_eq!(rule(&report), "none");
 }
 
 #[test]
 fn a_failing_day_shrinks_to_a_few_servers_and_seconds_and_fails_in_the_same_way() {
     let scenario = day(&[
-        fault(Kind::NoteLoss, 1.0, 5.0, 0.2),
-        fault(Kind::Replace, 4.0, 5.0, 0.3),
-        fault(Kind::Slow, 9.0, 5.0, 0.3),
+        fault(FaultKind::NoteLoss, 1.0, 5.0, 0.2),
+        fault(FaultKind::Replace, 4.0, 5.0, 0.3),
+        fault(FaultKind::Slow, 9.0, 5.0, 0.3),
     ]);
-    let deaf = |s: Settings, seed: u64| -> Result<Box<dyn Mind>, String> {
+    let deaf = |s: Settings, seed: u64| -> Result<Box<dyn DecisionModule>, String> {
         let mind = Control::new(s, seed).map_err(|e| e.to_string())?;
         Ok(Box::new(Between { mind, events: deaf_to_drains, actions: |all| all }))
     };
@@ -202,5 +202,5 @@
     // As it would be read from its file.
     let read = Scenario::parse(&s.write().expect("TOML")).expect("sound");
     assert_eq!(rule(&run(&read, small.seed, &deaf).expect("it runs")), "drain");
-    assert!(shrink(&scenario, 1, &real).is_err(), "what holds does not shrink");
+    assert!(shrink(&scenario, 1, &control_module).is_err(), "what holds does not shrink");
 }
--- a/crates/standin/src/load.rs
+++ b/crates/standin/src/client.rs
@@ -1,6 +1,6 @@
 //! Clients: RESP2 requests through gatekeepers and rate limit calls through the agent.
 
-use crate::resp::{Answer, Conn, command};
+use crate::resp::{Answer, RespConnection, command};
 use frostvale_proto::envoy::extensions::common::ratelimit::v3::RateLimitDescriptor;
 use frostvale_proto::envoy::extensions::common::ratelimit::v3::rate_limit_descriptor::Entry;
 use frostvale_proto::envoy::service::ratelimit::v3::RateLimitRequest;
@@ -29,7 +29,7 @@
 
 /// An id that was never used before, in this process or, most likely, another.
 #[must_use]
-pub fn fresh_id() -> String {
+pub fn unique_id() -> String {
     static NEXT: AtomicU64 = AtomicU64::new(0);
     let base = u64::from(std::process::id()) << 40 ^ crate::clock::unix_ms() << 20;
     format!("{:016x}", base.wrapping_add(NEXT.fetch_add(1, Ordering::Relaxed)))
@@ -39,23 +39,23 @@
 ///
 /// # Errors
 /// As the connection says.
-pub async fn ask(
-    conn: &mut Conn,
+pub async fn send_request(
+    conn: &mut RespConnection,
     shop: &Shop,
     class: &str,
     key: Option<&str>,
     units: u32,
     wait: Duration,
 ) -> io::Result<Answer> {
-    try_ask(conn, shop, class, key, units, wait, false).await
+    send_attempt(conn, shop, class, key, units, wait, false).await
 }
 
 /// One try of a request. A client's own repeat is marked as such.
 ///
 /// # Errors
 /// As the connection says.
-pub async fn try_ask(
-    conn: &mut Conn,
+pub async fn send_attempt(
+    conn: &mut RespConnection,
     shop: &Shop,
     class: &str,
     key: Option<&str>,
@@ -63,7 +63,7 @@
     wait: Duration,
     repeat: bool,
 ) -> io::Result<Answer> {
-    let (id, d) = (fresh_id(), wait.as_millis());
+    let (id, d) = (unique_id(), wait.as_millis());
     let key = key.map_or(String::new(), |k| format!("k={k},"));
     let fields = format!(
         "c={class},t={},d={d},{key}units={units},spread={},first={}{}",
@@ -78,7 +78,7 @@
         parts.push(b"MIX");
     }
     conn.write.write_all(&command(&parts)).await?;
-    timeout(wait + Duration::from_secs(1), conn.answer()).await.map_err(|_| io::ErrorKind::TimedOut)?
+    timeout(wait + Duration::from_secs(1), conn.read_answer()).await.map_err(|_| io::ErrorKind::TimedOut)?
 }
 
 /// A client of a rate limit service. Connects at the first call.
@@ -92,7 +92,7 @@
 
 /// A call with one descriptor.
 #[must_use]
-pub fn call(shop: &Shop, set: bool, units: u32) -> RateLimitRequest {
+pub fn rate_limit_call(shop: &Shop, set: bool, units: u32) -> RateLimitRequest {
     let entry = |key: &str, value: String| Entry { key: key.into(), value };
     let mut entries = vec![entry("shop", shop.id.clone()), entry("plan", shop.plan.clone())];
     if set {
@@ -107,23 +107,23 @@
 }
 
 /// Connections to one gatekeeper that wait for their next request.
-pub struct Pool {
+pub struct ClientPool {
     at: SocketAddr,
-    idle: Mutex<Vec<Conn>>,
+    idle: Mutex<Vec<RespConnection>>,
 }
 
-impl Pool {
+impl ClientPool {
     /// An empty one.
     #[must_use]
-    pub fn new(at: SocketAddr) -> Pool {
-        Pool { at, idle: Mutex::default() }
+    pub fn new(at: SocketAddr) -> ClientPool {
+        ClientPool { at, idle: Mutex::default() }
     }
 
     /// One request, on an idle connection or a new one. An idle one that has been closed meanwhile costs nothing.
     ///
     /// # Errors
     /// As the connection says.
-    pub async fn ask(
+    pub async fn send_request(
         &self,
         shop: &Shop,
         class: &str,
@@ -131,14 +131,14 @@
         units: u32,
         wait: Duration,
     ) -> io::Result<Answer> {
-        self.try_ask(shop, class, key, units, wait, false).await
+        self.send_attempt(shop, class, key, units, wait, false).await
     }
 
     /// The same, where it may be a client's own repeat.
     ///
     /// # Errors
     /// As the connection says.
-    pub async fn try_ask(
+    pub async fn send_attempt(
         &self,
         shop: &Shop,
         class: &str,
@@ -150,13 +150,13 @@
         let idle = || self.idle.lock().unwrap_or_else(PoisonError::into_inner);
         let old = idle().pop();
         if let Some(mut conn) = old
-            && let Ok(answer) = try_ask(&mut conn, shop, class, key, units, wait, repeat).await
+            && let Ok(answer) = send_attempt(&mut conn, shop, class, key, units, wait, repeat).await
         {
             idle().push(conn);
             return Ok(answer);
         }
-        let mut conn = Conn::connect(self.at).await?;
-        let answer = try_ask(&mut conn, shop, class, key, units, wait, repeat).await?;
+        let mut conn = RespConnection::connect(self.at).await?;
+        let answer = send_attempt(&mut conn, shop, class, key, units, wait, repeat).await?;
         idle().push(conn);
         Ok(answer)
     }
--- a/crates/standin/src/counter.rs
+++ b/crates/standin/src/counter.rs
@@ -14,7 +14,7 @@
 /// What it does wrong.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[repr(u8)]
-pub enum Fault {
+pub enum CounterFault {
     /// Nothing.
     None,
     /// It turns all away.
@@ -33,25 +33,25 @@
 }
 
 /// A running counter. Ends when dropped.
-pub struct Counter {
+pub struct SharedCounter {
     /// Where it listens.
     pub at: SocketAddr,
     state: Arc<State>,
     task: JoinHandle<()>,
 }
 
-impl Drop for Counter {
+impl Drop for SharedCounter {
     fn drop(&mut self) {
         self.task.abort();
     }
 }
 
-impl Counter {
+impl SharedCounter {
     /// Starts one at a free port, with nothing counted.
     ///
     /// # Errors
     /// When it can't listen.
-    pub async fn start(ip: IpAddr) -> std::io::Result<Counter> {
+    pub async fn start(ip: IpAddr) -> std::io::Result<SharedCounter> {
         let listener = TcpListener::bind((ip, 0)).await?;
         let at = listener.local_addr()?;
         let state = Arc::new(State::default());
@@ -61,11 +61,11 @@
                 tokio::spawn(talk(stream, shared.clone()));
             }
         });
-        Ok(Counter { at, state, task })
+        Ok(SharedCounter { at, state, task })
     }
 
     /// Sets what it does wrong.
-    pub fn fault(&self, fault: Fault) {
+    pub fn set_fault(&self, fault: CounterFault) {
         self.state.fault.store(fault as u8, Ordering::Relaxed);
     }
 
@@ -81,7 +81,7 @@
     fn call(&self, method: &str, target: &str) -> Option<(u16, String)> {
         self.calls.fetch_add(1, Ordering::Relaxed);
         let fault = self.fault.load(Ordering::Relaxed);
-        if fault == Fault::Unavailable as u8 {
+        if fault == CounterFault::Unavailable as u8 {
             return Some((503, String::new()));
         }
         let bad = || Some((400, String::new()));
@@ -103,8 +103,8 @@
         *total += add;
         let total = *total;
         match fault {
-            f if f == Fault::Silent as u8 => None,
-            f if f == Fault::Noise as u8 => Some((200, "#!".into())),
+            f if f == CounterFault::Silent as u8 => None,
+            f if f == CounterFault::Noise as u8 => Some((200, "#!".into())),
             _ => Some((200, total.to_string())),
         }
     }
--- a/crates/standin/src/discovery.rs
+++ b/crates/standin/src/discovery.rs
@@ -99,7 +99,7 @@
     }
 
     /// Takes a server off the list.
-    pub fn gone(&self, uid: &str) {
+    pub fn remove(&self, uid: &str) {
         self.change(uid, None);
     }
 
@@ -136,7 +136,7 @@
     }
 
     /// Has it say nothing any more, or speak again.
-    pub fn silent(&self, silent: bool) {
+    pub fn set_silent(&self, silent: bool) {
         self.list.send_modify(|list| list.silent = silent);
     }
 }
--- a/crates/standin/src/fleet.rs
+++ b/crates/standin/src/fleet.rs
@@ -3,13 +3,13 @@
 
 pub mod check;
 pub mod faults;
-pub mod paced;
-pub mod places;
+pub mod paced_load;
+pub mod zone_faults;
 
-use crate::gate::{Gate, Way};
+use crate::local_cluster::{self, LocalCluster, Process, program};
 use crate::ports::free_port;
 use crate::postgres::{Login, Postgres};
-use crate::town::{self, Process, Town, program};
+use crate::proxy::{Proxy, ProxyMode};
 use rusqlite::Connection;
 use std::collections::BTreeMap;
 use std::fs;
@@ -23,9 +23,9 @@
 
 /// What a fleet is to be.
 #[derive(Clone)]
-pub struct Plan {
+pub struct FleetOptions {
     /// Gatekeepers, formula servers and what they are told.
-    pub town: town::Plan,
+    pub cluster: local_cluster::ClusterOptions,
     /// Agents.
     pub agents: usize,
     /// How many of them vote; the others follow.
@@ -39,29 +39,34 @@
     /// How long after a step of theirs the next one begins, in ms.
     pub pause_ms: u64,
     /// More lines for an agent's `[drill]` section, by its number.
-    pub drill_extra: BTreeMap<usize, String>,
+    pub drill_settings: BTreeMap<usize, String>,
     /// Whether there is a database that all share.
     pub record: bool,
     /// Whether use by day is exported, to one folder that all share.
     pub export: bool,
     /// More sections for each agent's file.
-    pub agent_extra: String,
+    pub agent_settings: String,
 }
 
-impl Default for Plan {
+impl Default for FleetOptions {
     fn default() -> Self {
-        Plan {
-            town: town::Plan { gatekeepers: 3, servers: 3, agent: false, ..town::Plan::default() },
+        FleetOptions {
+            cluster: local_cluster::ClusterOptions {
+                gatekeepers: 3,
+                servers: 3,
+                agent: false,
+                ..local_cluster::ClusterOptions::default()
+            },
             agents: 3,
             voters: 3,
             zones: 3,
             lease_ms: 1000,
             drills: 3,
             pause_ms: 50,
-            drill_extra: BTreeMap::new(),
+            drill_settings: BTreeMap::new(),
             record: true,
             export: false,
-            agent_extra: String::new(),
+            agent_settings: String::new(),
         }
     }
 }
@@ -87,22 +92,22 @@
 /// A running fleet. All of it ends with it.
 pub struct Fleet {
     /// Gatekeepers, formula servers, discovery, counter.
-    pub town: Town,
+    pub cluster: LocalCluster,
     /// The agents.
     pub agents: Vec<Agent>,
     /// The database while it runs.
     pub db: Option<Postgres>,
     db_at: Option<SocketAddr>,
     /// Ways from one agent to another.
-    ways: BTreeMap<(usize, usize), Gate>,
-    db_ways: Vec<Gate>,
-    link_ways: Vec<Gate>,
-    plan: Plan,
+    ways: BTreeMap<(usize, usize), Proxy>,
+    db_ways: Vec<Proxy>,
+    link_ways: Vec<Proxy>,
+    plan: FleetOptions,
 }
 
 /// An effect that a resource has taken.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Touch {
+pub struct Effect {
     /// Of which duty.
     pub duty: String,
     /// Under which epoch.
@@ -118,22 +123,23 @@
     ///
     /// # Errors
     /// With what did not start.
-    pub async fn start(plan: Plan) -> Result<Fleet, String> {
-        let mut town_plan = plan.town.clone();
+    pub async fn start(plan: FleetOptions) -> Result<Fleet, String> {
+        let mut town_plan = plan.cluster.clone();
         town_plan.agent = false;
-        if plan.record && !town_plan.gatekeeper_extra.contains("[usage]") {
-            town_plan.gatekeeper_extra.push_str("[usage]\nreport_ms = 100\n");
+        if plan.record && !town_plan.gatekeeper_settings.contains("[usage]") {
+            town_plan.gatekeeper_settings.push_str("[usage]\nreport_ms = 100\n");
         }
-        let town = Town::start(town_plan).await?;
+        let cluster = LocalCluster::start(town_plan).await?;
         let (db, db_at) = if plan.record {
-            let db = Postgres::start(town.ip, &town.folder.join("pg.db"), PASSWORD, Login::Scram).await?;
+            let db =
+                Postgres::start(cluster.ip, &cluster.folder.join("pg.db"), PASSWORD, Login::Scram).await?;
             let at = db.at;
             (Some(db), Some(at))
         } else {
             (None, None)
         };
         let mut fleet = Fleet {
-            town,
+            cluster,
             agents: Vec::new(),
             db,
             db_at,
@@ -144,11 +150,11 @@
         };
         fleet.lay_ways().await?;
         for k in 0..fleet.agents.len() {
-            fleet.spawn(k).await?;
+            fleet.start_agent(k).await?;
         }
         for k in 0..fleet.agents.len() {
             if let Some(process) = &mut fleet.agents[k].process {
-                process.says("leads the council").await?;
+                process.wait_for_log("leads the council").await?;
             }
         }
         fleet.watch_fences().await?;
@@ -156,7 +162,7 @@
     }
 
     fn ip(&self) -> IpAddr {
-        self.town.ip
+        self.cluster.ip
     }
 
     async fn lay_ways(&mut self) -> Result<(), String> {
@@ -165,7 +171,7 @@
         for k in 0..self.plan.agents {
             let name = format!("a{}", k + 1);
             let at = SocketAddr::new(ip, free_port(ip)?);
-            let folder = &self.town.folder;
+            let folder = &self.cluster.folder;
             self.agents.push(Agent {
                 zone: k % self.plan.zones.max(1),
                 at,
@@ -178,36 +184,36 @@
         }
         if let Some(at) = self.db_at {
             for _ in 0..self.plan.agents {
-                self.db_ways.push(Gate::tcp(ip, at).await.map_err(gate)?.0);
+                self.db_ways.push(Proxy::tcp(ip, at).await.map_err(gate)?.0);
             }
         }
-        for (k, g) in self.town.gatekeepers.iter().enumerate() {
-            let near = self.town.folder.join(format!("{}.link", g.name));
-            self.link_ways.push(Gate::unix(&near, g.socket.clone()).map_err(gate)?);
+        for (k, g) in self.cluster.gatekeepers.iter().enumerate() {
+            let near = self.cluster.folder.join(format!("{}.link", g.name));
+            self.link_ways.push(Proxy::unix(&near, g.socket.clone()).map_err(gate)?);
             debug_assert_eq!(self.link_ways.len(), k + 1);
         }
         Ok(())
     }
 
     /// Other lines for an agent's `[drill]` section, from its next start on.
-    pub fn drill(&mut self, agent: usize, extra: &str) {
-        self.plan.drill_extra.insert(agent, extra.to_string());
+    pub fn set_drill(&mut self, agent: usize, extra: &str) {
+        self.plan.drill_settings.insert(agent, extra.to_string());
     }
 
     /// The gatekeepers of an agent, by number.
     #[must_use]
     pub fn gatekeepers_of(&self, agent: usize) -> Vec<usize> {
-        (0..self.town.gatekeepers.len()).filter(|k| k % self.plan.agents == agent).collect()
+        (0..self.cluster.gatekeepers.len()).filter(|k| k % self.plan.agents == agent).collect()
     }
 
     fn write(&self, k: usize) -> Result<(), String> {
         let Agent { name, at, control, file, config, .. } = &self.agents[k];
         let show = |path: &std::path::Path| format!("{:?}", path.display().to_string());
-        let folder = &self.town.folder;
+        let folder = &self.cluster.folder;
         let mut text =
             format!("name = {name:?}\n[control]\nsocket = {}\n[rls]\nlisten = \"{at}\"\n", show(control));
         for g in self.gatekeepers_of(k) {
-            let g = &self.town.gatekeepers[g].name;
+            let g = &self.cluster.gatekeepers[g].name;
             let socket = show(&folder.join(format!("{g}.link")));
             text.push_str(&format!("[[gatekeepers]]\nname = {g:?}\nsocket = {socket}\n"));
         }
@@ -217,7 +223,7 @@
             text.push_str(&format!(
                 "[record]\nurl = \"postgres://agent@{}/frostvale\"\npassword_file = {}\nspool = {}\npoll_ms = 100\n\
                  connect_ms = 500\nstatement_ms = 1000\n",
-                gate.at(),
+                gate.address(),
                 show(&password),
                 show(&folder.join(format!("{name}.spool")))
             ));
@@ -226,8 +232,8 @@
         if self.plan.export {
             text.push_str(&format!("export = {}\n", show(&self.export())));
         }
-        let extra = self.plan.drill_extra.get(&k).map_or("", String::as_str);
-        text.push_str(&self.plan.agent_extra);
+        let extra = self.plan.drill_settings.get(&k).map_or("", String::as_str);
+        text.push_str(&self.plan.agent_settings);
         text.push_str(&format!(
             "[drill]\nduties = {}\npause_ms = {}\n{extra}\n",
             self.plan.drills, self.plan.pause_ms
@@ -245,7 +251,7 @@
         let via = self.ways.iter().filter(|((from, _), _)| *from == k);
         text.push_str("[council.via]\n");
         for ((_, to), gate) in via {
-            text.push_str(&format!("{} = \"{}\"\n", self.agents[*to].name, gate.at()));
+            text.push_str(&format!("{} = \"{}\"\n", self.agents[*to].name, gate.address()));
         }
         fs::write(config, text).map_err(|e| format!("{}: {e}", config.display()))
     }
@@ -254,12 +260,12 @@
     ///
     /// # Errors
     /// When it does not start.
-    pub async fn spawn(&mut self, k: usize) -> Result<(), String> {
+    pub async fn start_agent(&mut self, k: usize) -> Result<(), String> {
         let ip = self.ip();
         let voters = self.plan.voters;
         for j in 0..voters {
             if j != k && !self.ways.contains_key(&(k, j)) {
-                let made = Gate::tcp(ip, self.agents[j].at).await;
+                let made = Proxy::tcp(ip, self.agents[j].at).await;
                 let (gate, _) = made.map_err(|e| format!("a gate cannot listen at {ip}: {e}"))?;
                 self.ways.insert((k, j), gate);
             }
@@ -268,9 +274,9 @@
         let agent = &self.agents[k];
         let mut command = Command::new(program("frostagent")?);
         command.arg("--config").arg(&agent.config).arg("--log-format").arg("json");
-        let log = self.town.folder.join(format!("{}.log", agent.name));
+        let log = self.cluster.folder.join(format!("{}.log", agent.name));
         let mut process = Process::start(&agent.name, command, &log).await?;
-        process.says("serves rate limits at").await?;
+        process.wait_for_log("serves rate limits at").await?;
         self.agents[k].process = Some(process);
         Ok(())
     }
@@ -301,7 +307,7 @@
     }
 
     fn file(&self) -> Result<Connection, String> {
-        let c = Connection::open(self.town.folder.join("pg.db")).map_err(|e| e.to_string())?;
+        let c = Connection::open(self.cluster.folder.join("pg.db")).map_err(|e| e.to_string())?;
         c.busy_timeout(Duration::from_secs(5)).map_err(|e| e.to_string())?;
         Ok(c)
     }
@@ -309,20 +315,20 @@
     /// Where use by day is exported.
     #[must_use]
     pub fn export(&self) -> PathBuf {
-        self.town.folder.join("export")
+        self.cluster.folder.join("export")
     }
 
     /// Every effect that the record has taken, in order.
     ///
     /// # Errors
     /// When it can't be read.
-    pub fn touches(&self) -> Result<Vec<Touch>, String> {
+    pub fn effects(&self) -> Result<Vec<Effect>, String> {
         let c = self.file()?;
         let mut rows = c
             .prepare("SELECT duty, epoch, owner, at_ms FROM touches ORDER BY at")
             .map_err(|e| e.to_string())?;
         let one = |r: &rusqlite::Row<'_>| {
-            Ok(Touch {
+            Ok(Effect {
                 duty: r.get(0)?,
                 epoch: r.get::<_, i64>(1)?.unsigned_abs(),
                 owner: r.get(2)?,
@@ -335,14 +341,14 @@
 
     /// What stands for a duty: the last effect that the record took.
     #[must_use]
-    pub fn stands(&self, duty: &str) -> Option<Touch> {
-        self.touches().ok()?.into_iter().rev().find(|t| t.duty == duty)
+    pub fn last_effect(&self, duty: &str) -> Option<Effect> {
+        self.effects().ok()?.into_iter().rev().find(|t| t.duty == duty)
     }
 
     /// The number of the agent that owns a duty, by its last effect.
     #[must_use]
     pub fn owner(&self, duty: &str) -> Option<usize> {
-        let touch = self.stands(duty)?;
+        let touch = self.last_effect(duty)?;
         let name = touch.owner.split('#').next()?.to_string();
         self.agents.iter().position(|a| a.name == name)
     }
@@ -351,7 +357,7 @@
     ///
     /// # Errors
     /// When it never is.
-    pub async fn until(&self, what: &str, is: impl Fn(&Fleet) -> bool) -> Result<(), String> {
+    pub async fn wait_until(&self, what: &str, is: impl Fn(&Fleet) -> bool) -> Result<(), String> {
         let until = Instant::now() + Duration::from_secs(30);
         while !is(self) {
             if Instant::now() > until {
@@ -378,7 +384,7 @@
 
     /// What passes between an agent and the others of the council: in both directions, or only what it sends, or only what
     /// it is sent.
-    pub fn council_way(&self, agent: usize, sends: bool, is_sent: bool) {
+    pub fn set_council_links(&self, agent: usize, sends: bool, is_sent: bool) {
         for ((from, to), gate) in &self.ways {
             // Up are questions of `from`, down the answers of `to`.
             let (up, down) = match (*from == agent, *to == agent) {
@@ -386,11 +392,11 @@
                 (_, true) => (is_sent, sends),
                 _ => continue,
             };
-            gate.set(match (up, down) {
-                (true, true) => Way::Open,
-                (true, false) => Way::HeldDown,
-                (false, true) => Way::HeldUp,
-                (false, false) => Way::Held,
+            gate.set_mode(match (up, down) {
+                (true, true) => ProxyMode::Forward,
+                (true, false) => ProxyMode::HoldDownstream,
+                (false, true) => ProxyMode::HoldUpstream,
+                (false, false) => ProxyMode::Hold,
             });
         }
     }
@@ -398,19 +404,19 @@
     /// Bytes that agents have sent to others of the council, as questions and to voters.
     #[must_use]
     pub fn council_bytes(&self) -> u64 {
-        self.ways.values().map(Gate::passed).sum()
+        self.ways.values().map(Proxy::forwarded_bytes).sum()
     }
 
     /// What passes between an agent and the database.
-    pub fn db_way(&self, agent: usize, way: Way) {
+    pub fn set_db_mode(&self, agent: usize, way: ProxyMode) {
         if let Some(gate) = self.db_ways.get(agent) {
-            gate.set(way);
+            gate.set_mode(way);
         }
     }
 
     /// What passes between an agent and a gatekeeper of its.
-    pub fn link_way(&self, gatekeeper: usize, way: Way) {
-        self.link_ways[gatekeeper].set(way);
+    pub fn set_link_mode(&self, gatekeeper: usize, way: ProxyMode) {
+        self.link_ways[gatekeeper].set_mode(way);
     }
 
     /// Kills the database.
@@ -426,11 +432,11 @@
     /// When it does not start.
     pub async fn start_db(&mut self, copy: Option<&std::path::Path>) -> Result<(), String> {
         let Some(at) = self.db_at else { return Err("there is no database".into()) };
-        let file = self.town.folder.join("pg.db");
+        let file = self.cluster.folder.join("pg.db");
         if let Some(copy) = copy {
             // The file itself too: a connection of the killed server that ends late must not write into the copy.
             for ending in ["", "-wal", "-shm"] {
-                let _ = fs::remove_file(self.town.folder.join(format!("pg.db{ending}")));
+                let _ = fs::remove_file(self.cluster.folder.join(format!("pg.db{ending}")));
             }
             fs::copy(copy, &file).map_err(|e| format!("{}: {e}", copy.display()))?;
         }
@@ -443,7 +449,7 @@
     /// # Errors
     /// When that can't be done.
     pub fn copy_db(&self) -> Result<PathBuf, String> {
-        let to = self.town.folder.join("pg.copy");
+        let to = self.cluster.folder.join("pg.copy");
         let _ = fs::remove_file(&to);
         self.file()?.execute("VACUUM INTO ?1", [to.display().to_string()]).map_err(|e| e.to_string())?;
         Ok(to)
@@ -453,14 +459,14 @@
     ///
     /// # Errors
     /// When it can't be done.
-    pub fn tamper(&self, sql: &str) -> Result<usize, String> {
+    pub fn execute_sql(&self, sql: &str) -> Result<usize, String> {
         self.file()?.execute(sql, []).map_err(|e| e.to_string())
     }
 
     /// Where the record is for a test that reads it: the address past all gates, and the password's file.
     #[must_use]
     pub fn record(&self) -> Option<(SocketAddr, PathBuf)> {
-        Some((self.db_at?, self.town.folder.join("password")))
+        Some((self.db_at?, self.cluster.folder.join("password")))
     }
 
     /// Ends all in order: gatekeepers, then agents.
@@ -468,7 +474,7 @@
         for a in 0..self.agents.len() {
             self.signal(a, "CONT").await;
         }
-        self.town.stop().await;
+        self.cluster.stop().await;
         for agent in &self.agents {
             if let Some(process) = &agent.process {
                 process.signal("TERM").await;
--- a/crates/standin/src/fleet/check.rs
+++ b/crates/standin/src/fleet/check.rs
@@ -1,14 +1,14 @@
 //! What must hold of a fleet's effects, whatever was done to it: over what the record took, in order.
 
-use super::Touch;
+use super::Effect;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Epochs only grow at the resource, and each is one owner's.
 ///
 /// # Errors
 /// With the first effect that breaks it.
-pub fn epochs_in_order(touches: &[Touch]) -> Result<(), String> {
-    let mut last: BTreeMap<&str, &Touch> = BTreeMap::new();
+pub fn epochs_in_order(touches: &[Effect]) -> Result<(), String> {
+    let mut last: BTreeMap<&str, &Effect> = BTreeMap::new();
     let mut owners: BTreeMap<(&str, u64), &str> = BTreeMap::new();
     for touch in touches {
         if let Some(before) = last.insert(&touch.duty, touch)
@@ -28,7 +28,7 @@
 ///
 /// # Errors
 /// With the first that was.
-pub fn epochs_once(touches: &[Touch]) -> Result<(), String> {
+pub fn epochs_once(touches: &[Effect]) -> Result<(), String> {
     let mut of: BTreeMap<u64, (&str, &str)> = BTreeMap::new();
     for touch in touches {
         let who = (touch.duty.as_str(), touch.owner.as_str());
@@ -44,7 +44,7 @@
 ///
 /// # Errors
 /// With the owner that came back between.
-pub fn no_overlap(touches: &[Touch]) -> Result<(), String> {
+pub fn no_overlap(touches: &[Effect]) -> Result<(), String> {
     let mut now: BTreeMap<&str, (u64, &str)> = BTreeMap::new();
     let mut done: BTreeSet<(&str, u64)> = BTreeSet::new();
     for touch in touches {
@@ -63,7 +63,7 @@
 
 /// The longest time in ms between two effects of a duty, from the first to this instant.
 #[must_use]
-pub fn longest_gap(touches: &[Touch], duty: &str, until_ms: u64) -> u64 {
+pub fn longest_gap(touches: &[Effect], duty: &str, until_ms: u64) -> u64 {
     let times = touches.iter().filter(|t| t.duty == duty).map(|t| t.at_ms).chain([until_ms]);
     let mut last = None;
     let mut longest = 0;
@@ -76,7 +76,7 @@
 
 /// Who owned a duty after whom.
 #[must_use]
-pub fn owners(touches: &[Touch], duty: &str) -> Vec<(u64, String)> {
+pub fn owners(touches: &[Effect], duty: &str) -> Vec<(u64, String)> {
     let mut all: Vec<(u64, String)> = Vec::new();
     for touch in touches.iter().filter(|t| t.duty == duty) {
         let key = (touch.epoch, touch.owner.clone());
@@ -91,8 +91,8 @@
 mod tests {
     use super::*;
 
-    fn touch(duty: &str, epoch: u64, owner: &str, at_ms: u64) -> Touch {
-        Touch { duty: duty.into(), epoch, owner: owner.into(), at_ms }
+    fn touch(duty: &str, epoch: u64, owner: &str, at_ms: u64) -> Effect {
+        Effect { duty: duty.into(), epoch, owner: owner.into(), at_ms }
     }
 
     #[test]
@@ -106,7 +106,7 @@
         assert!(epochs_in_order(&sound).is_ok() && epochs_once(&sound).is_ok() && no_overlap(&sound).is_ok());
         assert_eq!(longest_gap(&sound, "d", 70), 40);
         assert_eq!(owners(&sound, "d").len(), 2);
-        let with = |last: Touch| sound.iter().cloned().chain([last]).collect::<Vec<_>>();
+        let with = |last: Effect| sound.iter().cloned().chain([last]).collect::<Vec<_>>();
         assert!(epochs_in_order(&with(touch("d", 1, "a#1", 70))).is_err());
         assert!(epochs_in_order(&with(touch("d", 3, "c#1", 70))).is_err());
         assert!(epochs_once(&with(touch("e", 3, "b#1", 70))).is_err());
--- a/crates/standin/src/fleet/faults.rs
+++ b/crates/standin/src/fleet/faults.rs
@@ -2,7 +2,7 @@
 //! makes of it hangs on the machine's speed too, so checks ask only for what must hold at any speed.
 
 use super::Fleet;
-use crate::gate::Way;
+use crate::proxy::ProxyMode;
 use std::fmt;
 use std::time::Duration;
 use tokio::time::sleep;
@@ -83,7 +83,7 @@
 ///
 /// # Errors
 /// When something does not start again.
-pub async fn play(fleet: &mut Fleet, fault: &Fault) -> Result<(), String> {
+pub async fn apply(fleet: &mut Fleet, fault: &Fault) -> Result<(), String> {
     let pause = |ms: &u64| sleep(Duration::from_millis(*ms));
     match fault {
         Fault::Stop(a, ms) => {
@@ -94,18 +94,18 @@
         Fault::Kill(a, ms) => {
             fleet.kill(*a).await;
             pause(ms).await;
-            fleet.spawn(*a).await?;
+            fleet.start_agent(*a).await?;
         }
         Fault::NoCouncil(a, ms) | Fault::Mute(a, ms) | Fault::Deaf(a, ms) => {
             let (sends, is_sent) = (matches!(fault, Fault::Deaf(..)), matches!(fault, Fault::Mute(..)));
-            fleet.council_way(*a, sends, is_sent);
+            fleet.set_council_links(*a, sends, is_sent);
             pause(ms).await;
-            fleet.council_way(*a, true, true);
+            fleet.set_council_links(*a, true, true);
         }
         Fault::NoRecord(a, ms) => {
-            fleet.db_way(*a, Way::Held);
+            fleet.set_db_mode(*a, ProxyMode::Hold);
             pause(ms).await;
-            fleet.db_way(*a, Way::Open);
+            fleet.set_db_mode(*a, ProxyMode::Forward);
         }
         Fault::KillDb(ms) => {
             fleet.kill_db().await;
@@ -113,8 +113,8 @@
             fleet.start_db(None).await?;
         }
         Fault::Gatekeeper(k) => {
-            fleet.town.gatekeepers[*k].process.kill().await;
-            fleet.town.restart_gatekeeper(*k).await?;
+            fleet.cluster.gatekeepers[*k].process.kill().await;
+            fleet.cluster.restart_gatekeeper(*k).await?;
         }
         Fault::Quiet(ms) => pause(ms).await,
     }
--- a/crates/standin/src/fleet/paced.rs
+++ b/crates/standin/src/fleet/paced_load.rs
@@ -1,8 +1,8 @@
 //! Load at a steady pace at every gatekeeper, whatever comes of it, and what came of it by zone and time.
 
-use crate::load::{Pool, Shop, fresh_id};
+use crate::client::{ClientPool, Shop, unique_id};
+use crate::local_cluster::LocalCluster;
 use crate::resp::Answer;
-use crate::town::Town;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
@@ -14,7 +14,7 @@
 
 /// What came of one request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Came {
+pub enum RequestOutcome {
     /// Served.
     Served,
     /// Refused, to be tried again.
@@ -25,7 +25,7 @@
 
 /// One request.
 #[derive(Debug, Clone, Copy)]
-pub struct One {
+pub struct PacedResult {
     /// Of which gatekeeper.
     pub gatekeeper: usize,
     /// Whether it was a keyed mix.
@@ -35,28 +35,28 @@
     /// See `at_ms`.
     pub took_ms: u64,
     /// What came of it.
-    pub came: Came,
+    pub outcome: RequestOutcome,
 }
 
 /// Load until it is stopped.
-pub struct Paced {
+pub struct PacedLoad {
     begun: Instant,
     stop: Arc<AtomicBool>,
-    all: Arc<Mutex<Vec<One>>>,
+    all: Arc<Mutex<Vec<PacedResult>>>,
     tasks: Vec<JoinHandle<()>>,
 }
 
-impl Paced {
+impl PacedLoad {
     /// So many requests a second at each gatekeeper, by its number; every `mix`-th of them is a keyed mix.
     #[must_use]
-    pub fn start(town: &Town, rates: &[f64], mix: u64) -> Paced {
+    pub fn start(town: &LocalCluster, rates: &[f64], mix: u64) -> PacedLoad {
         let begun = Instant::now();
         let (stop, all) = (Arc::new(AtomicBool::new(false)), Arc::new(Mutex::new(Vec::new())));
         let one = |k: usize| {
             let (at, rate) = (town.gatekeepers[k].resp, rates[k % rates.len()]);
             let (stop, all) = (stop.clone(), all.clone());
             tokio::spawn(async move {
-                let pool = Arc::new(Pool::new(at));
+                let pool = Arc::new(ClientPool::new(at));
                 let first = u32::try_from(k).unwrap_or(0);
                 let id = format!("{:016x}", 0xa000 + k);
                 let shop = Arc::new(Shop { id, plan: "wide".into(), first, spread: 1 });
@@ -72,24 +72,31 @@
                     let (pool, shop, all) = (pool.clone(), shop.clone(), all.clone());
                     tokio::spawn(async move {
                         let asked = Instant::now();
-                        let key = fresh_id();
+                        let key = unique_id();
                         let answer = match is_mix {
                             true => {
-                                pool.ask(&shop, "mix-record", Some(&key), 1, Duration::from_millis(1500))
-                                    .await
+                                pool.send_request(
+                                    &shop,
+                                    "mix-record",
+                                    Some(&key),
+                                    1,
+                                    Duration::from_millis(1500),
+                                )
+                                .await
                             }
                             false => {
-                                pool.ask(&shop, "formula-read", None, 1, Duration::from_millis(900)).await
+                                pool.send_request(&shop, "formula-read", None, 1, Duration::from_millis(900))
+                                    .await
                             }
                         };
-                        let came = match answer {
-                            Ok(Answer::Served(_)) => Came::Served,
-                            Ok(Answer::Busy(_)) => Came::Refused,
-                            _ => Came::Failed,
+                        let outcome = match answer {
+                            Ok(Answer::Served(_)) => RequestOutcome::Served,
+                            Ok(Answer::Busy(_)) => RequestOutcome::Refused,
+                            _ => RequestOutcome::Failed,
                         };
                         let ms = |d: Duration| u64::try_from(d.as_millis()).unwrap_or(u64::MAX);
                         let (at_ms, took_ms) = (ms(asked - begun), ms(asked.elapsed()));
-                        let one = One { gatekeeper: k, mix: is_mix, at_ms, took_ms, came };
+                        let one = PacedResult { gatekeeper: k, mix: is_mix, at_ms, took_ms, outcome };
                         all.lock().unwrap_or_else(PoisonError::into_inner).push(one);
                         drop(permit);
                     });
@@ -97,7 +104,7 @@
             })
         };
         let tasks = (0..town.gatekeepers.len()).map(one).collect();
-        Paced { begun, stop, all, tasks }
+        PacedLoad { begun, stop, all, tasks }
     }
 
     /// Ms since the start.
@@ -108,20 +115,20 @@
 
     /// What came so far.
     #[must_use]
-    pub fn all(&self) -> Vec<One> {
+    pub fn results(&self) -> Vec<PacedResult> {
         self.all.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
     /// Of what was asked from one time on and before another by those gatekeepers: how many, and how many were served.
     #[must_use]
     pub fn served(&self, from_ms: u64, to_ms: u64, of: impl Fn(usize) -> bool) -> (usize, usize) {
-        let all = self.all();
+        let all = self.results();
         let within = all.iter().filter(|o| (from_ms..to_ms).contains(&o.at_ms) && of(o.gatekeeper));
-        within.fold((0, 0), |(n, s), o| (n + 1, s + usize::from(o.came == Came::Served)))
+        within.fold((0, 0), |(n, s), o| (n + 1, s + usize::from(o.outcome == RequestOutcome::Served)))
     }
 
     /// Ends it, and waits for what is still out.
-    pub async fn stop(self) -> Vec<One> {
+    pub async fn stop(self) -> Vec<PacedResult> {
         self.stop.store(true, Ordering::Relaxed);
         for task in self.tasks {
             let _ = task.await;
--- a/crates/standin/src/formula.rs
+++ b/crates/standin/src/formula_server.rs
@@ -1,7 +1,7 @@
 //! A formula server: it has cores, takes time, books what it ran, and drops the repeats of a keyed mix. It can be
 //! slow, fail, hang, reset, start cold, drain and come back as a new process.
 
-use crate::resp::Conn;
+use crate::resp::RespConnection;
 use std::collections::HashMap;
 use std::net::{IpAddr, SocketAddr};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -15,7 +15,7 @@
 
 /// How a server works.
 #[derive(Debug, Clone)]
-pub struct Options {
+pub struct ServerOptions {
     /// Commands that run at once.
     pub cores: usize,
     /// How long one runs.
@@ -32,9 +32,9 @@
     pub ids: bool,
 }
 
-impl Default for Options {
+impl Default for ServerOptions {
     fn default() -> Self {
-        Options {
+        ServerOptions {
             cores: 2,
             work: Duration::from_millis(8),
             queue: 64,
@@ -48,7 +48,7 @@
 
 /// What it does wrong. All may be changed at any time.
 #[derive(Debug, Default)]
-pub struct Faults {
+pub struct ServerFaults {
     /// Times its work takes, in thousandths; 0 is as usual.
     pub slower_milli: AtomicU64,
     /// So many of a thousand commands fail.
@@ -65,7 +65,7 @@
 
 /// What was run.
 #[derive(Debug, Default, Clone)]
-pub struct Books {
+pub struct ServerLedger {
     /// Commands begun, by id: how often. More than once is a second copy.
     pub runs: HashMap<String, u32>,
     /// Keyed mixes that took effect, by key: how often. More than once is a mix booked twice.
@@ -90,7 +90,7 @@
 }
 
 /// A running formula server. Ends when dropped.
-pub struct Formula {
+pub struct FormulaServer {
     /// Its name in discovery's list.
     pub uid: String,
     /// Where it listens.
@@ -98,8 +98,8 @@
     /// When it started, Unix time in ms; 0 for long ago.
     pub boot_ms: u64,
     /// What it does wrong.
-    pub faults: Arc<Faults>,
-    books: Arc<Mutex<Books>>,
+    pub faults: Arc<ServerFaults>,
+    books: Arc<Mutex<ServerLedger>>,
     state: Arc<State>,
     task: JoinHandle<()>,
     conns: Arc<Mutex<Vec<JoinHandle<()>>>>,
@@ -110,9 +110,9 @@
 }
 
 struct State {
-    options: Options,
-    faults: Arc<Faults>,
-    books: Arc<Mutex<Books>>,
+    options: ServerOptions,
+    faults: Arc<ServerFaults>,
+    books: Arc<Mutex<ServerLedger>>,
     /// Of the rack: when a key first ran.
     keys: Arc<Mutex<HashMap<String, Instant>>>,
     cores: Semaphore,
@@ -125,9 +125,9 @@
 }
 
 /// The keys that a rack remembers together.
-pub type Rack = Arc<Mutex<HashMap<String, Instant>>>;
+pub type SharedKeys = Arc<Mutex<HashMap<String, Instant>>>;
 
-impl Formula {
+impl FormulaServer {
     /// Starts one at a free port. `cold`: it has only now started.
     ///
     /// # Errors
@@ -135,14 +135,15 @@
     pub async fn start(
         uid: &str,
         ip: IpAddr,
-        options: Options,
-        rack: Rack,
+        options: ServerOptions,
+        rack: SharedKeys,
         cold: bool,
-    ) -> std::io::Result<Formula> {
+    ) -> std::io::Result<FormulaServer> {
         let listener = TcpListener::bind((ip, 0)).await?;
         let at = listener.local_addr()?;
         let boot_ms = if cold { crate::clock::unix_ms() } else { 0 };
-        let (faults, books) = (Arc::new(Faults::default()), Arc::new(Mutex::new(Books::default())));
+        let (faults, books) =
+            (Arc::new(ServerFaults::default()), Arc::new(Mutex::new(ServerLedger::default())));
         let state = Arc::new(State {
             cores: Semaphore::new(options.cores),
             options,
@@ -163,8 +164,8 @@
                 let state = state.clone();
                 state.connections.fetch_add(1, Ordering::Relaxed);
                 let conn = tokio::spawn(async move {
-                    let mut conn = Conn::of(stream);
-                    while let Ok(Some(parts)) = conn.command().await {
+                    let mut conn = RespConnection::new(stream);
+                    while let Ok(Some(parts)) = conn.read_command().await {
                         let Some(answer) = state.run(&parts).await else {
                             // Not answered: the connection stays, or is cut.
                             if state.faults.reset.load(Ordering::Relaxed) {
@@ -182,18 +183,18 @@
                 all.push(conn);
             }
         });
-        Ok(Formula { uid: uid.to_string(), at, boot_ms, faults, books, state: own, task, conns })
+        Ok(FormulaServer { uid: uid.to_string(), at, boot_ms, faults, books, state: own, task, conns })
     }
 
     /// What was run so far.
     #[must_use]
-    pub fn books(&self) -> Books {
+    pub fn ledger(&self) -> ServerLedger {
         lock(&self.books).clone()
     }
 
     /// Commands that run or wait, and those that were answered since the start.
     #[must_use]
-    pub fn work(&self) -> (u64, u64) {
+    pub fn work_counts(&self) -> (u64, u64) {
         (self.state.waiting.load(Ordering::Relaxed), self.state.served.load(Ordering::Relaxed))
     }
 
@@ -210,7 +211,7 @@
     }
 }
 
-impl Drop for Formula {
+impl Drop for FormulaServer {
     fn drop(&mut self) {
         self.kill();
     }
--- a/crates/standin/src/town.rs
+++ b/crates/standin/src/local_cluster.rs
@@ -1,13 +1,13 @@
 //! The whole town on one machine: formula servers, discovery and counter as stand-ins in this process, gatekeepers
 //! and an agent as processes of their own. For `frostctl dev` and for tests.
 
-pub mod views;
+pub mod zone_views;
 
-use self::views::{View, target};
-use crate::counter::Counter;
+use self::zone_views::{ZoneView, target};
+use crate::client::Shop;
+use crate::counter::SharedCounter;
 use crate::discovery::Discovery;
-use crate::formula::{Formula, Options, Rack};
-use crate::load::Shop;
+use crate::formula_server::{FormulaServer, ServerOptions, SharedKeys};
 use crate::ports::{self, free_port};
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
@@ -65,19 +65,19 @@
 
 /// What a town is to be.
 #[derive(Clone)]
-pub struct Plan {
+pub struct ClusterOptions {
     /// Gatekeepers, 1 to 100.
     pub gatekeepers: usize,
     /// Formula servers.
     pub servers: usize,
     /// How each works.
-    pub formula: Options,
+    pub formula: ServerOptions,
     /// Plans, as the platform's settings write them; none is the brief's four.
     pub plans: Option<Value>,
     /// For the gatekeepers' own files: the section on an outside service.
-    pub gatekeeper_extra: String,
+    pub gatekeeper_settings: String,
     /// For the agent's file, beside its gatekeepers: sections of their own.
-    pub agent_extra: String,
+    pub agent_settings: String,
     /// The agent's rate limit section, without its listener.
     pub rls: String,
     /// Whether an agent is started.
@@ -98,15 +98,15 @@
     pub log_format: String,
 }
 
-impl Default for Plan {
+impl Default for ClusterOptions {
     fn default() -> Self {
-        Plan {
+        ClusterOptions {
             gatekeepers: 3,
             servers: 9,
-            formula: Options::default(),
+            formula: ServerOptions::default(),
             plans: None,
-            gatekeeper_extra: String::new(),
-            agent_extra: String::new(),
+            gatekeeper_settings: String::new(),
+            agent_settings: String::new(),
             rls: String::new(),
             agent: true,
             views: false,
@@ -122,7 +122,7 @@
 
 /// The brief's four plans.
 #[must_use]
-pub fn brief_plans() -> Value {
+pub fn example_plans() -> Value {
     json!([
         {"Name": "basico", "UnitsPerS": 1.4, "PeakUnits": 6.0, "ValueFactor": 0.45, "OverCost": 0.5},
         {"Name": "tienda", "UnitsPerS": 3.2, "PeakUnits": 12.0, "ValueFactor": 0.8, "OverCost": 1.2},
@@ -194,15 +194,15 @@
     ///
     /// # Errors
     /// When that takes too long, or it ends before.
-    pub async fn says(&mut self, text: &str) -> Result<String, String> {
-        self.says_times(text, 1).await
+    pub async fn wait_for_log(&mut self, text: &str) -> Result<String, String> {
+        self.wait_for_log_times(text, 1).await
     }
 
     /// Waits until so many lines of its log hold this text, and gives the last of them.
     ///
     /// # Errors
     /// When that takes too long, or it ends before.
-    pub async fn says_times(&mut self, text: &str, times: usize) -> Result<String, String> {
+    pub async fn wait_for_log_times(&mut self, text: &str, times: usize) -> Result<String, String> {
         let until = tokio::time::Instant::now() + START;
         loop {
             let _ = self.lines.borrow_and_update();
@@ -243,7 +243,7 @@
     }
 
     /// Waits until it has ended.
-    pub async fn ended(&mut self) -> Option<ExitStatus> {
+    pub async fn wait(&mut self) -> Option<ExitStatus> {
         self.child.wait().await.ok()
     }
 
@@ -286,31 +286,31 @@
     /// Its configuration.
     pub config: PathBuf,
     /// Its own file.
-    pub extra: PathBuf,
+    pub local_settings: PathBuf,
     /// Its process.
     pub process: Process,
 }
 
 /// A running town. Its processes end with it.
-pub struct Town {
+pub struct LocalCluster {
     /// Everything of it stands here.
     pub folder: PathBuf,
     own_folder: bool,
     /// Its loopback address.
     pub ip: IpAddr,
     /// The formula servers.
-    pub servers: Vec<Formula>,
+    pub servers: Vec<FormulaServer>,
     /// The list of them.
     pub discovery: Discovery,
     /// The shared counter.
-    pub counter: Counter,
+    pub counter: SharedCounter,
     /// The gatekeepers, by number.
     pub gatekeepers: Vec<Gatekeeper>,
     /// Discovery and servers as each zone sees them, where zones have ways of their own.
-    pub views: Vec<View>,
-    pub(crate) racks: Vec<Rack>,
+    pub zone_views: Vec<ZoneView>,
+    pub(crate) racks: Vec<SharedKeys>,
     /// Servers that others took the place of.
-    pub former: Vec<Formula>,
+    pub retired_servers: Vec<FormulaServer>,
     /// The agent.
     pub agent: Option<Process>,
     /// Where the agent answers rate limit calls.
@@ -319,10 +319,10 @@
     pub control: PathBuf,
     /// The plans' names.
     pub plans: Vec<String>,
-    plan: Plan,
+    plan: ClusterOptions,
 }
 
-impl Drop for Town {
+impl Drop for LocalCluster {
     fn drop(&mut self) {
         if self.own_folder {
             let _ = fs::remove_dir_all(&self.folder);
@@ -330,12 +330,12 @@
     }
 }
 
-impl Town {
+impl LocalCluster {
     /// Starts it, and waits until all serve.
     ///
     /// # Errors
     /// With what did not start.
-    pub async fn start(plan: Plan) -> Result<Town, String> {
+    pub async fn start(plan: ClusterOptions) -> Result<LocalCluster, String> {
         static NEXT: AtomicU32 = AtomicU32::new(0);
         let least = usize::from(plan.agent);
         if !(least..=100).contains(&plan.gatekeepers) {
@@ -351,19 +351,20 @@
         let folder = folder.canonicalize().map_err(|e| format!("{}: {e}", folder.display()))?;
         let start = |e: std::io::Error| format!("a stand-in cannot listen at {ip}: {e}");
         let discovery = Discovery::start(ip).await.map_err(start)?;
-        let counter = Counter::start(ip).await.map_err(start)?;
-        let racks: Vec<Rack> = (0..3).map(|_| Rack::default()).collect();
+        let counter = SharedCounter::start(ip).await.map_err(start)?;
+        let racks: Vec<SharedKeys> = (0..3).map(|_| SharedKeys::default()).collect();
         let mut servers = Vec::new();
         for k in 0..plan.servers {
             let uid = format!("formula{}", k + 1);
-            let server = Formula::start(&uid, ip, plan.formula.clone(), racks[k % 3].clone(), false)
+            let server = FormulaServer::start(&uid, ip, plan.formula.clone(), racks[k % 3].clone(), false)
                 .await
                 .map_err(start)?;
             discovery.set(&uid, target(&server, k));
             servers.push(server);
         }
-        let views = if plan.views { View::all(ip, &servers).await.map_err(start)? } else { Vec::new() };
-        let plans = plan.plans.clone().unwrap_or_else(brief_plans);
+        let zone_views =
+            if plan.views { ZoneView::all(ip, &servers).await.map_err(start)? } else { Vec::new() };
+        let plans = plan.plans.clone().unwrap_or_else(example_plans);
         let rls = SocketAddr::new(ip, free_port(ip)?);
         let mut ports = Vec::new();
         for _ in 0..2 * plan.gatekeepers {
@@ -374,15 +375,15 @@
             ports.push(port);
         }
         let (resp, notes) = ports.split_at(plan.gatekeepers);
-        let mut town = Town {
+        let mut town = LocalCluster {
             control: folder.join("agent.sock"),
             plans: plan_names(&plans),
             ip,
             own_folder,
             servers,
             racks,
-            former: Vec::new(),
-            views,
+            retired_servers: Vec::new(),
+            zone_views,
             discovery,
             counter,
             gatekeepers: Vec::new(),
@@ -400,14 +401,14 @@
                 resp,
                 socket: town.folder.join(format!("{name}.sock")),
                 config: town.folder.join(format!("{name}.json")),
-                extra: town.folder.join(format!("{name}.toml")),
+                local_settings: town.folder.join(format!("{name}.toml")),
                 process: town.spawn_gatekeeper(k).await?,
                 name,
             };
             town.gatekeepers.push(gatekeeper);
         }
         for g in &mut town.gatekeepers {
-            g.process.says("serves at").await?;
+            g.process.wait_for_log("serves at").await?;
         }
         if town.plan.agent {
             town.start_agent().await?;
@@ -420,13 +421,13 @@
         let peers: Vec<String> = notes.iter().map(|p| SocketAddr::new(self.ip, *p).to_string()).collect();
         let config = json!({
             "name": name, "listen": listen.to_string(),
-            "discovery": views::asks(&self.views, k, &self.discovery).to_string(),
+            "discovery": zone_views::discovery_address(&self.zone_views, k, &self.discovery).to_string(),
             "seed": format!("{:x}", 7919 * (k + 1)),
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
             "peer_listen": peers[k], "peers": peers, "counter": self.counter.at.to_string(),
             "settings": {
                 "Balancers": self.plan.gatekeepers, "Me": k, "Zone": k % 3,
-                "Areas": views::ZONES, "Kinds": ["std-2", "slow-3"],
+                "Areas": zone_views::ZONES, "Kinds": ["std-2", "slow-3"],
                 "Bounds": {"Peers": self.plan.notes, "TryLimit": 3},
                 "Domain": {"PeerIntake": 60.0, "Largest": self.plan.largest},
                 "Rules": {"ColdFrom": 0.25, "WarmWithin": 4000.0},
@@ -445,7 +446,7 @@
             self.plan.clocks_ahead_ms.get(k).copied().unwrap_or(0),
             socket.display().to_string(),
             self.plan.log_format,
-            self.plan.gatekeeper_extra
+            self.plan.gatekeeper_settings
         );
         let put = |file: String, text: String| {
             let path = self.folder.join(file);
@@ -479,7 +480,7 @@
     /// When it does not start.
     pub async fn restart_gatekeeper(&mut self, k: usize) -> Result<(), String> {
         let mut process = self.spawn_gatekeeper(k).await?;
-        process.says("serves at").await?;
+        process.wait_for_log("serves at").await?;
         self.gatekeepers[k].process = process;
         Ok(())
     }
@@ -497,15 +498,15 @@
         text.push_str(&format!("[control]\nsocket = {:?}\n", self.control.display().to_string()));
         text.push_str(&format!(
             "[rls]\nlisten = \"{}\"\n{}\n{}\n",
-            self.rls, self.plan.rls, self.plan.agent_extra
+            self.rls, self.plan.rls, self.plan.agent_settings
         ));
         let path = self.folder.join("agent.toml");
         fs::write(&path, text).map_err(|e| format!("{}: {e}", path.display()))?;
         let mut command = self.command(&program("frostagent")?);
         command.arg("--config").arg(&path).arg("--log-format").arg(&self.plan.log_format);
         let mut agent = Process::start("agent", command, &self.folder.join("agent.log")).await?;
-        agent.says("serves rate limits at").await?;
-        agent.says_times("is linked, number", self.gatekeepers.len()).await?;
+        agent.wait_for_log("serves rate limits at").await?;
+        agent.wait_for_log_times("is linked, number", self.gatekeepers.len()).await?;
         self.agent = Some(agent);
         Ok(())
     }
@@ -539,10 +540,10 @@
 
     /// Units that formula servers ran, by shop.
     #[must_use]
-    pub fn units(&self) -> BTreeMap<String, f64> {
+    pub fn units_by_shop(&self) -> BTreeMap<String, f64> {
         let mut all = BTreeMap::new();
         for server in &self.servers {
-            for (shop, units) in server.books().units {
+            for (shop, units) in server.ledger().units {
                 *all.entry(shop).or_default() += units;
             }
         }
@@ -551,7 +552,7 @@
 
     /// Where everything is, as JSON for scripts.
     #[must_use]
-    pub fn ready(&self) -> Value {
+    pub fn ready_json(&self) -> Value {
         let gatekeeper = |g: &Gatekeeper| json!({"name": g.name, "resp": g.resp.to_string(), "control": g.socket.display().to_string()});
         json!({
             "gatekeepers": self.gatekeepers.iter().map(gatekeeper).collect::<Vec<_>>(),
@@ -571,7 +572,7 @@
         let until = Instant::now() + STOP;
         for g in &mut self.gatekeepers {
             let left = until.saturating_duration_since(Instant::now());
-            if tokio::time::timeout(left, g.process.ended()).await.is_err() {
+            if tokio::time::timeout(left, g.process.wait()).await.is_err() {
                 g.process.kill().await;
             }
         }
--- a/crates/standin/src/town/views.rs
+++ b/crates/standin/src/local_cluster/zone_views.rs
@@ -2,8 +2,8 @@
 //! another can be cut, held or slowed by direction.
 
 use crate::discovery::{Discovery, Target};
-use crate::formula::Formula;
-use crate::gate::{Gate, Way};
+use crate::formula_server::FormulaServer;
+use crate::proxy::{Proxy, ProxyMode};
 use std::io;
 use std::net::{IpAddr, SocketAddr};
 
@@ -11,7 +11,7 @@
 pub const ZONES: [&str; 3] = ["room-a", "room-b", "room-c"];
 
 /// A server as discovery lists it, the k-th of the town.
-pub(super) fn target(server: &Formula, k: usize) -> Target {
+pub(super) fn target(server: &FormulaServer, k: usize) -> Target {
     Target {
         endpoint: server.at,
         zone: ZONES[k % 3].to_string(),
@@ -22,24 +22,24 @@
 }
 
 /// What one zone's gatekeepers see.
-pub struct View {
+pub struct ZoneView {
     /// The list that they are told.
     pub discovery: Discovery,
     ip: IpAddr,
-    gates: Vec<Gate>,
+    gates: Vec<Proxy>,
 }
 
-impl View {
+impl ZoneView {
     /// One for each zone.
     ///
     /// # Errors
     /// When something can't listen.
-    pub async fn all(ip: IpAddr, servers: &[Formula]) -> io::Result<Vec<View>> {
+    pub async fn all(ip: IpAddr, servers: &[FormulaServer]) -> io::Result<Vec<ZoneView>> {
         let mut views = Vec::new();
         for _ in ZONES {
-            let mut view = View { discovery: Discovery::start(ip).await?, ip, gates: Vec::new() };
+            let mut view = ZoneView { discovery: Discovery::start(ip).await?, ip, gates: Vec::new() };
             for (k, server) in servers.iter().enumerate() {
-                view.list(k, server).await?;
+                view.add_server(k, server).await?;
             }
             views.push(view);
         }
@@ -50,8 +50,8 @@
     ///
     /// # Errors
     /// When its gate can't listen.
-    pub async fn list(&mut self, k: usize, server: &Formula) -> io::Result<()> {
-        let (gate, at) = Gate::tcp(self.ip, server.at).await?;
+    pub async fn add_server(&mut self, k: usize, server: &FormulaServer) -> io::Result<()> {
+        let (gate, at) = Proxy::tcp(self.ip, server.at).await?;
         let target = Target { endpoint: at, ..target(server, k) };
         self.discovery.set(&server.uid, target);
         match self.gates.get_mut(k) {
@@ -62,18 +62,23 @@
     }
 
     /// Sets the ways to a zone's servers.
-    pub fn set(&self, zone: usize, way: Way) {
-        self.gates.iter().enumerate().filter(|(k, _)| k % 3 == zone).for_each(|(_, gate)| gate.set(way));
+    pub fn set_mode(&self, zone: usize, way: ProxyMode) {
+        self.gates.iter().enumerate().filter(|(k, _)| k % 3 == zone).for_each(|(_, gate)| gate.set_mode(way));
     }
 
     /// Bytes that have gone to a zone's servers.
     #[must_use]
-    pub fn passed(&self, zone: usize) -> u64 {
-        self.gates.iter().enumerate().filter(|(k, _)| k % 3 == zone).map(|(_, gate)| gate.passed()).sum()
+    pub fn forwarded_bytes(&self, zone: usize) -> u64 {
+        self.gates
+            .iter()
+            .enumerate()
+            .filter(|(k, _)| k % 3 == zone)
+            .map(|(_, gate)| gate.forwarded_bytes())
+            .sum()
     }
 }
 
 /// Where the k-th gatekeeper asks.
-pub(super) fn asks(views: &[View], k: usize, all: &Discovery) -> SocketAddr {
+pub(super) fn discovery_address(views: &[ZoneView], k: usize, all: &Discovery) -> SocketAddr {
     views.get(k % 3).map_or(all.at, |v| v.discovery.at)
 }
--- a/crates/standin/src/postgres.rs
+++ b/crates/standin/src/postgres.rs
@@ -62,7 +62,7 @@
 
 /// What it does wrong. All may be changed at any time.
 #[derive(Default)]
-pub struct Faults {
+pub struct PostgresFaults {
     /// Every message from a client waits so many ms.
     pub slow_ms: AtomicU64,
     /// Clients' messages are no longer taken: it hangs.
@@ -87,7 +87,7 @@
 
 struct Shared {
     file: PathBuf,
-    faults: Arc<Faults>,
+    faults: Arc<PostgresFaults>,
     notes: broadcast::Sender<String>,
     statements: AtomicU64,
     password: String,
@@ -99,7 +99,7 @@
     /// Where it listens.
     pub at: SocketAddr,
     /// What it does wrong.
-    pub faults: Arc<Faults>,
+    pub faults: Arc<PostgresFaults>,
     shared: Arc<Shared>,
     stop: watch::Sender<bool>,
     task: JoinHandle<()>,
@@ -147,7 +147,7 @@
         drop(first);
         let listener = TcpListener::bind(at).await.map_err(|e| format!("{at}: {e}"))?;
         let at = listener.local_addr().map_err(|e| e.to_string())?;
-        let faults = Arc::new(Faults::default());
+        let faults = Arc::new(PostgresFaults::default());
         faults.hang_after.store(-1, Ordering::SeqCst);
         faults.cut_after.store(-1, Ordering::SeqCst);
         let shared = Arc::new(Shared {
--- a/crates/standin/src/gate.rs
+++ b/crates/standin/src/proxy.rs
@@ -12,27 +12,27 @@
 
 /// What the way does.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Way {
+pub enum ProxyMode {
     /// It forwards.
-    Open,
+    Forward,
     /// Connections come up and stay, and nothing passes in either direction.
-    Held,
+    Hold,
     /// What is on its way toward the far end is held, and answers pass.
-    HeldUp,
+    HoldUpstream,
     /// Answers are held, and what is on its way toward the far end passes.
-    HeldDown,
+    HoldDownstream,
     /// Whatever passes takes so many ms more in each direction, a part at a time.
-    Slow(u64),
+    Delay(u64),
     /// One part in so many that pass toward the far end is lost.
-    Loses(u64),
+    DropOneIn(u64),
     /// Open connections are cut, new ones are cut at once.
     Cut,
     /// It answers what comes with bytes that mean nothing.
-    Noise,
+    Garbage,
 }
 
 struct Shared {
-    way: watch::Sender<Way>,
+    way: watch::Sender<ProxyMode>,
     /// Bytes toward the far end after which all is cut; below 0 is without end.
     fuse: AtomicI64,
     passed: AtomicU64,
@@ -40,23 +40,23 @@
 }
 
 /// A running gate. Ends when dropped.
-pub struct Gate {
+pub struct Proxy {
     shared: Arc<Shared>,
     task: JoinHandle<()>,
     at: Option<SocketAddr>,
 }
 
-impl Drop for Gate {
+impl Drop for Proxy {
     fn drop(&mut self) {
         self.task.abort();
-        self.shared.way.send_replace(Way::Cut);
+        self.shared.way.send_replace(ProxyMode::Cut);
     }
 }
 
-impl Gate {
+impl Proxy {
     fn shared() -> Arc<Shared> {
         Arc::new(Shared {
-            way: watch::Sender::new(Way::Open),
+            way: watch::Sender::new(ProxyMode::Forward),
             fuse: AtomicI64::new(-1),
             passed: AtomicU64::new(0),
             came: AtomicU64::new(0),
@@ -67,10 +67,10 @@
     ///
     /// # Errors
     /// When it can't listen.
-    pub async fn tcp(ip: IpAddr, to: SocketAddr) -> std::io::Result<(Gate, SocketAddr)> {
+    pub async fn tcp(ip: IpAddr, to: SocketAddr) -> std::io::Result<(Proxy, SocketAddr)> {
         let listener = TcpListener::bind((ip, 0)).await?;
         let at = listener.local_addr()?;
-        let shared = Gate::shared();
+        let shared = Proxy::shared();
         let own = shared.clone();
         let task = tokio::spawn(async move {
             while let Ok((near, _)) = listener.accept().await {
@@ -87,16 +87,16 @@
                 });
             }
         });
-        Ok((Gate { shared, task, at: Some(at) }, at))
+        Ok((Proxy { shared, task, at: Some(at) }, at))
     }
 
     /// Before a Unix socket, at another path.
     ///
     /// # Errors
     /// When it can't listen.
-    pub fn unix(at: &Path, to: PathBuf) -> std::io::Result<Gate> {
+    pub fn unix(at: &Path, to: PathBuf) -> std::io::Result<Proxy> {
         let listener = UnixListener::bind(at)?;
-        let shared = Gate::shared();
+        let shared = Proxy::shared();
         let own = shared.clone();
         let task = tokio::spawn(async move {
             while let Ok((near, _)) = listener.accept().await {
@@ -110,17 +110,17 @@
                 });
             }
         });
-        Ok(Gate { shared, task, at: None })
+        Ok(Proxy { shared, task, at: None })
     }
 
     /// Where it listens, as text for a configuration; empty where it is a file.
     #[must_use]
-    pub fn at(&self) -> String {
+    pub fn address(&self) -> String {
         self.at.map_or(String::new(), |at| at.to_string())
     }
 
     /// Sets what it does.
-    pub fn set(&self, way: Way) {
+    pub fn set_mode(&self, way: ProxyMode) {
         self.shared.way.send_replace(way);
     }
 
@@ -131,13 +131,13 @@
 
     /// Bytes that have passed toward the far end.
     #[must_use]
-    pub fn passed(&self) -> u64 {
+    pub fn forwarded_bytes(&self) -> u64 {
         self.shared.passed.load(Ordering::SeqCst)
     }
 
     /// Connections that have come.
     #[must_use]
-    pub fn came(&self) -> u64 {
+    pub fn connections(&self) -> u64 {
         self.shared.came.load(Ordering::SeqCst)
     }
 }
@@ -147,12 +147,12 @@
     R: AsyncRead + Unpin,
     W: AsyncWrite + Unpin,
     F: FnOnce() -> G,
-    G: Future<Output = Option<(H, <H as Half>::Write)>>,
-    H: Half,
+    G: Future<Output = Option<(H, <H as ReadHalf>::Write)>>,
+    H: ReadHalf,
 {
     shared.came.fetch_add(1, Ordering::SeqCst);
     let mut way = shared.way.subscribe();
-    if *way.borrow() == Way::Noise {
+    if *way.borrow() == ProxyMode::Garbage {
         let mut bytes = [0; 4096];
         while let Ok(n) = near_read.read(&mut bytes).await {
             if n == 0 || near_write.write_all(&[0xff; 64]).await.is_err() {
@@ -161,7 +161,7 @@
         }
         return;
     }
-    if *way.borrow() == Way::Cut {
+    if *way.borrow() == ProxyMode::Cut {
         return;
     }
     let Some((mut far_read, mut far_write)) = connect().await else { return };
@@ -170,15 +170,18 @@
     loop {
         let now = *way.borrow_and_update();
         match now {
-            Way::Cut | Way::Noise => return,
-            Way::Held => {
+            ProxyMode::Cut | ProxyMode::Garbage => return,
+            ProxyMode::Hold => {
                 if way.changed().await.is_err() {
                     return;
                 }
                 continue;
             }
-            Way::Slow(ms) => tokio::time::sleep(std::time::Duration::from_millis(ms)).await,
-            Way::Open | Way::HeldUp | Way::HeldDown | Way::Loses(_) => {}
+            ProxyMode::Delay(ms) => tokio::time::sleep(std::time::Duration::from_millis(ms)).await,
+            ProxyMode::Forward
+            | ProxyMode::HoldUpstream
+            | ProxyMode::HoldDownstream
+            | ProxyMode::DropOneIn(_) => {}
         }
         tokio::select! {
             changed = way.changed() => {
@@ -186,10 +189,10 @@
                     return;
                 }
             }
-            n = near_read.read(&mut up), if now != Way::HeldUp => {
+            n = near_read.read(&mut up), if now != ProxyMode::HoldUpstream => {
                 let Ok(n) = n else { return };
                 parts += 1;
-                if let Way::Loses(one_in) = now && n > 0 && parts.is_multiple_of(one_in.max(1)) {
+                if let ProxyMode::DropOneIn(one_in) = now && n > 0 && parts.is_multiple_of(one_in.max(1)) {
                     continue;
                 }
                 let fuse = shared.fuse.load(Ordering::SeqCst);
@@ -202,7 +205,7 @@
                     shared.fuse.store(fuse - part as i64, Ordering::SeqCst);
                     if part < n || fuse == part as i64 {
                         shared.fuse.store(-1, Ordering::SeqCst);
-                        shared.way.send_replace(Way::Cut);
+                        shared.way.send_replace(ProxyMode::Cut);
                         return;
                     }
                 }
@@ -210,7 +213,7 @@
                     return;
                 }
             }
-            n = far_read.read(&mut down), if now != Way::HeldDown => {
+            n = far_read.read(&mut down), if now != ProxyMode::HoldDownstream => {
                 let Ok(n) = n else { return };
                 if n == 0 || near_write.write_all(&down[..n]).await.is_err() {
                     return;
@@ -221,15 +224,15 @@
 }
 
 /// The reading half of a connection, and what its writing half is.
-pub trait Half: AsyncRead + Unpin {
+pub trait ReadHalf: AsyncRead + Unpin {
     /// The writing half.
     type Write: AsyncWrite + Unpin;
 }
 
-impl Half for tokio::net::tcp::OwnedReadHalf {
+impl ReadHalf for tokio::net::tcp::OwnedReadHalf {
     type Write = tokio::net::tcp::OwnedWriteHalf;
 }
 
-impl Half for tokio::net::unix::OwnedReadHalf {
+impl ReadHalf for tokio::net::unix::OwnedReadHalf {
     type Write = tokio::net::unix::OwnedWriteHalf;
 }
--- a/crates/standin/src/resp.rs
+++ b/crates/standin/src/resp.rs
@@ -6,7 +6,7 @@
 use tokio::net::{TcpStream, ToSocketAddrs};
 
 /// A connection.
-pub struct Conn {
+pub struct RespConnection {
     /// What comes.
     pub read: BufReader<OwnedReadHalf>,
     /// What goes.
@@ -28,21 +28,21 @@
     io::Error::new(io::ErrorKind::InvalidData, what.to_string())
 }
 
-impl Conn {
+impl RespConnection {
     /// Of a stream.
     #[must_use]
-    pub fn of(stream: TcpStream) -> Conn {
+    pub fn new(stream: TcpStream) -> RespConnection {
         let _ = stream.set_nodelay(true);
         let (read, write) = stream.into_split();
-        Conn { read: BufReader::new(read), write }
+        RespConnection { read: BufReader::new(read), write }
     }
 
     /// Connects.
     ///
     /// # Errors
     /// As the socket says.
-    pub async fn connect(at: impl ToSocketAddrs) -> io::Result<Conn> {
-        Ok(Conn::of(TcpStream::connect(at).await?))
+    pub async fn connect(at: impl ToSocketAddrs) -> io::Result<RespConnection> {
+        Ok(RespConnection::new(TcpStream::connect(at).await?))
     }
 
     async fn line(&mut self) -> io::Result<String> {
@@ -69,7 +69,7 @@
     ///
     /// # Errors
     /// When it can't be read.
-    pub async fn command(&mut self) -> io::Result<Option<Vec<Vec<u8>>>> {
+    pub async fn read_command(&mut self) -> io::Result<Option<Vec<Vec<u8>>>> {
         let head = match self.line().await {
             Ok(head) => head,
             Err(e) if e.kind() == io::ErrorKind::UnexpectedEof => return Ok(None),
@@ -89,7 +89,7 @@
     ///
     /// # Errors
     /// When it can't be read, or the connection ends.
-    pub async fn answer(&mut self) -> io::Result<Answer> {
+    pub async fn read_answer(&mut self) -> io::Result<Answer> {
         let head = self.line().await?;
         if let Some(line) = head.strip_prefix('-') {
             return Ok(match line.strip_prefix("BUSY") {
--- a/crates/standin/src/rls.rs
+++ b/crates/standin/src/rls.rs
@@ -1,5 +1,5 @@
 //! An outside rate limit service: it says OK or over the limit, hangs in the middle of a call, answers late, fails,
-//! or says something that means nothing. Put a [`Gate`](crate::gate::Gate) before it for resets and noise.
+//! or says something that means nothing. Put a [`Proxy`](crate::proxy::Proxy) before it for resets and noise.
 
 use frostvale_proto::envoy::service::ratelimit::v3::rate_limit_response::quota::ExpirationSpecifier;
 use frostvale_proto::envoy::service::ratelimit::v3::rate_limit_response::{Code, DescriptorStatus, Quota};
@@ -19,7 +19,7 @@
 
 /// What it says.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Say {
+pub enum RlsBehavior {
     /// OK.
     Ok,
     /// OK, and so many requests more for a time.
@@ -35,17 +35,17 @@
     /// A code that means nothing.
     Unknown,
     /// Each in turn.
-    Turns(Vec<Say>),
+    Sequence(Vec<RlsBehavior>),
 }
 
 /// A running service. Ends when dropped.
 pub struct Rls {
     /// Where it listens.
     pub at: SocketAddr,
-    say: watch::Sender<Say>,
+    say: watch::Sender<RlsBehavior>,
     calls: Arc<Mutex<Vec<RateLimitRequest>>>,
     /// Told of each call when it comes.
-    pub came: mpsc::UnboundedReceiver<RateLimitRequest>,
+    pub received: mpsc::UnboundedReceiver<RateLimitRequest>,
     task: JoinHandle<()>,
 }
 
@@ -56,7 +56,7 @@
 }
 
 struct Service {
-    say: watch::Receiver<Say>,
+    say: watch::Receiver<RlsBehavior>,
     calls: Arc<Mutex<Vec<RateLimitRequest>>>,
     tell: mpsc::UnboundedSender<RateLimitRequest>,
 }
@@ -69,9 +69,9 @@
     pub async fn start(ip: IpAddr) -> std::io::Result<Rls> {
         let listener = TcpListener::bind((ip, 0)).await?;
         let at = listener.local_addr()?;
-        let say = watch::Sender::new(Say::Ok);
+        let say = watch::Sender::new(RlsBehavior::Ok);
         let calls: Arc<Mutex<Vec<RateLimitRequest>>> = Arc::default();
-        let (tell, came) = mpsc::unbounded_channel();
+        let (tell, received) = mpsc::unbounded_channel();
         let service = Service { say: say.subscribe(), calls: calls.clone(), tell };
         let task = tokio::spawn(async move {
             let _ = Server::builder()
@@ -79,11 +79,11 @@
                 .serve_with_incoming(TcpIncoming::from(listener).with_nodelay(Some(true)))
                 .await;
         });
-        Ok(Rls { at, say, calls, came, task })
+        Ok(Rls { at, say, calls, received, task })
     }
 
     /// Sets what it says from now on.
-    pub fn say(&self, say: Say) {
+    pub fn set_behavior(&self, say: RlsBehavior) {
         self.say.send_replace(say);
     }
 
@@ -108,7 +108,7 @@
         let _ = self.tell.send(request.into_inner());
         let say = self.say.borrow().clone();
         let say = match say {
-            Say::Turns(all) if !all.is_empty() => all[turn % all.len()].clone(),
+            RlsBehavior::Sequence(all) if !all.is_empty() => all[turn % all.len()].clone(),
             say => say,
         };
         let answer = |code: Code, status: DescriptorStatus| {
@@ -120,8 +120,8 @@
         };
         let plain = DescriptorStatus::default();
         match say {
-            Say::Ok | Say::Turns(_) => answer(Code::Ok, plain),
-            Say::Ahead(requests, time) => {
+            RlsBehavior::Ok | RlsBehavior::Sequence(_) => answer(Code::Ok, plain),
+            RlsBehavior::Ahead(requests, time) => {
                 let until = std::time::SystemTime::now() + time;
                 let quota = Quota {
                     requests,
@@ -132,20 +132,20 @@
                 response.get_mut().quota = Some(quota);
                 Ok(response)
             }
-            Say::Over(time) => {
+            RlsBehavior::Over(time) => {
                 let reset = prost_types::Duration {
                     seconds: time.as_secs() as i64,
                     nanos: time.subsec_nanos() as i32,
                 };
                 answer(Code::OverLimit, DescriptorStatus { duration_until_reset: Some(reset), ..plain })
             }
-            Say::Hang => std::future::pending().await,
-            Say::Late(time) => {
+            RlsBehavior::Hang => std::future::pending().await,
+            RlsBehavior::Late(time) => {
                 tokio::time::sleep(time).await;
                 answer(Code::Ok, plain)
             }
-            Say::Fail => Err(Status::internal("as told")),
-            Say::Unknown => answer(Code::Unknown, plain),
+            RlsBehavior::Fail => Err(Status::internal("as told")),
+            RlsBehavior::Unknown => answer(Code::Unknown, plain),
         }
     }
 }
--- a/crates/zones/src/flow.rs
+++ b/crates/zones/src/allocation.rs
@@ -3,7 +3,7 @@
 
 /// What there is to share out. Zones by number.
 #[derive(Debug, Clone, Default)]
-pub struct Given {
+pub struct AllocationInput {
     /// What each zone's gatekeepers need.
     pub need: Vec<f64>,
     /// What each zone's servers bear.
@@ -18,7 +18,7 @@
 
 /// How it was shared out.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Flows {
+pub struct Allocation {
     /// What goes where: `sent[from][to]`.
     pub sent: Vec<Vec<f64>>,
     /// What more may go elsewhere while home has no room for a moment: `more[from][to]`.
@@ -33,7 +33,7 @@
 
 /// Shares it out.
 #[must_use]
-pub fn share_out(given: &Given) -> Flows {
+pub fn allocate(given: &AllocationInput) -> Allocation {
     let n = given.need.len();
     let mut sent = vec![vec![0.0; n]; n];
     let mut room: Vec<f64> = given.bears.iter().map(|b| b.max(0.0)).collect();
@@ -61,7 +61,7 @@
             (0..n).map(|t| if f == t { 0.0 } else { room[t].max(0.0) * usable(f, t) / others }).collect()
         })
         .collect();
-    Flows { sent, more, left: left.into_iter().map(|l| l.max(0.0)).collect() }
+    Allocation { sent, more, left: left.into_iter().map(|l| l.max(0.0)).collect() }
 }
 
 /// Spreads what is left over room that may be used, in rounds, as several may want the same.
@@ -106,9 +106,9 @@
     use super::*;
     use proptest::prelude::*;
 
-    fn open(need: &[f64], bears: &[f64]) -> Given {
+    fn open(need: &[f64], bears: &[f64]) -> AllocationInput {
         let n = need.len();
-        Given {
+        AllocationInput {
             need: need.into(),
             bears: bears.into(),
             part: vec![vec![1.0; n]; n],
@@ -119,30 +119,30 @@
 
     #[test]
     fn near_first_then_by_room_and_the_last_zone_is_given_no_more_than_it_bears() {
-        let flows = share_out(&open(&[3.0, 3.0, 3.0], &[5.0, 5.0, 5.0]));
+        let flows = allocate(&open(&[3.0, 3.0, 3.0], &[5.0, 5.0, 5.0]));
         assert_eq!(flows.sent, [[3.0, 0.0, 0.0], [0.0, 3.0, 0.0], [0.0, 0.0, 3.0]]);
         assert_eq!(flows.more[0], [0.0, 1.0, 1.0]);
 
         // The first is lost: the others take it over by the room that they have.
         let mut given = open(&[3.0, 3.0, 1.0], &[5.0, 5.0, 5.0]);
         given.part.iter_mut().for_each(|p| p[0] = 0.0);
-        let flows = share_out(&given);
+        let flows = allocate(&given);
         assert_eq!(flows.sent[0][0], 0.0);
         assert!((flows.sent[0][1] - 1.0).abs() < 1e-6 && (flows.sent[0][2] - 2.0).abs() < 1e-6, "{flows:?}");
 
         // Two are: the last is filled and goes on standing.
         given.part.iter_mut().for_each(|p| p[1] = 0.0);
-        let flows = share_out(&given);
+        let flows = allocate(&given);
         let to_last: f64 = flows.sent.iter().map(|s| s[2]).sum();
         assert!((to_last - 5.0).abs() < 1e-6 && (flows.left.iter().sum::<f64>() - 2.0).abs() < 1e-6);
     }
 
     #[test]
     fn two_thirds_of_the_traffic_with_a_third_of_the_servers_spills_to_several() {
-        let flows = share_out(&open(&[8.0, 2.0, 2.0], &[5.0, 5.0, 5.0]));
+        let flows = allocate(&open(&[8.0, 2.0, 2.0], &[5.0, 5.0, 5.0]));
         assert!(flows.sent[0][0] == 5.0 && flows.sent[0][1] > 1.0 && flows.sent[0][2] > 1.0, "{flows:?}");
         assert!(flows.left.iter().all(|l| *l < 1e-6));
-        let none = share_out(&open(&[4.0, 1.0], &[0.0, 6.0]));
+        let none = allocate(&open(&[4.0, 1.0], &[0.0, 6.0]));
         assert!((none.sent[0][1] - 4.0).abs() < 1e-6, "gatekeepers without servers");
     }
 
@@ -150,10 +150,10 @@
     fn a_drain_gives_way_where_the_others_cannot_bear_it_unless_it_is_forced() {
         let mut given = open(&[4.0, 4.0], &[6.0, 6.0]);
         given.drained[0] = 0.0;
-        let flows = share_out(&given);
+        let flows = allocate(&given);
         assert!((flows.sent[0][1] - 2.0).abs() < 1e-6 && (flows.sent[0][0] - 2.0).abs() < 1e-6, "{flows:?}");
         given.forced[0] = true;
-        let flows = share_out(&given);
+        let flows = allocate(&given);
         assert!(flows.sent[0][0] == 0.0 && (flows.left[0] - 2.0).abs() < 1e-6, "{flows:?}");
     }
 
@@ -166,14 +166,14 @@
             figures in prop::collection::vec((0.0..100.0f64, 0.0..100.0f64, 0.0..=1.0f64, any::<bool>()), 6),
             parts in prop::collection::vec(0.0..=1.0f64, 36),
         ) {
-            let given = Given {
+            let given = AllocationInput {
                 need: figures[..n].iter().map(|f| f.0).collect(),
                 bears: figures[..n].iter().map(|f| f.1).collect(),
                 part: (0..n).map(|f| (0..n).map(|t| if parts[f * 6 + t] < 0.2 { 0.0 } else { parts[f * 6 + t] }).collect()).collect(),
                 drained: figures[..n].iter().map(|f| f.2).collect(),
                 forced: figures[..n].iter().map(|f| f.3).collect(),
             };
-            let flows = share_out(&given);
+            let flows = allocate(&given);
             for t in 0..n {
                 let to: f64 = (0..n).map(|f| flows.sent[f][t] + flows.more[f][t]).sum();
                 prop_assert!(to <= given.bears[t] + 1e-6, "{to} to {t}");
@@ -186,9 +186,9 @@
                     prop_assert!(given.part[f][t] > 0.0 || flows.sent[f][t].abs() < 1e-9, "{f} to {t}");
                 }
             }
-            let open = Given { part: vec![vec![1.0; n]; n], drained: vec![1.0; n], ..given.clone() };
+            let open = AllocationInput { part: vec![vec![1.0; n]; n], drained: vec![1.0; n], ..given.clone() };
             let (need, bears): (f64, f64) = (given.need.iter().sum(), given.bears.iter().sum());
-            let left: f64 = share_out(&open).left.iter().sum();
+            let left: f64 = allocate(&open).left.iter().sum();
             prop_assert!((left - (need - bears).max(0.0)).abs() < 1e-3 * (1.0 + need), "{left} of {need}, {bears}");
         }
     }
--- a/crates/zones/src/decision.rs
+++ b/crates/zones/src/decision.rs
@@ -1,19 +1,19 @@
 //! A decision: how much of each zone's traffic may go where, from now and over a stated time.
 
-use crate::report::ZONES_MOST;
+use crate::report::MAX_ZONES;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 use std::fmt;
 
 /// Bytes of one as it is entered in the council's log.
-pub const BODY_MOST: usize = 64 * 1024;
+pub const MAX_DECISION_BYTES: usize = 64 * 1024;
 /// No way back takes longer.
 const RAMP_MOST_MS: u64 = 3_600_000;
 
 /// What is thought of a zone.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum State {
+pub enum ZoneState {
     /// It serves.
     Serving,
     /// It is sent less: it suffers, is short of room, or an operator drains it.
@@ -26,14 +26,14 @@
     CutOff,
 }
 
-impl fmt::Display for State {
+impl fmt::Display for ZoneState {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            State::Serving => "serving",
-            State::Shedding => "shedding",
-            State::Out => "out",
-            State::ComingBack => "coming back",
-            State::CutOff => "cut off",
+            ZoneState::Serving => "serving",
+            ZoneState::Shedding => "shedding",
+            ZoneState::Out => "out",
+            ZoneState::ComingBack => "coming back",
+            ZoneState::CutOff => "cut off",
         })
     }
 }
@@ -77,7 +77,7 @@
 
 /// The traffic of one zone's gatekeepers.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Row {
+pub struct RoutingRow {
     /// Which zone's.
     pub from: String,
     /// What may stay; 1000: all there is room for.
@@ -86,10 +86,10 @@
     pub spill: Vec<Spill>,
 }
 
-impl Row {
+impl RoutingRow {
     /// All that may be sent on, in thousandths; the rest is refused, what is worth least first.
     #[must_use]
-    pub fn passes(&self, ms: u64, ramp_ms: u64) -> u32 {
+    pub fn admitted_milli(&self, ms: u64, ramp_ms: u64) -> u32 {
         let far: u32 = self.spill.iter().map(|s| s.share.at(ms, ramp_ms)).sum();
         (self.near.at(ms, ramp_ms) + far).min(1000)
     }
@@ -97,11 +97,11 @@
 
 /// What was found of a zone.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ZoneWord {
+pub struct ZoneAssessment {
     /// Its name.
     pub zone: String,
     /// What is thought of it.
-    pub state: State,
+    pub state: ZoneState,
     /// Why, in a few words.
     pub why: String,
     /// The part of requests that suffers there, in thousandths, over all who judge it.
@@ -116,9 +116,9 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Decision {
     /// Zones.
-    pub zones: Vec<ZoneWord>,
+    pub zones: Vec<ZoneAssessment>,
     /// Rows by zone of origin.
-    pub rows: Vec<Row>,
+    pub rows: Vec<RoutingRow>,
     /// How long shares take from their first value to the last, in ms.
     pub ramp_ms: u64,
 }
@@ -129,8 +129,8 @@
     /// # Errors
     /// With what can't be.
     pub fn check(&self) -> Result<(), String> {
-        if self.zones.len() > ZONES_MOST || self.rows.len() > ZONES_MOST {
-            return Err(format!("zones, rows: {ZONES_MOST} at the most"));
+        if self.zones.len() > MAX_ZONES || self.rows.len() > MAX_ZONES {
+            return Err(format!("zones, rows: {MAX_ZONES} at the most"));
         }
         if self.ramp_ms > RAMP_MOST_MS {
             return Err(format!("ramp_ms: {}; 0 to {RAMP_MOST_MS}", self.ramp_ms));
@@ -174,7 +174,7 @@
 
     /// The row of a zone.
     #[must_use]
-    pub fn row(&self, from: &str) -> Option<&Row> {
+    pub fn row(&self, from: &str) -> Option<&RoutingRow> {
         self.rows.iter().find(|r| r.from == from)
     }
 }
@@ -193,15 +193,15 @@
 
     #[test]
     fn bad_decisions_are_refused() {
-        let word = |zone: &str| ZoneWord {
+        let word = |zone: &str| ZoneAssessment {
             zone: zone.into(),
-            state: State::Serving,
+            state: ZoneState::Serving,
             why: String::new(),
             suffers_milli: 0,
             bears_milli: 1,
             needs_milli: 1,
         };
-        let row = |from: &str, to: &str| Row {
+        let row = |from: &str, to: &str| RoutingRow {
             from: from.into(),
             near: Share::flat(1000),
             spill: vec![Spill { to: to.into(), share: Share::flat(300) }],
--- a/crates/zones/src/judge.rs
+++ b/crates/zones/src/failover.rs
@@ -1,10 +1,10 @@
 //! From what agents report and operators intend to one decision, by the owner's own clock.
 
-use crate::decision::{Decision, Row, Share, Spill, State, ZoneWord};
-use crate::flow::{Flows, Given, share_out};
-use crate::lane::{Lane, Look, Phase, TRIES_MILLI};
-use crate::report::{Drain, Place, Refused, Report, ZONES_MOST};
+use crate::allocation::{Allocation, AllocationInput, allocate};
+use crate::decision::{Decision, RoutingRow, Share, Spill, ZoneAssessment, ZoneState};
+use crate::report::{Drain, MAX_ZONES, RejectedReport, Report, ZoneCapacity};
 use crate::settings::Settings;
+use crate::zone_path::{PathObservation, Phase, TRIES_MILLI, ZonePath};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Agents that are remembered.
@@ -62,7 +62,7 @@
     /// Over the time of a trial.
     long: BTreeMap<(String, u32), Sums>,
     faded: u64,
-    places: Vec<Place>,
+    places: Vec<ZoneCapacity>,
 }
 
 impl Agent {
@@ -108,33 +108,33 @@
 
 /// What was taken and what was not, since the start.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Counts {
+pub struct ReportCounts {
     /// Reports taken.
-    pub heard: u64,
+    pub accepted: u64,
     /// Reports that can't be.
-    pub refused: u64,
+    pub rejected: u64,
     /// Reports that were overtaken, or too long on their way.
-    pub old: u64,
+    pub outdated: u64,
 }
 
 /// The others can't bear a zone's traffic.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Short {
+pub struct CapacityShortfall {
     /// What all zones' requests need.
-    pub needs: f64,
+    pub demand: f64,
     /// What the zones that are left bear.
-    pub bears: f64,
+    pub capacity: f64,
     /// What would be refused.
-    pub left: f64,
+    pub shortfall: f64,
 }
 
 /// What the judge goes by, for people.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct View {
+pub struct FailoverView {
     /// Agents: name, zone, ms since their last report, and whether it still counts.
     pub agents: Vec<(String, String, u64, bool)>,
     /// Reports.
-    pub counts: Counts,
+    pub counts: ReportCounts,
 }
 
 /// An operator's drain as it takes hold, or is undone.
@@ -160,14 +160,14 @@
 
 /// The one that decides.
 #[derive(Debug, Clone)]
-pub struct Judge {
+pub struct FailoverController {
     s: Settings,
     agents: BTreeMap<String, Agent>,
     /// By zone of origin, none for all together, and zone.
-    lanes: BTreeMap<(Option<String>, String), Lane>,
+    lanes: BTreeMap<(Option<String>, String), ZonePath>,
     taps: BTreeMap<String, Tap>,
     last: Option<(Decision, u64)>,
-    counts: Counts,
+    counts: ReportCounts,
 }
 
 /// A zone as it is known now.
@@ -182,9 +182,9 @@
 }
 
 /// What is seen of a zone, by what is known of its servers.
-fn looked(to: &Known, tries: bool, of: impl Fn(Over) -> Option<f64>) -> Look {
+fn looked(to: &Known, tries: bool, of: impl Fn(Over) -> Option<f64>) -> PathObservation {
     let (suffers, quick, trial) = (of(Over::Window), of(Over::Quick), of(Over::Trial));
-    Look { suffers, quick, trial, tries, there: to.servers > 0 }
+    PathObservation { suffers, quick, trial, tries, there: to.servers > 0 }
 }
 
 fn middle(mut all: Vec<f64>) -> f64 {
@@ -192,28 +192,28 @@
     all.get(all.len() / 2).copied().unwrap_or(0.0)
 }
 
-impl Judge {
+impl FailoverController {
     /// Knows nothing yet.
     #[must_use]
-    pub fn new(s: Settings) -> Judge {
-        Judge {
+    pub fn new(s: Settings) -> FailoverController {
+        FailoverController {
             s,
             agents: BTreeMap::new(),
             lanes: BTreeMap::new(),
             taps: BTreeMap::new(),
             last: None,
-            counts: Counts::default(),
+            counts: ReportCounts::default(),
         }
     }
 
     /// A new owner goes on from the decision that stands: what is out stays out for a while, what comes back goes on.
     #[must_use]
-    pub fn resume(s: Settings, stands: Decision, now: u64) -> Judge {
-        let mut judge = Judge::new(s);
+    pub fn resume(s: Settings, stands: Decision, now: u64) -> FailoverController {
+        let mut judge = FailoverController::new(s);
         for zone in &stands.zones {
-            if zone.state == State::Out {
-                judge.lanes.insert((None, zone.zone.clone()), Lane::out(now, &s));
-                judge.lanes.insert((Some(zone.zone.clone()), zone.zone.clone()), Lane::out(now, &s));
+            if zone.state == ZoneState::Out {
+                judge.lanes.insert((None, zone.zone.clone()), ZonePath::out(now, &s));
+                judge.lanes.insert((Some(zone.zone.clone()), zone.zone.clone()), ZonePath::out(now, &s));
             }
         }
         // A ramp that had begun may have gone on since: its end is taken for what is in effect.
@@ -225,9 +225,9 @@
     ///
     /// # Errors
     /// When it can't be, or is old: nothing has changed then.
-    pub fn heard(&mut self, now: u64, sent_ms: u64, report: Report) -> Result<(), Refused> {
+    pub fn record_report(&mut self, now: u64, sent_ms: u64, report: Report) -> Result<(), RejectedReport> {
         if let Err(why) = report.check() {
-            self.counts.refused += 1;
+            self.counts.rejected += 1;
             return Err(why);
         }
         let stale = self.s.stale_ms;
@@ -245,24 +245,24 @@
                 // A clock that only goes forward can't have been so far off before.
                 let jumped = took < known.way.0 - JUMP_MOST;
                 if report.number <= known.number || took - way.0 > stale as f64 || jumped {
-                    self.counts.old += 1;
-                    return Err(Refused(format!(
+                    self.counts.outdated += 1;
+                    return Err(RejectedReport(format!(
                         "number: {}; it was overtaken, or too long on its way",
                         report.number
                     )));
                 }
             } else if fresh && report.life < known.life {
-                self.counts.old += 1;
-                return Err(Refused(format!(
+                self.counts.outdated += 1;
+                return Err(RejectedReport(format!(
                     "life: {}; that of {} is {}",
                     report.life, report.agent, known.life
                 )));
             }
         } else if self.agents.len() >= AGENTS_MOST {
-            self.counts.refused += 1;
-            return Err(Refused(format!("agent: {AGENTS_MOST} at the most")));
+            self.counts.rejected += 1;
+            return Err(RejectedReport(format!("agent: {AGENTS_MOST} at the most")));
         }
-        self.counts.heard += 1;
+        self.counts.accepted += 1;
         let s = self.s;
         let agent = self.agents.entry(report.agent.clone()).or_insert_with(|| Agent {
             life: report.life,
@@ -299,8 +299,8 @@
     }
 
     /// What operators intend now.
-    pub fn intends(&mut self, now: u64, drains: &[Drain]) {
-        for drain in drains.iter().take(ZONES_MOST) {
+    pub fn set_drains(&mut self, now: u64, drains: &[Drain]) {
+        for drain in drains.iter().take(MAX_ZONES) {
             let known = self.taps.get(&drain.zone);
             if known.is_some_and(|t| t.to == 0.0 && t.force == drain.force) {
                 continue;
@@ -331,10 +331,10 @@
             names.extend(agent.places.iter().map(|p| p.zone.as_str()));
         }
         let mut known = Vec::new();
-        for name in names.into_iter().take(ZONES_MOST) {
-            let places: Vec<&Place> =
+        for name in names.into_iter().take(MAX_ZONES) {
+            let places: Vec<&ZoneCapacity> =
                 self.fresh(now).flat_map(|a| a.places.iter().filter(|p| p.zone == name)).collect();
-            let of = |pick: fn(&Place) -> f64| middle(places.iter().map(|p| pick(p)).collect());
+            let of = |pick: fn(&ZoneCapacity) -> f64| middle(places.iter().map(|p| pick(p)).collect());
             known.push(Known {
                 name: name.to_string(),
                 servers: of(|p| f64::from(p.servers)) as u32,
@@ -398,7 +398,7 @@
     }
 
     /// Time has passed. Gives a decision when there is a new one to make.
-    pub fn turn(&mut self, now: u64) -> Option<Decision> {
+    pub fn tick(&mut self, now: u64) -> Option<Decision> {
         let s = self.s;
         self.agents.values_mut().for_each(|a| a.fade(now, &s));
         let forget = self.s.forget_ms;
@@ -461,7 +461,7 @@
     }
 
     fn shut(&self, from: Option<&str>, to: &str) -> bool {
-        self.lanes.get(&(from.map(str::to_string), to.to_string())).is_some_and(Lane::shut)
+        self.lanes.get(&(from.map(str::to_string), to.to_string())).is_some_and(ZonePath::shut)
     }
 
     /// Zones that reach their own servers and none of the others', while some other is well by its own word.
@@ -478,7 +478,13 @@
     }
 
     /// What goes where, now or at the end of all ways back.
-    fn flows(&self, now: u64, known: &[Known], at_end: bool, drained: Option<&str>) -> (Given, Flows) {
+    fn flows(
+        &self,
+        now: u64,
+        known: &[Known],
+        at_end: bool,
+        drained: Option<&str>,
+    ) -> (AllocationInput, Allocation) {
         let n = known.len();
         let fill = f64::from(self.s.fill_milli) / 1000.0;
         let pick = |(start, end): (f64, f64)| if at_end { end } else { start };
@@ -503,19 +509,25 @@
             Some(tap) => pick((tap.at(now), tap.to)),
             None => 1.0,
         };
-        let given = Given {
+        let given = AllocationInput {
             need: known.iter().map(|k| k.need).collect(),
             bears: bears.collect(),
             part: parts,
             drained: known.iter().map(tap).collect(),
             forced: known.iter().map(|k| self.taps.get(&k.name).is_some_and(|t| t.force)).collect(),
         };
-        let flows = share_out(&given);
+        let flows = allocate(&given);
         (given, flows)
     }
 
     /// The shares of one zone's traffic, in thousandths: near, elsewhere, and of that what may only come on top.
-    fn shares(&self, known: &[Known], given: &Given, flows: &Flows, f: usize) -> (u32, Vec<u32>) {
+    fn shares(
+        &self,
+        known: &[Known],
+        given: &AllocationInput,
+        flows: &Allocation,
+        f: usize,
+    ) -> (u32, Vec<u32>) {
         let need = given.need[f].max(1e-6);
         let milli = |x: f64| (1000.0 * x).clamp(0.0, 1000.0);
         let idle = given.need[f] < 0.01;
@@ -546,27 +558,29 @@
     }
 
     /// What is thought of a zone, by its lanes and by hand.
-    fn state(&self, zone: &str, cut: Option<&BTreeSet<String>>) -> State {
+    fn state(&self, zone: &str, cut: Option<&BTreeSet<String>>) -> ZoneState {
         if cut.is_some_and(|c| c.contains(zone)) {
-            return State::CutOff;
+            return ZoneState::CutOff;
         }
         let of = |from: Option<&str>| {
             let lane = self.lanes.get(&(from.map(str::to_string), zone.to_string()));
-            match lane.map_or(Phase::Serving, Lane::phase) {
-                Phase::Serving => State::Serving,
-                Phase::Shedding(_) => State::Shedding,
-                Phase::Out { .. } => State::Out,
-                Phase::Coming { .. } => State::ComingBack,
+            match lane.map_or(Phase::Serving, ZonePath::phase) {
+                Phase::Serving => ZoneState::Serving,
+                Phase::Shedding(_) => ZoneState::Shedding,
+                Phase::Out { .. } => ZoneState::Out,
+                Phase::Coming { .. } => ZoneState::ComingBack,
             }
         };
-        let rank = |s: State| {
-            [State::Serving, State::ComingBack, State::Shedding, State::Out].iter().position(|x| *x == s)
+        let rank = |s: ZoneState| {
+            [ZoneState::Serving, ZoneState::ComingBack, ZoneState::Shedding, ZoneState::Out]
+                .iter()
+                .position(|x| *x == s)
         };
         let (own, all) = (of(Some(zone)), of(None));
         let worst = if rank(own) > rank(all) { own } else { all };
         match self.taps.get(zone) {
-            Some(tap) if tap.to == 0.0 && worst != State::Out => State::Shedding,
-            Some(_) if worst == State::Serving => State::ComingBack,
+            Some(tap) if tap.to == 0.0 && worst != ZoneState::Out => ZoneState::Shedding,
+            Some(_) if worst == ZoneState::Serving => ZoneState::ComingBack,
             _ => worst,
         }
     }
@@ -595,25 +609,25 @@
                 if k.servers > 0 && self.tries(&k.name) { milli.max(TRIES_MILLI) } else { milli }
             };
             let shares = Share { start: tried(near), end: tried(near_end) };
-            rows.push(Row { from: k.name.clone(), near: shares, spill });
+            rows.push(RoutingRow { from: k.name.clone(), near: shares, spill });
             let suffers = self.judged(now, &cut, &k.name, CLASS_LEAST, Over::Window);
             let mut state = self.state(&k.name, Some(&cut));
             let tight = k.size > 0.0 && near < NEAR_LEAST && near_end < NEAR_LEAST;
-            let short = state == State::Serving && tight;
+            let short = state == ZoneState::Serving && tight;
             if short {
-                state = State::Shedding;
+                state = ZoneState::Shedding;
             }
             let why = match (state, suffers) {
                 _ if self.taps.get(&k.name).is_some_and(|t| t.to == 0.0) => "drained by hand".into(),
-                (State::Serving | State::ComingBack, _) => String::new(),
-                (State::CutOff, _) => "it reaches its own servers alone".into(),
+                (ZoneState::Serving | ZoneState::ComingBack, _) => String::new(),
+                (ZoneState::CutOff, _) => "it reaches its own servers alone".into(),
                 _ if k.servers == 0 => "no server is listed".into(),
                 _ if short => SHORT.into(),
                 (_, Some(x)) => format!("{:.0}% of its requests suffer", 100.0 * x),
                 _ => "its requests suffered".into(),
             };
             let milli = |x: f64| (x.max(0.0) * 1000.0).round() as u64;
-            zones.push(ZoneWord {
+            zones.push(ZoneAssessment {
                 zone: k.name.clone(),
                 state,
                 why,
@@ -628,11 +642,11 @@
     /// Whether it says something that the one in effect does not.
     fn is_new(&self, now: u64, new: &Decision) -> bool {
         let Some((last, at)) = &self.last else { return true };
-        let states = |d: &Decision| -> Vec<(String, State)> {
+        let states = |d: &Decision| -> Vec<(String, ZoneState)> {
             // Who comes back is there at the end of its way, without another word; who is short of room is told by figures.
-            let plain = |z: &ZoneWord| match z.state {
-                State::ComingBack => State::Serving,
-                State::Shedding if z.why == SHORT => State::Serving,
+            let plain = |z: &ZoneAssessment| match z.state {
+                ZoneState::ComingBack => ZoneState::Serving,
+                ZoneState::Shedding if z.why == SHORT => ZoneState::Serving,
                 s => s,
             };
             d.zones.iter().map(|z| (z.zone.clone(), plain(z))).collect()
@@ -643,8 +657,8 @@
         let gone = now.saturating_sub(*at);
         // A way that is shut is told soon, whatever is thought of its zone; several that shut together in one word.
         let none = Share::default();
-        let of = |r: &Row, to: &str| r.spill.iter().find(|s| s.to == to).map_or(none, |s| s.share);
-        let shuts = |row: &Row| {
+        let of = |r: &RoutingRow, to: &str| r.spill.iter().find(|s| s.to == to).map_or(none, |s| s.share);
+        let shuts = |row: &RoutingRow| {
             let Some(old) = last.row(&row.from) else { return false };
             let shut =
                 |was: Share, is: Share| was.at(gone, last.ramp_ms) > SHUT && is.start == 0 && is.end == 0;
@@ -672,35 +686,39 @@
     ///
     /// # Errors
     /// With the figures, when they can't.
-    pub fn can_drain(&self, now: u64, zone: &str) -> Result<(), Short> {
+    pub fn can_drain(&self, now: u64, zone: &str) -> Result<(), CapacityShortfall> {
         let known = self.known(now);
         let (mut given, _) = self.flows(now, &known, false, Some(zone));
         // A zone that is being drained already is no help.
         for (k, forced) in known.iter().zip(&mut given.forced) {
             *forced |= k.name == zone || self.taps.get(&k.name).is_some_and(|t| t.to == 0.0);
         }
-        let flows = share_out(&given);
-        let left: f64 = flows.left.iter().sum();
-        if left <= 1e-6 {
+        let flows = allocate(&given);
+        let shortfall: f64 = flows.left.iter().sum();
+        if shortfall <= 1e-6 {
             return Ok(());
         }
         let others = given.bears.iter().zip(&given.forced).filter(|(_, gone)| !**gone);
-        Err(Short { needs: given.need.iter().sum(), bears: others.map(|(b, _)| b).sum(), left })
+        Err(CapacityShortfall {
+            demand: given.need.iter().sum(),
+            capacity: others.map(|(b, _)| b).sum(),
+            shortfall,
+        })
     }
 
     /// Whether a zone is known.
     #[must_use]
-    pub fn knows(&self, now: u64, zone: &str) -> bool {
+    pub fn knows_zone(&self, now: u64, zone: &str) -> bool {
         self.known(now).iter().any(|k| k.name == zone)
     }
 
     /// What it goes by.
     #[must_use]
-    pub fn view(&self, now: u64) -> View {
+    pub fn view(&self, now: u64) -> FailoverView {
         let one = |(name, a): (&String, &Agent)| {
             let age = now.saturating_sub(a.at);
             (name.clone(), a.zone.clone(), age, age <= self.s.stale_ms)
         };
-        View { agents: self.agents.iter().map(one).collect(), counts: self.counts }
+        FailoverView { agents: self.agents.iter().map(one).collect(), counts: self.counts }
     }
 }
--- a/crates/zones/src/lib.rs
+++ b/crates/zones/src/lib.rs
@@ -7,7 +7,7 @@
 //! them saw and makes one numbered decision: how much of each zone's traffic may go where.
 //!
 //! - [`Report`]: evidence. It may be lost, old or false; what can't be is refused whole.
-//! - [`Judge`]: from reports and operators' intents to a [`Decision`], by the owner's own clock.
+//! - [`FailoverController`]: from reports and operators' intents to a [`Decision`], by the owner's own clock.
 //! - [`Decision`]: a row for each zone that traffic comes from, as shares that move from one value to another over a stated
 //!   time, so that a way back in steps is one decision and not many.
 //!
@@ -15,16 +15,16 @@
 //! and a floor has the last word: no zone is sent more than it bears by what is known of it, and where no zone is left all
 //! are open.
 
+mod allocation;
 mod decision;
-mod flow;
-mod judge;
-mod lane;
+mod failover;
 mod report;
 mod settings;
+mod zone_path;
 
-pub use decision::{BODY_MOST, Decision, Row, Share, Spill, State, ZoneWord};
-pub use flow::{Flows, Given, share_out};
-pub use judge::{Counts, Judge, Short, View};
-pub use lane::{Lane, Look, Phase};
-pub use report::{Drain, Line, Place, Refused, Report, ZONES_MOST};
+pub use allocation::{Allocation, AllocationInput, allocate};
+pub use decision::{Decision, MAX_DECISION_BYTES, RoutingRow, Share, Spill, ZoneAssessment, ZoneState};
+pub use failover::{CapacityShortfall, FailoverController, FailoverView, ReportCounts};
+pub use report::{AttemptCounts, Drain, MAX_ZONES, RejectedReport, Report, ZoneCapacity};
 pub use settings::Settings;
+pub use zone_path::{PathObservation, Phase, ZonePath};
--- a/crates/zones/src/report.rs
+++ b/crates/zones/src/report.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeSet;
 
 /// Zones of one fleet.
-pub const ZONES_MOST: usize = 64;
+pub const MAX_ZONES: usize = 64;
 /// Classes of requests.
 const CLASSES_MOST: u32 = 64;
 /// More of anything within one report can't be.
@@ -14,7 +14,7 @@
 
 /// Attempts of one class at the servers of one zone.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Line {
+pub struct AttemptCounts {
     /// The servers' zone.
     pub to: String,
     /// The class's number.
@@ -29,7 +29,7 @@
 
 /// A zone as it is listed.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Place {
+pub struct ZoneCapacity {
     /// Its name.
     pub zone: String,
     /// Servers that may be sent to.
@@ -56,28 +56,28 @@
     /// What their requests need, whether or not they were sent on: requests worked on at once, on average.
     pub need: f64,
     /// Attempts.
-    pub lines: Vec<Line>,
+    pub lines: Vec<AttemptCounts>,
     /// Zones.
-    pub places: Vec<Place>,
+    pub places: Vec<ZoneCapacity>,
 }
 
 /// Why a report is not taken: the field, and what it may be.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Refused(pub String);
+pub struct RejectedReport(pub String);
 
-fn name(field: &str, text: &str) -> Result<(), Refused> {
+fn name(field: &str, text: &str) -> Result<(), RejectedReport> {
     let fits = |c: char| !c.is_control() && c != '/';
     if (1..=NAME_MOST).contains(&text.len()) && text.chars().all(fits) {
         return Ok(());
     }
-    Err(Refused(format!("{field}: 1 to {NAME_MOST} bytes that can be printed, without a slash")))
+    Err(RejectedReport(format!("{field}: 1 to {NAME_MOST} bytes that can be printed, without a slash")))
 }
 
-fn amount(field: &str, value: f64) -> Result<(), Refused> {
+fn amount(field: &str, value: f64) -> Result<(), RejectedReport> {
     if value.is_finite() && (0.0..=AMOUNT_MOST).contains(&value) {
         return Ok(());
     }
-    Err(Refused(format!("{field}: {value}; 0 to {AMOUNT_MOST}")))
+    Err(RejectedReport(format!("{field}: {value}; 0 to {AMOUNT_MOST}")))
 }
 
 impl Report {
@@ -85,15 +85,15 @@
     ///
     /// # Errors
     /// With the first field that can't.
-    pub fn check(&self) -> Result<(), Refused> {
+    pub fn check(&self) -> Result<(), RejectedReport> {
         name("agent", &self.agent)?;
         name("zone", &self.zone)?;
         amount("need", self.need)?;
         if self.number == 0 {
-            return Err(Refused("number: from 1".into()));
+            return Err(RejectedReport("number: from 1".into()));
         }
-        if self.places.len() > ZONES_MOST {
-            return Err(Refused(format!("places: {}; {ZONES_MOST} at the most", self.places.len())));
+        if self.places.len() > MAX_ZONES {
+            return Err(RejectedReport(format!("places: {}; {MAX_ZONES} at the most", self.places.len())));
         }
         let mut zones = BTreeSet::new();
         for p in &self.places {
@@ -101,10 +101,10 @@
             amount("places.size", p.size)?;
             amount("places.warm", p.warm)?;
             if !zones.insert(p.zone.as_str()) {
-                return Err(Refused(format!("places: zone {} is there twice", p.zone)));
+                return Err(RejectedReport(format!("places: zone {} is there twice", p.zone)));
             }
             if p.warm > p.size * 1.001 || p.servers > COUNT_MOST || (p.servers == 0 && p.size > 0.0) {
-                return Err(Refused(format!(
+                return Err(RejectedReport(format!(
                     "places: zone {}: more warm than there is, or no servers",
                     p.zone
                 )));
@@ -113,17 +113,23 @@
         let mut lines = BTreeSet::new();
         for l in &self.lines {
             if !zones.contains(l.to.as_str()) {
-                return Err(Refused(format!("lines.to: zone {:?} is not among the places", short(&l.to))));
+                return Err(RejectedReport(format!(
+                    "lines.to: zone {:?} is not among the places",
+                    short(&l.to)
+                )));
             }
             if l.class >= CLASSES_MOST {
-                return Err(Refused(format!("lines.class: {}; below {CLASSES_MOST}", l.class)));
+                return Err(RejectedReport(format!("lines.class: {}; below {CLASSES_MOST}", l.class)));
             }
             if !lines.insert((l.to.as_str(), l.class)) {
-                return Err(Refused(format!("lines: zone {}, class {} is there twice", l.to, l.class)));
+                return Err(RejectedReport(format!(
+                    "lines: zone {}, class {} is there twice",
+                    l.to, l.class
+                )));
             }
             let sum = u64::from(l.bad) + u64::from(l.late);
             if l.attempts > COUNT_MOST || sum > u64::from(l.attempts) {
-                return Err(Refused(format!("lines: zone {}: more failed than were tried", l.to)));
+                return Err(RejectedReport(format!("lines: zone {}: more failed than were tried", l.to)));
             }
         }
         Ok(())
@@ -148,7 +154,7 @@
     use super::*;
 
     pub(crate) fn sound() -> Report {
-        let place = |zone: &str| Place { zone: zone.into(), servers: 2, size: 4.0, warm: 4.0 };
+        let place = |zone: &str| ZoneCapacity { zone: zone.into(), servers: 2, size: 4.0, warm: 4.0 };
         Report {
             agent: "a1".into(),
             life: 1,
@@ -156,7 +162,7 @@
             zone: "a".into(),
             gatekeepers: 2,
             need: 3.0,
-            lines: vec![Line { to: "b".into(), class: 0, attempts: 10, bad: 3, late: 7 }],
+            lines: vec![AttemptCounts { to: "b".into(), class: 0, attempts: 10, bad: 3, late: 7 }],
             places: vec![place("a"), place("b")],
         }
     }
--- a/crates/zones/src/lane.rs
+++ b/crates/zones/src/zone_path.rs
@@ -43,7 +43,7 @@
 
 /// What is seen of a lane.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Look {
+pub struct PathObservation {
     /// The part that suffers, over the window and of late, where enough was tried.
     pub suffers: Option<f64>,
     /// See `suffers`.
@@ -58,7 +58,7 @@
 
 /// One lane.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Lane {
+pub struct ZonePath {
     phase: Phase,
     /// Since when what is seen speaks for another phase.
     bad_since: Option<u64>,
@@ -73,9 +73,9 @@
     trying: Option<u64>,
 }
 
-impl Default for Lane {
+impl Default for ZonePath {
     fn default() -> Self {
-        Lane {
+        ZonePath {
             phase: Phase::Serving,
             bad_since: None,
             grey_since: None,
@@ -99,12 +99,12 @@
     at.map(|at| now.saturating_sub(at))
 }
 
-impl Lane {
+impl ZonePath {
     /// One that a former owner's decision left out: this owner does not know since when, so it is held anew.
     #[must_use]
-    pub fn out(now: u64, s: &Settings) -> Lane {
+    pub fn out(now: u64, s: &Settings) -> ZonePath {
         let until = now + s.hold_ms;
-        Lane { phase: Phase::Out { until }, hold: s.hold_ms, last_out: Some(now), ..Lane::default() }
+        ZonePath { phase: Phase::Out { until }, hold: s.hold_ms, last_out: Some(now), ..ZonePath::default() }
     }
 
     /// How it is.
@@ -162,7 +162,7 @@
     }
 
     /// Whether it goes back, by what tries it.
-    fn tried(&mut self, now: u64, seen: Look, s: &Settings) -> bool {
+    fn tried(&mut self, now: u64, seen: PathObservation, s: &Settings) -> bool {
         if !seen.tries {
             return true;
         }
@@ -183,8 +183,8 @@
     }
 
     /// Takes in what is seen now. True if the phase is another one.
-    pub fn look(&mut self, now: u64, seen: Look, s: &Settings) -> bool {
-        let Look { suffers, quick, there, .. } = seen;
+    pub fn look(&mut self, now: u64, seen: PathObservation, s: &Settings) -> bool {
+        let PathObservation { suffers, quick, there, .. } = seen;
         let milli = |m: u32| f64::from(m) / 1000.0;
         let (grey_at, out_at) = (milli(s.grey_milli), milli(s.out_milli));
         let bad = [suffers, quick].into_iter().flatten().any(|x| x >= out_at);
@@ -249,11 +249,16 @@
         Settings::default()
     }
 
-    fn tried(suffers: Option<f64>) -> Look {
-        Look { suffers, quick: suffers, trial: None, tries: false, there: true }
+    fn tried(suffers: Option<f64>) -> PathObservation {
+        PathObservation { suffers, quick: suffers, trial: None, tries: false, there: true }
     }
 
-    fn play(lane: &mut Lane, from: u64, to: u64, suffers: impl Fn(u64) -> Option<f64>) -> Vec<(u64, Phase)> {
+    fn play(
+        lane: &mut ZonePath,
+        from: u64,
+        to: u64,
+        suffers: impl Fn(u64) -> Option<f64>,
+    ) -> Vec<(u64, Phase)> {
         let mut seen = Vec::new();
         for now in (from..to).step_by(100) {
             if lane.look(now, tried(suffers(now)), &s()) {
@@ -265,7 +270,7 @@
 
     #[test]
     fn a_lost_zone_goes_out_once_and_comes_back_in_one_way() {
-        let mut lane = Lane::default();
+        let mut lane = ZonePath::default();
         let seen = play(&mut lane, 0, 27_000, |now| match now {
             1000..3500 => Some(1.0),
             3500..6000 => None,
@@ -287,12 +292,13 @@
     /// Nothing is decided on while it is tried in vain: a loss and a way back are two changes, however long it takes.
     #[test]
     fn one_that_is_tried_in_vain_stays_out_and_comes_back_when_a_trial_goes_well() {
-        let mut lane = Lane::default();
+        let mut lane = ZonePath::default();
         let mut kinds = Vec::new();
         for now in (0..60_000).step_by(100) {
             let well = !(1000..20_000).contains(&now);
             let suffers = Some(if well { 0.0 } else { 1.0 });
-            let looked = Look { suffers, quick: suffers, trial: suffers, tries: true, there: true };
+            let looked =
+                PathObservation { suffers, quick: suffers, trial: suffers, tries: true, there: true };
             let before = matches!(lane.phase(), Phase::Out { .. });
             lane.look(now, looked, &s());
             let out = matches!(lane.phase(), Phase::Out { .. });
@@ -303,8 +309,8 @@
         assert_eq!(kinds.len(), 2, "{kinds:?}");
         assert!(kinds[0] == (1300, true) && (20_000..22_000).contains(&kinds[1].0), "{kinds:?}");
         // Where the trial shows nothing for long, the way back is tried all the same.
-        let mut lane = Lane::out(0, &s());
-        let blind = Look { suffers: None, quick: None, trial: None, tries: true, there: true };
+        let mut lane = ZonePath::out(0, &s());
+        let blind = PathObservation { suffers: None, quick: None, trial: None, tries: true, there: true };
         let back = (0..60_000).step_by(100).find(|now| {
             lane.look(*now, blind, &s());
             !matches!(lane.phase(), Phase::Out { .. })
@@ -314,7 +320,7 @@
 
     #[test]
     fn one_bad_look_is_not_enough_and_few_attempts_say_nothing() {
-        let mut lane = Lane::default();
+        let mut lane = ZonePath::default();
         assert!(!lane.look(0, tried(Some(1.0)), &s()));
         assert!(!lane.look(200, tried(Some(0.0)), &s()));
         assert!(!lane.look(400, tried(None), &s()));
@@ -323,7 +329,7 @@
 
     #[test]
     fn one_that_flaps_is_held_out_for_growing_times() {
-        let mut lane = Lane::default();
+        let mut lane = ZonePath::default();
         // Down for three seconds in every six, for a minute.
         let seen = play(&mut lane, 0, 60_000, |now| Some(if now % 6000 < 3000 { 1.0 } else { 0.0 }));
         let outs: Vec<u64> =
@@ -334,7 +340,7 @@
 
     #[test]
     fn one_that_is_shed_so_far_that_nothing_is_seen_is_tried_again() {
-        let mut lane = Lane::default();
+        let mut lane = ZonePath::default();
         play(&mut lane, 0, 2000, |_| Some(0.6));
         assert!(lane.shut());
         let after = play(&mut lane, 2000, 30_000, |_| None);
@@ -343,7 +349,7 @@
 
     #[test]
     fn a_grey_zone_is_sent_less_and_one_without_servers_is_out() {
-        let mut lane = Lane::default();
+        let mut lane = ZonePath::default();
         play(&mut lane, 0, 1000, |_| Some(0.3));
         assert!(matches!(lane.phase(), Phase::Shedding(part) if (0.3..0.5).contains(&part)), "{lane:?}");
         play(&mut lane, 1000, 6000, |_| Some(0.6));
@@ -351,7 +357,7 @@
         assert!(lane.shut());
         play(&mut lane, 6000, 16_000, |_| Some(0.0));
         assert_eq!(lane.phase(), Phase::Serving);
-        let none = Look { there: false, ..tried(None) };
+        let none = PathObservation { there: false, ..tried(None) };
         assert!(lane.look(16_000, none, &s()));
         assert!(matches!(lane.phase(), Phase::Out { .. }));
         assert!(!lane.look(24_000, none, &s()), "as long as it has none");
