--- a/crates/zones/tests/judge.rs
+++ b/crates/zones/tests/failover.rs
@@ -1,7 +1,9 @@
 //! The judge over a small closed loop: zones of servers that bear so much, agents that report what their requests met, and
 //! gatekeepers that do what was decided, with faults by seed.
 
-use frostvale_zones::{Decision, Drain, Judge, Line, Place, Report, Settings, State};
+use frostvale_zones::{
+    AttemptCounts, Decision, Drain, FailoverController, Report, Settings, ZoneCapacity, ZoneState,
+};
 
 const NAMES: [&str; 3] = ["a", "b", "c"];
 /// An agent reports this often, in ms.
@@ -42,7 +44,7 @@
     mute: Vec<usize>,
     liar: Option<usize>,
     agents: usize,
-    judge: Judge,
+    judge: FailoverController,
     now: u64,
     number: u64,
     lots: Lots,
@@ -65,7 +67,7 @@
             mute: vec![],
             liar: None,
             agents,
-            judge: Judge::new(s),
+            judge: FailoverController::new(s),
             now: 0,
             number: 0,
             lots: Lots(seed),
@@ -146,7 +148,7 @@
                 let attempts = attempts.floor() + f64::from(u8::from(self.lots.part() < attempts.fract()));
                 let bad = (attempts * fails[f][t]).round();
                 let bad = if self.liar == Some(a) { attempts } else { bad };
-                lines.push(Line {
+                lines.push(AttemptCounts {
                     to: (*name).into(),
                     class: 0,
                     attempts: attempts as u32,
@@ -154,7 +156,7 @@
                     late: 0,
                 });
             }
-            let place = |(k, z): (usize, &Zone)| Place {
+            let place = |(k, z): (usize, &Zone)| ZoneCapacity {
                 zone: NAMES[k].into(),
                 servers: if z.listed { 4 } else { 0 },
                 size: if z.listed { z.size } else { 0.0 },
@@ -170,9 +172,9 @@
                 lines,
                 places: self.zones.iter().enumerate().map(place).collect(),
             };
-            let _ = self.judge.heard(self.now, self.now - 1, report);
+            let _ = self.judge.record_report(self.now, self.now - 1, report);
         }
-        if let Some(decision) = self.judge.turn(self.now) {
+        if let Some(decision) = self.judge.tick(self.now) {
             assert_eq!(decision.check(), Ok(()), "{decision:?}");
             self.decided.push((self.now, decision));
         }
@@ -191,9 +193,9 @@
         }
     }
 
-    fn state(&self, zone: usize) -> State {
+    fn state(&self, zone: usize) -> ZoneState {
         let (_, d) = self.decided.last().expect("decided");
-        d.zones.iter().find(|z| z.zone == NAMES[zone]).map_or(State::Serving, |z| z.state)
+        d.zones.iter().find(|z| z.zone == NAMES[zone]).map_or(ZoneState::Serving, |z| z.state)
     }
 
     /// The part served from one second on and before another.
@@ -204,8 +206,8 @@
 
     /// When what was decided, in short.
     fn told(&self) -> String {
-        let zone = |z: &frostvale_zones::ZoneWord| format!("{} {}", z.zone, z.state);
-        let row = |r: &frostvale_zones::Row| format!("{}:{}-{}", r.from, r.near.start, r.near.end);
+        let zone = |z: &frostvale_zones::ZoneAssessment| format!("{} {}", z.zone, z.state);
+        let row = |r: &frostvale_zones::RoutingRow| format!("{}:{}-{}", r.from, r.near.start, r.near.end);
         let one = |(at, d): &(u64, Decision)| {
             let zones: Vec<String> = d.zones.iter().map(zone).collect();
             let rows: Vec<String> = d.rows.iter().map(row).collect();
@@ -237,7 +239,7 @@
     w.run(10_000);
     w.zones[1].fails = 1.0;
     w.run(5000);
-    assert_eq!((w.state(1), w.since(10_000)), (State::Out, 1), "{:?}", w.decided);
+    assert_eq!((w.state(1), w.since(10_000)), (ZoneState::Out, 1), "{:?}", w.decided);
     let agreed = w.decided[1].0 + LAG - 10_000;
     assert!(agreed <= 1500, "in effect {agreed} ms after the loss");
     assert!(w.served(12_000, 15_000) > 0.99, "{}", w.served(12_000, 15_000));
@@ -261,12 +263,12 @@
     w.run(10_000);
     w.cut = vec![(2, 0), (2, 1), (0, 2), (1, 2)];
     w.run(5000);
-    assert_eq!((w.state(0), w.state(1)), (State::Serving, State::Serving), "{:?}", w.decided.last());
-    assert_eq!(w.state(2), State::CutOff);
+    assert_eq!((w.state(0), w.state(1)), (ZoneState::Serving, ZoneState::Serving), "{:?}", w.decided.last());
+    assert_eq!(w.state(2), ZoneState::CutOff);
     assert!(w.shares(2)[2] > 0.5, "its own servers serve its own: {:?}", w.shares(2));
     w.cut.clear();
     w.run(20_000);
-    assert!(w.state(2) != State::CutOff && w.shares(2)[0] + w.shares(2)[1] > 0.2, "{:?}", w.shares(2));
+    assert!(w.state(2) != ZoneState::CutOff && w.shares(2)[0] + w.shares(2)[1] > 0.2, "{:?}", w.shares(2));
 }
 
 #[test]
@@ -275,7 +277,7 @@
     w.run(10_000);
     w.cut = vec![(0, 1), (1, 0)];
     w.run(10_000);
-    assert!([0, 1].iter().all(|z| w.state(*z) != State::Out), "{:?}", w.decided.last());
+    assert!([0, 1].iter().all(|z| w.state(*z) != ZoneState::Out), "{:?}", w.decided.last());
     assert!([0, 1].iter().all(|z| w.shares(*z)[*z] > 0.9), "{:?} {:?}", w.shares(0), w.shares(1));
 }
 
@@ -286,7 +288,7 @@
     w.run(10_000);
     w.cut = vec![(0, 1), (2, 1)];
     w.run(8000);
-    assert!(w.state(1) != State::Out && w.shares(1)[1] > 0.99, "{}", w.told());
+    assert!(w.state(1) != ZoneState::Out && w.shares(1)[1] > 0.99, "{}", w.told());
     assert!(w.shares(0)[1] < 0.1 && w.shares(2)[1] < 0.1, "{:?} {:?} {}", w.shares(0), w.shares(2), w.told());
 }
 
@@ -298,7 +300,7 @@
     w.run(3000);
     w.most = 0.0;
     w.run(15_000);
-    assert_eq!((w.state(0), w.state(1)), (State::Out, State::Out));
+    assert_eq!((w.state(0), w.state(1)), (ZoneState::Out, ZoneState::Out));
     assert!(w.most <= 0.85, "{} of what it bears", w.most);
     let sent: f64 = (0..3).map(|f| w.shares(f)[2] * 300.0 * 0.02).sum();
     assert!(sent > 7.0, "{sent} of the 8 that it may be filled to");
@@ -341,11 +343,11 @@
     w.run(10_000);
     w.liar = Some(4);
     w.run(30_000);
-    assert!((0..3).all(|z| w.state(z) == State::Serving), "{:?}", w.decided.last());
+    assert!((0..3).all(|z| w.state(z) == ZoneState::Serving), "{:?}", w.decided.last());
     assert!(w.served(11_000, 40_000) > 0.99);
     // One report that was 30 s on its way.
     let sums = w.judge.view(w.now).counts;
-    let place = |zone: &str| Place { zone: zone.into(), servers: 4, size: 10.0, warm: 10.0 };
+    let place = |zone: &str| ZoneCapacity { zone: zone.into(), servers: 4, size: 10.0, warm: 10.0 };
     let old = Report {
         agent: "agent0".into(),
         life: 1,
@@ -353,13 +355,13 @@
         zone: "a".into(),
         gatekeepers: 1,
         need: 1.0,
-        lines: vec![Line { to: "b".into(), class: 0, attempts: 5000, bad: 5000, late: 0 }],
+        lines: vec![AttemptCounts { to: "b".into(), class: 0, attempts: 5000, bad: 5000, late: 0 }],
         places: NAMES.map(place).into(),
     };
-    assert!(w.judge.heard(w.now, w.now - 30_000, old).is_err());
-    assert_eq!(w.judge.view(w.now).counts.old, sums.old + 1);
+    assert!(w.judge.record_report(w.now, w.now - 30_000, old).is_err());
+    assert_eq!(w.judge.view(w.now).counts.outdated, sums.outdated + 1);
     // Nor one that was sent tomorrow.
-    let place = |zone: &str| Place { zone: zone.into(), servers: 4, size: 10.0, warm: 10.0 };
+    let place = |zone: &str| ZoneCapacity { zone: zone.into(), servers: 4, size: 10.0, warm: 10.0 };
     let early = Report {
         agent: "agent0".into(),
         life: 1,
@@ -370,7 +372,7 @@
         lines: vec![],
         places: NAMES.map(place).into(),
     };
-    assert!(w.judge.heard(w.now, w.now + 86_400_000, early).is_err());
+    assert!(w.judge.record_report(w.now, w.now + 86_400_000, early).is_err());
 }
 
 #[test]
@@ -393,7 +395,7 @@
     w.run(10_000);
     assert_eq!(w.judge.can_drain(w.now, "b"), Ok(()));
     let drain = [Drain { zone: "b".into(), force: false }];
-    w.judge.intends(w.now, &drain);
+    w.judge.set_drains(w.now, &drain);
     w.run(2000);
     let part = w.shares(1)[1];
     assert!((0.5..0.95).contains(&part), "{part} after a quarter of its time");
@@ -401,8 +403,8 @@
     assert!(w.shares(1)[1] < 0.01 && w.served(10_000, 20_000) > 0.99, "{:?}", w.shares(1));
     assert_eq!(w.since(10_000), 1, "{:?}", w.decided);
     let short = w.judge.can_drain(w.now, "a").expect_err("too much for one, as b is no help");
-    assert!(short.left > 1.0 && short.needs > short.bears, "{short:?}");
-    w.judge.intends(w.now, &[]);
+    assert!(short.shortfall > 1.0 && short.demand > short.capacity, "{short:?}");
+    w.judge.set_drains(w.now, &[]);
     w.run(12_000);
     assert!(w.shares(1)[1] > 0.99, "{:?}", w.shares(1));
 }
@@ -415,9 +417,9 @@
     w.run(3000);
     let (_, stands) = w.decided.last().cloned().expect("decided");
     let s = Settings { slots_milli: 1000, ..Settings::default() };
-    w.judge = Judge::resume(s, stands, w.now);
+    w.judge = FailoverController::resume(s, stands, w.now);
     w.run(900);
-    assert_eq!(w.state(1), State::Out);
+    assert_eq!(w.state(1), ZoneState::Out);
     assert!(w.since(13_000) <= 1, "{:?}", w.decided);
     w.zones[1].fails = 0.0;
     w.run(28_000);
--- a/src/bin/frostvale/acts.rs
+++ b/src/bin/frostvale/applied_versions.rs
@@ -1,15 +1,17 @@
 //! What this gatekeeper acts on, worked out from what is in effect and not from what it was told; and whether it is shut out.
 
 use crate::gatekeeper::Gatekeeper;
-use frostvale_audit::acts::{BUILD, EPOCH, OWN, PLANS, PLATFORM, Version, ZONES};
-use frostvale_audit::chain::hex;
+use frostvale_audit::applied_versions::{
+    KIND_BUILD, KIND_EPOCH_PREFIX, KIND_LOCAL_SETTINGS, KIND_PLANS, KIND_PLATFORM, KIND_ZONES, Version,
+};
+use frostvale_audit::hash_chain::hex;
 use frostvale_link::proto::{Acting, Acts, Plan, Shut};
 use sha2::{Digest, Sha256};
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
 /// The duty whose decisions say who is shut out.
-pub const AUDIT: &str = "audit";
+pub const AUDIT_DUTY: &str = "audit";
 /// Duties whose epochs are told.
 const EPOCHS_MOST: usize = 32;
 /// How long a decision may hold unheard.
@@ -27,7 +29,7 @@
 }
 
 /// What does not change by what agents say.
-pub struct Fixed {
+pub struct ConfigDigests {
     /// The digests of the platform's settings and of the own file, as they are in effect.
     pub platform: String,
     /// See `platform`.
@@ -35,9 +37,9 @@
 }
 
 /// What was told last, and what stands.
-pub struct Audit {
+pub struct AppliedVersions {
     build: String,
-    fixed: Fixed,
+    fixed: ConfigDigests,
     number: u64,
     last: BTreeMap<String, Version>,
     /// The version of the decision on who is shut out, until when, and whether this gatekeeper is.
@@ -46,14 +48,14 @@
     shut: bool,
 }
 
-impl Audit {
-    pub fn new(fixed: Fixed) -> Audit {
+impl AppliedVersions {
+    pub fn new(fixed: ConfigDigests) -> AppliedVersions {
         let none = BTreeMap::new();
-        Audit { build: build(), fixed, number: 0, last: none, version: 0, until: None, shut: false }
+        AppliedVersions { build: build(), fixed, number: 0, last: none, version: 0, until: None, shut: false }
     }
 
     /// The configuration was read again: what is in effect now.
-    pub fn reread(&mut self, fixed: Fixed) {
+    pub fn set_config_digests(&mut self, fixed: ConfigDigests) {
         self.fixed = fixed;
     }
 
@@ -67,20 +69,23 @@
         let fixed = |digest: &String| Version { revision: 0, digest: digest.clone() };
         let told = frostvale_link::proto::Plans { plans: plans.to_vec(), ..Default::default() };
         let mut all = BTreeMap::from([
-            (BUILD.to_string(), fixed(&self.build)),
-            (PLATFORM.to_string(), fixed(&self.fixed.platform)),
-            (OWN.to_string(), fixed(&self.fixed.own)),
-            (PLANS.to_string(), Version { revision, digest: digest(&frostvale_link::encode(&told)) }),
-            (ZONES.to_string(), Version { revision: zones, digest: rows.to_string() }),
+            (KIND_BUILD.to_string(), fixed(&self.build)),
+            (KIND_PLATFORM.to_string(), fixed(&self.fixed.platform)),
+            (KIND_LOCAL_SETTINGS.to_string(), fixed(&self.fixed.own)),
+            (KIND_PLANS.to_string(), Version { revision, digest: digest(&frostvale_link::encode(&told)) }),
+            (KIND_ZONES.to_string(), Version { revision: zones, digest: rows.to_string() }),
         ]);
         for (duty, epoch) in epochs.take(EPOCHS_MOST) {
-            all.insert(format!("{EPOCH}{duty}"), Version { revision: epoch, digest: String::new() });
+            all.insert(
+                format!("{KIND_EPOCH_PREFIX}{duty}"),
+                Version { revision: epoch, digest: String::new() },
+            );
         }
         all
     }
 
     /// What is told now.
-    pub fn tell<'a>(
+    pub fn report<'a>(
         &mut self,
         now_ms: u64,
         gatekeeper: &Gatekeeper,
@@ -113,7 +118,12 @@
     ///
     /// # Errors
     /// When a later version was here: nothing has changed then.
-    pub fn shut(&mut self, name: &str, me: u32, word: &Shut) -> Result<frostvale::FenceOffDecision, String> {
+    pub fn apply_fenced_off(
+        &mut self,
+        name: &str,
+        me: u32,
+        word: &Shut,
+    ) -> Result<frostvale::FenceOffDecision, String> {
         if word.version < self.version {
             return Err(format!("version {} came after {}", word.version, self.version));
         }
--- a/src/bin/frostvale/client.rs
+++ b/src/bin/frostvale/client.rs
@@ -1,14 +1,14 @@
 //! One client's connection: pipelined commands, which are begun at once, answers in their order, and how it ends.
 //!
-//! Where it stands is one state, `Life`, which each event moves on. An end of the client's sending, by reset or by end of
+//! Where it stands is one state, `ConnectionState`, which each event moves on. An end of the client's sending, by reset or by end of
 //! file, means that it has gone, whatever it sent before: no client waits for answers on a connection that it has closed
 //! for sending, and what is begun for one that is gone is of no use to anybody.
 
-use crate::ask::Ask;
-use crate::budget::Share;
-use crate::gatekeeper::{Caller, Shared};
+use crate::budget::MemoryShare;
+use crate::client_request::ClientRequest;
+use crate::gatekeeper::{ResponseSink, Shared};
 use crate::receive_time::{ConnectionId, ReceiveTimes};
-use crate::resp::{self, Broken, Command};
+use crate::resp::{self, Command, ProtocolError};
 use socket2::SockRef;
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -40,7 +40,7 @@
 /// Where a connection stands. It only moves down this list, but for one that speaks while it was to be closed for
 /// resting, which is open again.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Debug)]
-pub enum Life {
+pub enum ConnectionState {
     /// Commands are read and begun.
     Open,
     /// It has rested long enough, or its room is wanted: it ends, unless a command is there already.
@@ -90,20 +90,20 @@
 /// A client's connection.
 pub struct Client {
     stream: TcpStream,
-    life: Cell<Life>,
+    life: Cell<ConnectionState>,
     out: RefCell<Out>,
     /// What it is waited for, and since when.
     awaits: Cell<(Awaits, Instant)>,
     wake: Notify,
     /// Told when its place in the table is free.
     room: Rc<Notify>,
-    reading: Share,
-    unread: Share,
+    reading: MemoryShare,
+    unread: MemoryShare,
     receive_times: Rc<ReceiveTimes>,
     connection_id: Option<ConnectionId>,
 }
 
-impl Caller for Client {
+impl ResponseSink for Client {
     /// Gives the answer to a request, in its turn.
     fn answer(&self, id: u64, bytes: &[u8]) {
         if let (Awaits::Next, _) = self.awaits.get() {
@@ -126,9 +126,9 @@
     }
 
     /// Whether its end has come, as far as the runtime knows. Its task may not have had its turn since.
-    fn has_left(&self) -> bool {
+    fn is_disconnected(&self) -> bool {
         let mut gone = pin!(self.gone());
-        self.life.get() == Life::Over
+        self.life.get() == ConnectionState::Over
             || gone.as_mut().poll(&mut Context::from_waker(Waker::noop())).is_ready()
     }
 }
@@ -137,8 +137,8 @@
     /// One that has just been accepted. `reading` and `unread` are its parts of what all connections may hold.
     pub fn new(
         stream: TcpStream,
-        reading: Share,
-        unread: Share,
+        reading: MemoryShare,
+        unread: MemoryShare,
         room: Rc<Notify>,
         receive_times: Rc<ReceiveTimes>,
     ) -> Client {
@@ -147,7 +147,7 @@
         Client {
             connection_id: ConnectionId::of(&stream),
             stream,
-            life: Cell::new(Life::Open),
+            life: Cell::new(ConnectionState::Open),
             out: RefCell::default(),
             awaits: Cell::new((Awaits::First, Instant::now())),
             wake: Notify::new(),
@@ -158,27 +158,27 @@
         }
     }
 
-    pub fn life(&self) -> Life {
+    pub fn state(&self) -> ConnectionState {
         self.life.get()
     }
 
     /// Whether it has sent a whole command.
-    pub fn spoke(&self) -> bool {
+    pub fn has_sent_command(&self) -> bool {
         !matches!(self.awaits.get().0, Awaits::First | Awaits::FirstRest)
     }
 
     /// When the last answer was given or command came.
-    pub fn used(&self) -> Instant {
+    pub fn last_used(&self) -> Instant {
         self.awaits.get().1
     }
 
     /// Whether it stands between requests, with nothing begun on either side.
-    pub fn rests(&self) -> bool {
-        self.life.get() == Life::Open && self.idle() && self.awaits.get().0 != Awaits::Rest
+    pub fn is_resting(&self) -> bool {
+        self.life.get() == ConnectionState::Open && self.idle() && self.awaits.get().0 != Awaits::Rest
     }
 
     /// Moves its life on, never back.
-    pub fn to(&self, life: Life) {
+    pub fn advance_to(&self, life: ConnectionState) {
         if self.life.get() < life {
             self.life.set(life);
             self.wake.notify_one();
@@ -186,7 +186,7 @@
     }
 
     /// The requests that it still waits for, once it is over.
-    pub fn abandoned(&self) -> Vec<u64> {
+    pub fn take_pending(&self) -> Vec<u64> {
         let slots = std::mem::take(&mut self.out.borrow_mut().slots);
         slots
             .into_iter()
@@ -222,12 +222,12 @@
 
     /// Hands bytes to the socket; what it does not take waits for the connection's task.
     fn write(&self, out: &mut Out, bytes: &[u8]) {
-        let taken = if out.bytes.is_empty() && self.life.get() != Life::Over {
+        let taken = if out.bytes.is_empty() && self.life.get() != ConnectionState::Over {
             match self.stream.try_write(bytes) {
                 Ok(n) => n,
                 Err(e) if e.kind() == ErrorKind::WouldBlock => 0,
                 Err(_) => {
-                    self.to(Life::Over);
+                    self.advance_to(ConnectionState::Over);
                     0
                 }
             }
@@ -243,10 +243,10 @@
     /// Ends one that sends and never reads, which must not fill the memory, and wakes the task that has something to do.
     fn check(&self, out: &Out) {
         let unread = out.bytes.len() + out.ready;
-        if !self.unread.set(unread, KEPT) || unread > UNREAD_MOST {
-            self.to(Life::Over);
+        if !self.unread.update(unread, KEPT) || unread > UNREAD_MOST {
+            self.advance_to(ConnectionState::Over);
         }
-        if !out.bytes.is_empty() || self.life.get() != Life::Open {
+        if !out.bytes.is_empty() || self.life.get() != ConnectionState::Open {
             self.wake.notify_one();
         }
     }
@@ -260,9 +260,9 @@
                 out.stuck = Some(Instant::now());
             }
             Err(e) if e.kind() == ErrorKind::WouldBlock => {}
-            Err(_) => self.to(Life::Over),
+            Err(_) => self.advance_to(ConnectionState::Over),
         }
-        self.unread.set(out.bytes.len() + out.ready, KEPT);
+        self.unread.update(out.bytes.len() + out.ready, KEPT);
     }
 
     fn idle(&self) -> bool {
@@ -273,24 +273,24 @@
     /// Says what was wrong, once all before it is answered, and ends.
     fn refuse(&self, what: &str) {
         self.say(format!("-ERR protocol error: {what}\r\n").as_bytes());
-        self.to(Life::Closing);
+        self.advance_to(ConnectionState::Closing);
     }
 
     /// Ends it where one of its times is up. `rest` is how long it may stand between requests.
-    pub fn look(&self, now: Instant, rest: Duration) {
+    pub fn check_timeouts(&self, now: Instant, rest: Duration) {
         let past = |since: Instant, most: Duration| now.saturating_duration_since(since) > most;
         if self.out.borrow().stuck.is_some_and(|since| past(since, SPEAK)) {
-            return self.to(Life::Over);
+            return self.advance_to(ConnectionState::Over);
         }
-        if self.life.get() != Life::Open || !self.idle() {
+        if self.life.get() != ConnectionState::Open || !self.idle() {
             return;
         }
         match self.awaits.get() {
             (Awaits::FirstRest | Awaits::Rest, since) if past(since, SPEAK) => {
                 self.refuse("no whole command in time")
             }
-            (Awaits::First, since) if past(since, SPEAK) => self.to(Life::Resting),
-            (Awaits::Next, since) if past(since, rest) => self.to(Life::Resting),
+            (Awaits::First, since) if past(since, SPEAK) => self.advance_to(ConnectionState::Resting),
+            (Awaits::Next, since) if past(since, rest) => self.advance_to(ConnectionState::Resting),
             _ => {}
         }
     }
@@ -333,7 +333,7 @@
         if self.until_end(gatekeeper).await.is_ok() {
             self.end_in_order().await;
         }
-        self.life.set(Life::Over);
+        self.life.set(ConnectionState::Over);
     }
 
     /// `Ok` once our sending may end, `Err` where the client has gone.
@@ -341,7 +341,7 @@
         let mut bytes: Vec<u8> = Vec::new();
         let mut came = Instant::now();
         loop {
-            if self.life.get() == Life::Over {
+            if self.life.get() == ConnectionState::Over {
                 return Err(());
             }
             // What came while the line was full is taken up when there is room again.
@@ -360,20 +360,20 @@
                     }
                 }
             }
-            if !self.reading.set(bytes.capacity(), KEPT) {
+            if !self.reading.update(bytes.capacity(), KEPT) {
                 bytes = Vec::new();
                 self.refuse("no room for so long a command now");
             }
             let (idle, life) = (self.idle(), self.life.get());
             match life {
-                Life::Resting if idle => {
+                ConnectionState::Resting if idle => {
                     if !self.read(&mut bytes)? {
                         return Ok(());
                     }
-                    (came, _) = (self.last_received(), self.life.set(Life::Open));
+                    (came, _) = (self.last_received(), self.life.set(ConnectionState::Open));
                     continue;
                 }
-                Life::Stopping if idle => {
+                ConnectionState::Stopping if idle => {
                     if self.read(&mut bytes)? {
                         came = self.last_received();
                         continue;
@@ -382,18 +382,19 @@
                         return Ok(());
                     }
                 }
-                Life::Declining if idle => {
-                    self.life.set(Life::Closing);
+                ConnectionState::Declining if idle => {
+                    self.life.set(ConnectionState::Closing);
                     if self.read(&mut bytes)? {
                         came = self.last_received();
                         continue;
                     }
                     return Ok(());
                 }
-                Life::Closing if idle => return Ok(()),
+                ConnectionState::Closing if idle => return Ok(()),
                 _ => {}
             }
-            let reads = room && (life == Life::Open || (life == Life::Stopping && idle));
+            let reads =
+                room && (life == ConnectionState::Open || (life == ConnectionState::Stopping && idle));
             let unread = !self.out.borrow().bytes.is_empty();
             tokio::select! {
                 here = self.readable(), if reads => {
@@ -413,10 +414,12 @@
 
     /// Ends our sending, so that the last answer is read before the end; what comes after that is not begun.
     async fn end_in_order(&self) {
-        if self.life.get() == Life::Over || SockRef::from(&self.stream).shutdown(Shutdown::Write).is_err() {
+        if self.life.get() == ConnectionState::Over
+            || SockRef::from(&self.stream).shutdown(Shutdown::Write).is_err()
+        {
             return;
         }
-        self.life.set(Life::HalfClosed);
+        self.life.set(ConnectionState::HalfClosed);
         self.awaits.set((Awaits::Next, Instant::now()));
         self.room.notify_one();
         let read_on = async {
@@ -431,7 +434,7 @@
             }
         };
         let cut_short = async {
-            while self.life.get() != Life::Over {
+            while self.life.get() != ConnectionState::Over {
                 self.wake.notified().await;
             }
         };
@@ -451,7 +454,7 @@
         gatekeeper: &Shared,
         bytes: &mut Vec<u8>,
         came: Instant,
-    ) -> Result<bool, Broken> {
+    ) -> Result<bool, ProtocolError> {
         let mut at = 0;
         let ended = loop {
             if self.out.borrow().slots.len() >= PIPELINE_MOST {
@@ -480,12 +483,12 @@
     fn begin(self: &Rc<Client>, gatekeeper: &Shared, bytes: &[u8], command: &Command, came: Instant) {
         let name = command.part(bytes, 0);
         if name == b"Q.ASK" || name == b"Q.DO" {
-            if self.life.get() >= Life::Declining {
+            if self.life.get() >= ConnectionState::Declining {
                 return self.say(b"-BUSY\r\n");
             }
             let ask = {
                 let gatekeeper = gatekeeper.borrow();
-                Ask::read(
+                ClientRequest::parse(
                     &gatekeeper.conf,
                     &gatekeeper.settings,
                     |wire| gatekeeper.is_open(wire),
@@ -495,14 +498,14 @@
             };
             match ask {
                 Ok(mut ask) => {
-                    ask.wait -= came.elapsed().as_secs_f64() * 1000.0;
+                    ask.wait_ms -= came.elapsed().as_secs_f64() * 1000.0;
                     let mut gatekeeper = gatekeeper.borrow_mut();
                     if !gatekeeper.has_room(ask.command.len()) {
                         return self.say(b"-BUSY\r\n");
                     }
                     let id = gatekeeper.next_id();
                     self.out.borrow_mut().slots.push_back(Slot::Waiting(id));
-                    gatekeeper.request(id, ask, self.clone());
+                    gatekeeper.handle_request(id, ask, self.clone());
                 }
                 Err(what) => self.say(format!("-ERR {what}\r\n").as_bytes()),
             }
@@ -512,7 +515,7 @@
                 1 => echo.extend_from_slice(b"+PONG\r\n"),
                 _ => resp::put_bulk(&mut echo, command.part(bytes, 1)),
             }
-            if gatekeeper.borrow().serving() {
+            if gatekeeper.borrow().is_serving() {
                 return self.say(&echo);
             }
             let mut gatekeeper = gatekeeper.borrow_mut();
--- a/src/bin/frostvale/ask.rs
+++ b/src/bin/frostvale/client_request.rs
@@ -5,23 +5,23 @@
 use std::ops::Range;
 
 /// The longest time to wait that is taken, in ms, where the class sets no deadline.
-pub const WAIT_MOST: f64 = 60_000.0;
+pub const MAX_WAIT_MS: f64 = 60_000.0;
 /// Customers are numbers below this.
-pub const CUSTOMERS: u64 = 1 << 33;
+pub const MAX_CUSTOMERS: u64 = 1 << 33;
 
 /// 16 hex digits as a number.
-pub fn hex(text: &str) -> Option<u64> {
+pub fn parse_hex(text: &str) -> Option<u64> {
     let sound = text.len() == 16 && text.bytes().all(|b| b.is_ascii_hexdigit());
     u64::from_str_radix(text, 16).ok().filter(|_| sound)
 }
 
 /// The most units that one request may count.
-pub fn largest(settings: &Settings) -> f64 {
+pub fn max_units(settings: &Settings) -> f64 {
     if settings.max_request_units > 0.0 { settings.max_request_units } else { 1e6 }
 }
 
 /// A request as the client wrote it.
-pub struct Ask {
+pub struct ClientRequest {
     /// The whole command, and where in it the list of fields stands, its head included, and `d`'s digits.
     pub command: Box<[u8]>,
     head: usize,
@@ -29,7 +29,7 @@
     deadline: Range<usize>,
     pub customer: Name,
     /// The id that the client gave it.
-    pub wire: u64,
+    pub client_id: u64,
     pub class: usize,
     pub plan: usize,
     pub units: f64,
@@ -37,12 +37,12 @@
     pub spread: u32,
     pub repeat: bool,
     /// How long the client waits, in ms.
-    pub wait: f64,
+    pub wait_ms: f64,
 }
 
-impl Ask {
+impl ClientRequest {
     /// Writes it for a worker: unchanged but for `d`, which tells how long we wait.
-    pub fn write(&self, wait: u64, out: &mut Vec<u8>) {
+    pub fn write_to_worker(&self, wait: u64, out: &mut Vec<u8>) {
         let mut digits = Vec::with_capacity(20);
         resp::put_digits(&mut digits, wait);
         out.extend_from_slice(&self.command[..self.head]);
@@ -53,23 +53,23 @@
     }
 
     /// Reads a request. The text says which field is bad or missing.
-    pub fn read(
+    pub fn parse(
         conf: &RawSettings,
         settings: &Settings,
         is_open: impl Fn(u64) -> bool,
         bytes: &[u8],
         command: &Command,
-    ) -> Result<Ask, &'static str> {
+    ) -> Result<ClientRequest, &'static str> {
         let hex = |k: usize| {
             let text = std::str::from_utf8(command.part(bytes, k)).ok()?;
-            Some((text, hex(text)?))
+            Some((text, parse_hex(text)?))
         };
-        if !(4..=resp::PARTS).contains(&command.count) {
+        if !(4..=resp::MAX_PARTS).contains(&command.count) {
             return Err("wrong number of arguments");
         }
-        let (customer, _) = hex(1).filter(|(_, number)| *number < CUSTOMERS).ok_or("bad customer")?;
-        let (_, wire) = hex(2).ok_or("bad id")?;
-        if is_open(wire) {
+        let (customer, _) = hex(1).filter(|(_, number)| *number < MAX_CUSTOMERS).ok_or("bad customer")?;
+        let (_, client_id) = hex(2).ok_or("bad id")?;
+        if is_open(client_id) {
             return Err("this id is open already");
         }
         let fields = command.range(3);
@@ -91,11 +91,11 @@
                     plan.replace(conf.plans.iter().position(|p| p.name == value).ok_or("bad t")?).is_some()
                 }
                 "d" => {
-                    let ms = whole(value).map(f64::from).filter(|ms| (1.0..=WAIT_MOST).contains(ms));
+                    let ms = whole(value).map(f64::from).filter(|ms| (1.0..=MAX_WAIT_MS).contains(ms));
                     deadline.replace((ms.ok_or("bad d")?, place)).is_some()
                 }
                 "units" => {
-                    let most = largest(settings);
+                    let most = max_units(settings);
                     let sound = |x: &f64| x.is_finite() && *x > 0.0 && *x <= most;
                     units.replace(value.parse::<f64>().ok().filter(sound).ok_or("bad units")?).is_some()
                 }
@@ -127,25 +127,25 @@
         if effect == RawEffect::ByKey && !keyed {
             return Err("missing k");
         }
-        let (wait, deadline) = deadline.ok_or("missing d")?;
+        let (wait_ms, deadline) = deadline.ok_or("missing d")?;
         // Past the class's deadline no answer is of use, whatever the client would wait.
         let most = conf.classes[class].deadline;
-        let wait = if most > 0.0 { wait.min(most) } else { wait };
-        Ok(Ask {
+        let wait_ms = if most > 0.0 { wait_ms.min(most) } else { wait_ms };
+        Ok(ClientRequest {
             command: bytes[..command.len].into(),
             // The fields' own head stands between the end of the part before and them.
             head: command.range(2).end + 2,
             fields,
             deadline,
             customer: customer.into(),
-            wire,
+            client_id,
             class,
             plan: plan.ok_or("missing t")?,
             units: units.ok_or("missing units")?,
             first: first.ok_or("missing first")?,
             spread: spread.ok_or("missing spread")?,
             repeat,
-            wait,
+            wait_ms,
         })
     }
 }
--- a/src/bin/frostvale/clients.rs
+++ b/src/bin/frostvale/clients.rs
@@ -1,7 +1,7 @@
 //! Clients: the listener, and the table of their connections. What one connection does is in `client`.
 
-use crate::budget::Budget;
-use crate::client::{Client, Life};
+use crate::budget::MemoryBudget;
+use crate::client::{Client, ConnectionState};
 use crate::gatekeeper::Shared;
 use crate::receive_time::ReceiveTimes;
 use crate::run_queue::RunQueue;
@@ -34,11 +34,11 @@
     all: RefCell<HashMap<u64, Rc<Client>>>,
     most: usize,
     /// What a connection's life begins as.
-    begins: Cell<Life>,
+    begins: Cell<ConnectionState>,
     /// Told when a connection has ended on our side, and when it is gone.
     room: Rc<Notify>,
-    reading: Budget,
-    unread: Budget,
+    reading: MemoryBudget,
+    unread: MemoryBudget,
     receive_times: Rc<ReceiveTimes>,
 }
 
@@ -46,8 +46,8 @@
     /// `memory` bounds what all connections together have read of commands not whole yet, and as much again
     /// what of answers they do not take.
     pub fn new(most: usize, memory: usize, run_queue: Arc<RunQueue>) -> Rc<Clients> {
-        let (reading, unread) = (Budget::new(memory), Budget::new(memory));
-        let begins = Cell::new(Life::Open);
+        let (reading, unread) = (MemoryBudget::new(memory), MemoryBudget::new(memory));
+        let begins = Cell::new(ConnectionState::Open);
         let (room, receive_times) = (Rc::default(), Rc::new(ReceiveTimes::open(run_queue)));
         Rc::new(Clients { all: RefCell::default(), most, begins, room, reading, unread, receive_times })
     }
@@ -59,50 +59,51 @@
             let all = self.all.borrow();
             let rest = if all.len() > self.most / 2 { IDLE_LEAST } else { IDLE_MOST };
             let now = Instant::now();
-            all.values().for_each(|client| client.look(now, rest));
+            all.values().for_each(|client| client.check_timeouts(now, rest));
         }
     }
 
     /// Waits until no connection is left.
-    pub async fn all_left(&self) {
+    pub async fn wait_until_empty(&self) {
         while !self.all.borrow().is_empty() {
             self.room.notified().await;
         }
     }
 
     /// Moves all connections on to this, also those that still come.
-    pub fn all_to(&self, life: Life) {
+    pub fn advance_all_to(&self, life: ConnectionState) {
         self.begins.set(life);
-        self.all.borrow().values().for_each(|client| client.to(life));
+        self.all.borrow().values().for_each(|client| client.advance_to(life));
     }
 
     /// How many have not yet ended on our side.
     fn held(&self) -> usize {
-        self.all.borrow().values().filter(|c| c.life() < Life::HalfClosed).count()
+        self.all.borrow().values().filter(|c| c.state() < ConnectionState::HalfClosed).count()
     }
 
     /// Of those that linger, ends the ones that have for the longest, down to a part of the table. They have the
     /// descriptors for it beside, so that nobody who comes waits for one to go.
     fn cut_lingering(&self, most: usize) {
         let all = self.all.borrow();
-        let mut lingering: Vec<_> = all.values().filter(|c| c.life() == Life::HalfClosed).collect();
-        lingering.sort_by_key(|c| c.used());
+        let mut lingering: Vec<_> =
+            all.values().filter(|c| c.state() == ConnectionState::HalfClosed).collect();
+        lingering.sort_by_key(|c| c.last_used());
         let over = lingering.len().saturating_sub(most);
-        lingering.into_iter().take(over).for_each(|c| c.to(Life::Over));
+        lingering.into_iter().take(over).for_each(|c| c.advance_to(ConnectionState::Over));
     }
 
     /// Has the connection closed that has been between requests the longest: only one that never spoke where those
     /// hold over half of the table. Fewer of them may be pools that are opened ahead, and say nothing yet.
     fn evict(&self) {
         let (all, now) = (self.all.borrow(), Instant::now());
-        let flood = all.values().filter(|c| !c.spoke()).count() > self.most / 2;
-        let gives_way = |c: &Client| match c.spoke() {
+        let flood = all.values().filter(|c| !c.has_sent_command()).count() > self.most / 2;
+        let gives_way = |c: &Client| match c.has_sent_command() {
             true => !flood,
-            false => now.saturating_duration_since(c.used()) >= FRESH,
+            false => now.saturating_duration_since(c.last_used()) >= FRESH,
         };
-        let resting = all.values().filter(|c| c.rests() && gives_way(c));
-        if let Some(client) = resting.min_by_key(|c| c.used()) {
-            client.to(Life::Resting);
+        let resting = all.values().filter(|c| c.is_resting() && gives_way(c));
+        if let Some(client) = resting.min_by_key(|c| c.last_used()) {
+            client.advance_to(ConnectionState::Resting);
         }
     }
 
@@ -158,19 +159,19 @@
     fn admit(self: &Rc<Self>, stream: TcpStream, gatekeeper: &Shared) {
         let client = Rc::new(Client::new(
             stream,
-            self.reading.share(),
-            self.unread.share(),
+            self.reading.new_share(),
+            self.unread.new_share(),
             self.room.clone(),
             self.receive_times.clone(),
         ));
-        client.to(self.begins.get());
+        client.advance_to(self.begins.get());
         let number = gatekeeper.borrow_mut().next_id();
         self.all.borrow_mut().insert(number, client.clone());
         let (clients, gatekeeper) = (self.clone(), gatekeeper.clone());
         tokio::task::spawn_local(async move {
             client.serve(&gatekeeper).await;
-            for id in client.abandoned() {
-                gatekeeper.borrow_mut().left(id);
+            for id in client.take_pending() {
+                gatekeeper.borrow_mut().client_disconnected(id);
             }
             clients.all.borrow_mut().remove(&number);
             drop(client);
--- a/src/bin/frostvale/config.rs
+++ b/src/bin/frostvale/config.rs
@@ -82,7 +82,7 @@
 
     /// The digest of the settings.
     pub fn digest(&self) -> String {
-        crate::acts::digest(self.text.as_bytes())
+        crate::applied_versions::digest(self.text.as_bytes())
     }
 
     /// Reads the file that GW_CONFIG names; GW_NAME, GW_LISTEN and GW_DISCOVERY stand over it.
--- a/src/bin/frostvale/discovery.rs
+++ b/src/bin/frostvale/discovery.rs
@@ -105,7 +105,7 @@
                     *session == speaker
                 });
                 if !open.is_empty() {
-                    clock.heard(at);
+                    clock.line_received(at);
                 }
             }
             Some(ended) = sessions.join_next() => {
@@ -118,12 +118,12 @@
                 if !std::mem::replace(&mut complained, true) {
                     tracing::warn!("discovery at {address}: {what}; trying again");
                 }
-                clock.ended(Instant::now(), Duration::from_secs_f64(backoff.pause() / 1000.0));
+                clock.call_ended(Instant::now(), Duration::from_secs_f64(backoff.pause() / 1000.0));
             }
             () = sleep_until(clock.due()) => {
                 // What has come while this process was held up is read first.
                 yield_now().await;
-                if clock.put_off(heard.progress.get()) {
+                if clock.postpone(heard.progress.get()) {
                     tracing::debug!(open = open.len(), "a list is being read: discovery is not called yet");
                     continue;
                 }
@@ -135,7 +135,7 @@
                 tracing::debug!(call = last, open = open.len(), "discovery is called");
                 let task = sessions.spawn_local(session(last, gatekeeper.clone(), address, heard.clone()));
                 open.push((last, task));
-                clock.called(Instant::now());
+                clock.call_started(Instant::now());
             }
         }
     }
--- a/src/bin/frostvale/discovery/call_clock.rs
+++ b/src/bin/frostvale/discovery/call_clock.rs
@@ -28,22 +28,22 @@
     }
 
     /// A whole line was heard.
-    pub fn heard(&mut self, at: Instant) {
+    pub fn line_received(&mut self, at: Instant) {
         (self.due, self.delay_left) = (at + SILENT, SLOW_LIST);
     }
 
     /// A call has begun.
-    pub fn called(&mut self, now: Instant) {
+    pub fn call_started(&mut self, now: Instant) {
         self.due = now + CALL;
     }
 
     /// A call or a watch has ended; the next call is made after a pause.
-    pub fn ended(&mut self, now: Instant, pause: Duration) {
+    pub fn call_ended(&mut self, now: Instant, pause: Duration) {
         self.due = self.due.min(now + pause);
     }
 
     /// Puts the call that is due off where a list is being read, more of which came at this time. Whether it did.
-    pub fn put_off(&mut self, progress: Option<Instant>) -> bool {
+    pub fn postpone(&mut self, progress: Option<Instant>) -> bool {
         let Some(progress) = progress else { return false };
         let until = (progress + CALL).min(self.due + self.delay_left);
         if until <= self.due {
--- a/src/bin/frostvale/discovery/tests.rs
+++ b/src/bin/frostvale/discovery/tests.rs
@@ -34,15 +34,15 @@
     let start = Instant::now();
     let at = |ms: u64| start + Duration::from_millis(ms);
     let mut clock = CallClock::new(start);
-    assert!(!clock.put_off(None), "nothing has come: the first call is due");
-    clock.called(start);
-    assert!(clock.put_off(Some(at(400))) && clock.due() == at(1400));
-    assert!(clock.put_off(Some(at(1300))) && clock.due() == start + CALL + SLOW_LIST);
-    assert!(!clock.put_off(Some(at(1700))), "no further");
-    clock.called(at(1750));
-    assert!(!clock.put_off(Some(at(2700))), "nor after another call");
-    clock.heard(at(2800));
+    assert!(!clock.postpone(None), "nothing has come: the first call is due");
+    clock.call_started(start);
+    assert!(clock.postpone(Some(at(400))) && clock.due() == at(1400));
+    assert!(clock.postpone(Some(at(1300))) && clock.due() == start + CALL + SLOW_LIST);
+    assert!(!clock.postpone(Some(at(1700))), "no further");
+    clock.call_started(at(1750));
+    assert!(!clock.postpone(Some(at(2700))), "nor after another call");
+    clock.line_received(at(2800));
     assert_eq!(clock.due(), at(2800) + SILENT);
-    assert!(!clock.put_off(Some(at(2800))), "what came before the silence is no progress");
-    assert!(clock.put_off(Some(at(5000))) && clock.due() == at(6000));
+    assert!(!clock.postpone(Some(at(2800))), "what came before the silence is no progress");
+    assert!(clock.postpone(Some(at(5000))) && clock.due() == at(6000));
 }
--- a/src/bin/frostvale/fences.rs
+++ b/src/bin/frostvale/epoch_fences.rs
@@ -6,31 +6,31 @@
 //! counts, whoever told it.
 
 use frostvale_link::proto::{Epochs, Fence, Refused};
-use frostvale_owner::Table;
-use frostvale_owner::fence::Refused as Why;
+use frostvale_owner::FenceTable;
+use frostvale_owner::fence::FenceError as Why;
 use frostvale_owner::registry::is_name;
 use std::hash::BuildHasher;
 
 /// The duty whose decisions are plans.
-pub const PLANS: &str = "publish";
+pub const PLANS_DUTY: &str = "publish";
 /// Duties that are remembered.
 const DUTIES: usize = 256;
 /// Bytes of an owner's name.
 const OWNER: usize = 128;
 
 /// The fences of one life.
-pub struct Fences {
-    table: Table,
+pub struct EpochFences {
+    table: FenceTable,
     nonce: u64,
     confirmed: bool,
     refused: u64,
 }
 
-impl Fences {
+impl EpochFences {
     /// Knows nothing. `life` tells lives apart.
-    pub fn new(life: u64) -> Fences {
+    pub fn new(life: u64) -> EpochFences {
         let drawn = std::collections::hash_map::RandomState::new().hash_one(life);
-        Fences { table: Table::new(DUTIES), nonce: drawn.max(1), confirmed: false, refused: 0 }
+        EpochFences { table: FenceTable::new(DUTIES), nonce: drawn.max(1), confirmed: false, refused: 0 }
     }
 
     /// What an agent of a council has to answer.
@@ -44,13 +44,13 @@
     }
 
     /// An agent says what is given out. True if this life is confirmed by it, for the first time.
-    pub fn heard(&mut self, epochs: &Epochs) -> bool {
+    pub fn record_epochs(&mut self, epochs: &Epochs) -> bool {
         if !epochs.given.iter().all(sound) || epochs.given.len() > DUTIES {
             self.refused += 1;
             return false;
         }
         for fence in &epochs.given {
-            self.table.floor(&fence.duty, fence.epoch);
+            self.table.raise_floor(&fence.duty, fence.epoch);
         }
         let first = epochs.nonce == self.nonce && !self.confirmed;
         self.confirmed |= first;
@@ -62,11 +62,11 @@
     pub fn admit(&mut self, duty: &str, fence: Option<&Fence>) -> Result<(), Refused> {
         let (epoch, owner) = fence.map_or((0, ""), |f| (f.epoch, f.owner.as_str()));
         let done = match fence {
-            None if self.table.stands(duty).is_none() => return Ok(()),
-            None => Err(self.table.stands(duty).cloned()),
+            None if self.table.current(duty).is_none() => return Ok(()),
+            None => Err(self.table.current(duty).cloned()),
             Some(fence) if fence.duty != duty || !sound(fence) || !self.confirmed => Err(None),
             Some(_) => self.table.admit(duty, epoch, owner).map_err(|why| match why {
-                Why::Old(stands) => Some(stands),
+                Why::Stale(stands) => Some(stands),
                 Why::Full => None,
             }),
         };
--- a/src/bin/frostvale/gatekeeper.rs
+++ b/src/bin/frostvale/gatekeeper.rs
@@ -3,27 +3,27 @@
 
 mod endpoints;
 mod in_flight;
+mod interfaces;
 mod last_list;
 mod outside;
-mod parties;
 mod record;
 mod starting;
 mod trace;
 mod zones;
 
-use crate::ask::Ask;
+use crate::client_request::ClientRequest;
 use crate::config::Config;
 use crate::metrics::Metrics;
 use crate::peers::Peers;
 use crate::resp::{self, Reply};
-use crate::usage::{Usage, What};
-use crate::workers::{self, Conn, Ear, Place, Refusal, Workers};
+use crate::usage::{Usage, UsageKind};
+use crate::workers::{self, Conn, ConnectionPermit, Refusal, ReplyHandler, Workers};
 pub use endpoints::{apply_known, apply_update};
 use frostvale::*;
-use frostvale_outside::{Consult, Verdict};
+use frostvale_outside::{OutsidePolicy, Verdict};
 use in_flight::{Attempt, Clock, InFlight};
+pub use interfaces::{AgentLinks, CheckClient, ResponseSink};
 use last_list::LastList;
-pub use parties::{Agents, Asker, Caller};
 use std::cell::RefCell;
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap, HashSet, VecDeque};
@@ -40,14 +40,14 @@
 /// What answers and ends of connections to workers call back.
 struct Heard(Weak<RefCell<Gatekeeper>>);
 
-impl Ear for Heard {
-    fn answered(&self, conn: &Rc<Conn>, reply: Reply, bytes: &[u8], clean: bool) {
+impl ReplyHandler for Heard {
+    fn reply_received(&self, conn: &Rc<Conn>, reply: Reply, bytes: &[u8], clean: bool) {
         if let Some(gatekeeper) = self.0.upgrade() {
             gatekeeper.borrow_mut().answered(conn, reply, bytes, clean);
         }
     }
 
-    fn closed(&self, conn: &Rc<Conn>, spoilt: Option<&'static str>) {
+    fn connection_closed(&self, conn: &Rc<Conn>, spoilt: Option<&'static str>) {
         if let Some(gatekeeper) = self.0.upgrade() {
             gatekeeper.borrow_mut().worker_closed(conn, spoilt);
         }
@@ -98,11 +98,11 @@
     /// Endpoint updates are applied one at a time.
     update_turns: Rc<Mutex<()>>,
     last_list: LastList,
-    ear: Rc<dyn Ear>,
+    ear: Rc<dyn ReplyHandler>,
     /// Checks that wait for their verdict, with their askers' tags.
-    checks: HashMap<u64, (u64, Rc<dyn Asker>)>,
-    agents: Option<Rc<dyn Agents>>,
-    outside: Option<Consult>,
+    checks: HashMap<u64, (u64, Rc<dyn CheckClient>)>,
+    agents: Option<Rc<dyn AgentLinks>>,
+    outside: Option<OutsidePolicy>,
     usage: Option<Usage>,
     peers: Option<Peers>,
     events: VecDeque<Event>,
@@ -113,7 +113,7 @@
     sooner: Rc<Notify>,
     slept_for: u64,
     /// Told when discovery has given its first list.
-    pub news: Rc<Notify>,
+    pub first_list: Rc<Notify>,
     scratch: Vec<u8>,
     /// How many answers could not be read since the last line on it in the log, and the last of them.
     spoilt: Option<(u32, String)>,
@@ -155,7 +155,7 @@
                 due_most: DUE_LEAST,
                 sooner: Rc::default(),
                 slept_for: u64::MAX,
-                news: Rc::default(),
+                first_list: Rc::default(),
                 scratch: Vec::new(),
                 spoilt: None,
                 dropped: 0,
@@ -171,14 +171,14 @@
     }
 
     /// Whether nobody is owed an answer.
-    pub fn settled(&self) -> bool {
+    pub fn is_settled(&self) -> bool {
         self.requests.values().all(|r| r.client.is_none())
     }
 
     // ---- what happens outside ----
 
     /// A note from another gatekeeper.
-    pub fn note(&mut self, from: u32, text: &str) {
+    pub fn receive_peer_message(&mut self, from: u32, text: &str) {
         self.event(Event::PeerMessage { from, text: text.into() });
     }
 
@@ -201,8 +201,8 @@
     }
 
     /// A request came in whole.
-    pub fn request(&mut self, id: u64, ask: Ask, client: Rc<dyn Caller>) {
-        let deadline = self.now() + ask.wait - MARGIN_MS;
+    pub fn handle_request(&mut self, id: u64, ask: ClientRequest, client: Rc<dyn ResponseSink>) {
+        let deadline = self.now() + ask.wait_ms - MARGIN_MS;
         let request = Request {
             id,
             customer: ask.customer.clone(),
@@ -215,9 +215,9 @@
             is_retry: ask.repeat,
         };
         self.held += ask.command.len();
-        self.open.insert(ask.wire);
+        self.open.insert(ask.client_id);
         if let Some(agents) = &self.agents {
-            agents.seen(&ask.customer, ask.first, ask.spread);
+            agents.record_shop_set(&ask.customer, ask.first, ask.spread);
         }
         let (client, pending) = (Some(client), None);
         self.requests.insert(
@@ -233,7 +233,7 @@
             },
         );
         self.at(deadline + OVERDUE_MS, Due::Answer(id));
-        if self.serving() {
+        if self.is_serving() {
             self.begin_request(request);
         } else {
             self.hold(request);
@@ -242,7 +242,7 @@
 
     /// A request goes on to the module, or an outside service is asked first.
     fn begin_request(&mut self, request: Request) {
-        if self.outside.as_ref().is_some_and(|o| o.wants(request.plan)) {
+        if self.outside.as_ref().is_some_and(|o| o.consults_plan(request.plan)) {
             return self.consult(request);
         }
         self.event(Event::Request(request));
@@ -251,7 +251,7 @@
     // ---- checks ----
 
     /// Somebody asks for units. `request` is as the asker wrote it; its id and limit are set here.
-    pub fn check(&mut self, request: Request, within: f64, tag: u64, asker: Rc<dyn Asker>) -> u64 {
+    pub fn check(&mut self, request: Request, within: f64, tag: u64, asker: Rc<dyn CheckClient>) -> u64 {
         let id = self.next_id();
         let deadline = self.now() + within;
         self.checks.insert(id, (tag, asker));
@@ -260,7 +260,7 @@
     }
 
     /// Nobody waits for these checks any more. What they were granted stays charged.
-    pub fn leave(&mut self, checks: impl IntoIterator<Item = u64>) {
+    pub fn cancel_checks(&mut self, checks: impl IntoIterator<Item = u64>) {
         for id in checks {
             if self.checks.remove(&id).is_some() {
                 self.event(Event::ClientDisconnected { id });
@@ -269,7 +269,7 @@
     }
 
     /// A client went away with this request open. Nothing more goes out for it.
-    pub fn left(&mut self, id: u64) {
+    pub fn client_disconnected(&mut self, id: u64) {
         let Some(r) = self.requests.get_mut(&id) else { return };
         if r.client.take().is_none() {
             return;
@@ -309,7 +309,7 @@
                 if let Some(client) = self.requests.get_mut(&id).and_then(|r| r.client.take()) {
                     client.answer(id, &bytes[value]);
                     self.trace_answer(id, b"served");
-                    self.count(id, What::Served);
+                    self.count(id, UsageKind::Served);
                 }
                 self.end(id, AttemptOutcome::Ok, report.and_then(|at| workers::report(&bytes[at])));
             }
@@ -375,12 +375,12 @@
             }
             Action::SendPeerMessage { to, text } => {
                 if let Some(peers) = &self.peers {
-                    peers.tell(to, &text);
+                    peers.send(to, &text);
                 }
             }
             Action::BroadcastPeerMessage { text } => {
                 if let Some(peers) = &self.peers {
-                    peers.tell_all(&text);
+                    peers.broadcast(&text);
                 }
             }
             Action::SetTimer { token, after } => self.at(now + after, Due::Timer(token)),
@@ -392,7 +392,7 @@
 
     /// The final answer that trying again is harmless, and when to, in ms.
     fn refuse(&mut self, id: u64, pause: f64) {
-        self.count(id, What::Refused);
+        self.count(id, UsageKind::Refused);
         let mut line = b"-BUSY".to_vec();
         if pause >= 1.0 {
             line.push(b' ');
@@ -417,7 +417,7 @@
             && let Some(r) = self.requests.remove(&id)
         {
             self.held -= r.ask.command.len();
-            self.open.remove(&r.ask.wire);
+            self.open.remove(&r.ask.client_id);
         }
     }
 
@@ -439,8 +439,8 @@
             return self.end(id, AttemptOutcome::Moot, None);
         }
         // What ended the attempt before, or the wait, may have come in one turn with the client's end.
-        if r.client.as_ref().is_some_and(|client| client.has_left()) {
-            return self.left(id);
+        if r.client.as_ref().is_some_and(|client| client.is_disconnected()) {
+            return self.client_disconnected(id);
         }
         self.at(deadline, Due::Attempt(id, number));
         // A connection that breaks before anything is written has cost nothing: the next one is as good.
@@ -450,10 +450,10 @@
             }
         }
         let worker = self.workers.get(&server);
-        let Some((address, life)) = worker.and_then(|w| Some((w.open_at()?, w.life))) else {
+        let Some((address, life)) = worker.and_then(|w| Some((w.open_at()?, w.incarnation))) else {
             return self.end(id, AttemptOutcome::Unreachable, None);
         };
-        let (Some(place), Some(gatekeeper)) = (self.workers.place(), self.me.upgrade()) else {
+        let (Some(place), Some(gatekeeper)) = (self.workers.acquire_permit(), self.me.upgrade()) else {
             return self.end(id, AttemptOutcome::Unreachable, None);
         };
         let part = (CONNECT_PART * (deadline - now)).max(CONNECT_LEAST_MS);
@@ -479,13 +479,13 @@
         number: u32,
         server: Name,
         life: u64,
-        place: Place,
+        place: ConnectionPermit,
         stream: Option<TcpStream>,
     ) {
         let attempt = self.requests.get(&id).and_then(|r| r.attempt.as_ref());
         let waits = attempt.is_some_and(|a| a.number == number && a.conn.is_none());
         let in_time = attempt.is_some_and(|a| self.clock.now() <= a.start_deadline);
-        let reading = self.workers.reading();
+        let reading = self.workers.read_share();
         let conn = stream.map(|stream| Conn::new(stream, server, life, place, reading));
         if let Some(conn) = &conn {
             conn.listen(self.ear.clone());
@@ -506,7 +506,9 @@
 
     /// Whether something new may go out on a connection.
     fn usable(&self, conn: &Conn) -> bool {
-        self.workers.get(&conn.worker).is_some_and(|w| w.open_at().is_some() && w.life == conn.life)
+        self.workers
+            .get(&conn.worker)
+            .is_some_and(|w| w.open_at().is_some() && w.incarnation == conn.incarnation)
     }
 
     /// Writes the command. False if the connection broke before a byte was taken.
@@ -521,7 +523,7 @@
         }
         let mut bytes = std::mem::take(&mut self.scratch);
         bytes.clear();
-        r.ask.write((attempt.deadline - now).max(1.0) as u64, &mut bytes);
+        r.ask.write_to_worker((attempt.deadline - now).max(1.0) as u64, &mut bytes);
         let sent = match conn.stream.try_write(&bytes) {
             Ok(n) => n,
             Err(e) if e.kind() == ErrorKind::WouldBlock => 0,
@@ -574,7 +576,7 @@
         let now = self.clock.now();
         let Some(r) = self.requests.get_mut(&id) else { return };
         let Some(attempt) = r.attempt.take() else { return };
-        trace::attempt_ended(r.ask.wire, &attempt, outcome, now);
+        trace::attempt_ended(r.ask.client_id, &attempt, outcome, now);
         let result = AttemptResult {
             id,
             attempt: attempt.number,
@@ -631,8 +633,8 @@
                 out.is_some_and(|a| a.number == *number)
             }
             Due::Answer(id) => self.requests.get(id).is_some_and(|r| r.client.is_some()),
-            Due::Consult(call) => self.outside.as_ref().is_some_and(|o| o.waits(*call)),
-            Due::Held(id) => !self.serving() && self.requests.get(id).is_some_and(|r| r.pending.is_some()),
+            Due::Consult(call) => self.outside.as_ref().is_some_and(|o| o.is_pending(*call)),
+            Due::Held(id) => !self.is_serving() && self.requests.get(id).is_some_and(|r| r.pending.is_some()),
         }
     }
 
--- a/src/bin/frostvale/gatekeeper/endpoints.rs
+++ b/src/bin/frostvale/gatekeeper/endpoints.rs
@@ -120,7 +120,7 @@
         let version = self.last_list.version_of(digest)?;
         tracing::debug!(version, "this whole endpoint list is in effect already");
         self.metrics.list_unchanged();
-        self.news.notify_one();
+        self.first_list.notify_one();
         Some(version)
     }
 
@@ -143,7 +143,7 @@
         self.remember_list(applied, outline.version, digest);
         applied.log(outline.version, bytes);
         self.metrics.list_applied(applied);
-        self.news.notify_one();
+        self.first_list.notify_one();
     }
 
     /// Has what differs take effect.
--- a/src/bin/frostvale/gatekeeper/in_flight.rs
+++ b/src/bin/frostvale/gatekeeper/in_flight.rs
@@ -1,7 +1,7 @@
 //! Requests in flight and their attempts, and the clock they go by: plain data, nothing decided here.
 
-use super::Caller;
-use crate::ask::Ask;
+use super::ResponseSink;
+use crate::client_request::ClientRequest;
 use crate::workers::Conn;
 use frostvale::{Name, Request};
 use std::collections::HashSet;
@@ -32,9 +32,9 @@
 
 /// A request in flight: until its final answer, and after that while an attempt is still out.
 pub(super) struct InFlight {
-    pub(super) ask: Ask,
+    pub(super) ask: ClientRequest,
     /// Who is owed the answer; none once it is given or the client has left.
-    pub(super) client: Option<Rc<dyn Caller>>,
+    pub(super) client: Option<Rc<dyn ResponseSink>>,
     /// The module has not heard of it yet: it waits for the first list, or an outside service is asked first.
     pub(super) pending: Option<Request>,
     /// When the client's time is over, in ms of the clock.
--- a/src/bin/frostvale/gatekeeper/record.rs
+++ b/src/bin/frostvale/gatekeeper/record.rs
@@ -1,12 +1,12 @@
 //! Use, plans and levels, for the store of record.
 
 use super::Gatekeeper;
-use crate::usage::{Usage, What};
+use crate::usage::{Usage, UsageKind};
 use frostvale::{BucketSnapshot, Event, Plan, Request, Settings};
 
 impl Gatekeeper {
     /// Begins to count use.
-    pub fn count_use(&mut self, ahead: i64) {
+    pub fn enable_usage(&mut self, ahead: i64) {
         let now = (self.now().max(0.0) as u64).saturating_add_signed(ahead);
         self.usage = Some(Usage::new(now));
     }
@@ -17,14 +17,14 @@
     }
 
     /// Counts the units of a check that were granted, or not.
-    pub fn used(&mut self, request: &Request, granted: bool) {
-        let what = if granted { What::Passed } else { What::Refused };
+    pub fn count_check(&mut self, request: &Request, granted: bool) {
+        let what = if granted { UsageKind::Passed } else { UsageKind::Refused };
         if let Some(usage) = &mut self.usage {
             usage.count(&request.customer, request.plan, request.class, request.units, what);
         }
     }
 
-    pub(super) fn count(&mut self, id: u64, what: What) {
+    pub(super) fn count(&mut self, id: u64, what: UsageKind) {
         let (Some(usage), Some(r)) = (&mut self.usage, self.requests.get(&id)) else { return };
         usage.count(&r.ask.customer, r.ask.plan, r.ask.class, r.ask.units, what);
     }
@@ -37,7 +37,7 @@
         if let Some(r) = self.requests.get_mut(&id)
             && !std::mem::replace(&mut r.passed, true)
         {
-            self.count(id, What::Passed);
+            self.count(id, UsageKind::Passed);
         }
     }
 
@@ -61,7 +61,7 @@
     }
 
     /// What a granted check took was not used.
-    pub fn unused(&mut self, request: Request) {
+    pub fn refund_check(&mut self, request: Request) {
         self.event(Event::Unused(request));
     }
 }
--- a/src/bin/frostvale/gatekeeper/starting.rs
+++ b/src/bin/frostvale/gatekeeper/starting.rs
@@ -1,7 +1,7 @@
 //! Before the first endpoint list: requests are taken in and held, so that none waits unseen in the listener's queue while its
 //! time runs out.
 
-use super::{Caller, Due, Gatekeeper};
+use super::{Due, Gatekeeper, ResponseSink};
 use frostvale::Request;
 use std::rc::Rc;
 
@@ -12,12 +12,12 @@
 #[derive(Default)]
 pub(super) struct Held {
     requests: Vec<u64>,
-    answers: Vec<(u64, Rc<dyn Caller>, Vec<u8>)>,
+    answers: Vec<(u64, Rc<dyn ResponseSink>, Vec<u8>)>,
 }
 
 impl Gatekeeper {
     /// Whether requests go on to servers.
-    pub fn serving(&self) -> bool {
+    pub fn is_serving(&self) -> bool {
         self.held_at_start.is_none()
     }
 
@@ -35,7 +35,7 @@
     }
 
     /// Holds an answer that tells that this gatekeeper serves.
-    pub fn answer_once_serving(&mut self, id: u64, client: Rc<dyn Caller>, answer: Vec<u8>) {
+    pub fn answer_once_serving(&mut self, id: u64, client: Rc<dyn ResponseSink>, answer: Vec<u8>) {
         match &mut self.held_at_start {
             Some(held) => held.answers.push((id, client, answer)),
             None => client.answer(id, &answer),
--- a/src/bin/frostvale/gatekeeper/trace.rs
+++ b/src/bin/frostvale/gatekeeper/trace.rs
@@ -23,7 +23,7 @@
     pub(super) fn trace_refusal(&mut self, id: u64, reason: RefusalReason) {
         self.metrics.refused(reason);
         let Some(r) = self.requests.get(&id) else { return };
-        let (wire, attempts) = (r.ask.wire, r.attempts);
+        let (wire, attempts) = (r.ask.client_id, r.attempts);
         tracing::debug!(target: "frostvale::request", id = format_args!("{wire:016x}"), attempts, ?reason, "refused");
     }
 
@@ -31,7 +31,7 @@
     pub(super) fn trace_answer(&mut self, id: u64, answer: &[u8]) {
         let now = self.now();
         let Some(r) = self.requests.get(&id) else { return };
-        let (wire, attempts, late_ms) = (r.ask.wire, r.attempts, now - r.due);
+        let (wire, attempts, late_ms) = (r.ask.client_id, r.attempts, now - r.due);
         let answer = String::from_utf8_lossy(answer.trim_ascii_end());
         tracing::debug!(target: "frostvale::request", id = format_args!("{wire:016x}"), attempts, %answer, "answered");
         if late_ms > 0.0 {
@@ -51,7 +51,7 @@
         let Some(r) = self.requests.get(&id) else { return };
         let out = r.attempt.as_ref().map_or("none", |a| if a.unsent() { "not sent" } else { "sent" });
         tracing::warn!(
-            id = format_args!("{:016x}", r.ask.wire),
+            id = format_args!("{:016x}", r.ask.client_id),
             attempts = r.attempts,
             attempt_out = out,
             "a request was not settled in time"
--- a/src/bin/frostvale/gatekeeper/zones.rs
+++ b/src/bin/frostvale/gatekeeper/zones.rs
@@ -5,7 +5,7 @@
 
 impl Gatekeeper {
     /// Who is shut out, as it was decided for the fleet.
-    pub fn shut(&mut self, shut: frostvale::FenceOffDecision) {
+    pub fn apply_fenced_off(&mut self, shut: frostvale::FenceOffDecision) {
         self.event(Event::FenceOff(shut));
     }
 
--- a/src/bin/frostvale/link.rs
+++ b/src/bin/frostvale/link.rs
@@ -1,14 +1,14 @@
 //! The link to the host's agent: checks come in, decisions go out, and what agents should know of shops.
 
-use crate::acts::{AUDIT, Audit, Fixed};
-use crate::ask::{self, CUSTOMERS, WAIT_MOST};
-use crate::fences::{Fences, PLANS};
-use crate::gatekeeper::{Agents, Asker, Gatekeeper, Shared};
-use crate::zones::{ZONES, Zones};
+use crate::applied_versions::{AUDIT_DUTY, AppliedVersions, ConfigDigests};
+use crate::client_request::{self, MAX_CUSTOMERS, MAX_WAIT_MS};
+use crate::epoch_fences::{EpochFences, PLANS_DUTY};
+use crate::gatekeeper::{AgentLinks, CheckClient, Gatekeeper, Shared};
+use crate::zones::{ZONES_DUTY, ZoneDecisions};
 use frostvale::{BucketSnapshot, Name, Request};
 use frostvale_link::VERSION;
-use frostvale_link::left;
-use frostvale_link::node::{Host, Peer, UNREAD_MOST};
+use frostvale_link::final_report;
+use frostvale_link::node::{AgentConnection, LinkHandler, MAX_UNREAD_BYTES};
 use frostvale_link::proto::decision::Code;
 use frostvale_link::proto::outside_state::Breaker as BreakerWord;
 use frostvale_link::proto::outside_verdict::Code as VerdictWord;
@@ -16,7 +16,7 @@
     Check, Decision, Epochs, Fence, Hello, Level as LevelWord, OutsideAsk, OutsideState, OutsideVerdict,
     Plan, Plans, PlansTaken, Seen, Settle, Shut, UseBatch, UseKept, Welcome, ZonesGuide,
 };
-use frostvale_outside::{Breaker, Counts, Verdict};
+use frostvale_outside::{BreakerState, CallCounts, Verdict};
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, VecDeque};
 use std::path::PathBuf;
@@ -41,7 +41,7 @@
 
 /// One agent's checks.
 struct Line {
-    peer: Rc<Peer>,
+    peer: Rc<AgentConnection>,
     outside: bool,
     record: bool,
     zones: bool,
@@ -75,7 +75,7 @@
     }
 }
 
-impl Asker for Line {
+impl CheckClient for Line {
     fn verdict(&self, tag: u64, granted: bool, remaining: f64, reset: f64) {
         let mut hands = self.hands.borrow_mut();
         match hands.waiting.remove(&tag) {
@@ -88,7 +88,7 @@
             None => {}
         }
         let code = if granted { Code::Granted } else { Code::Over };
-        self.peer.decide(Decision {
+        self.peer.send_decision(Decision {
             id: tag,
             code: code.into(),
             remaining_milli: remaining.is_finite().then(|| milli(remaining)),
@@ -131,11 +131,11 @@
     /// What was last told of each store.
     told: RefCell<HashMap<u64, f64>>,
     revision: Cell<u64>,
-    fences: RefCell<Fences>,
+    fences: RefCell<EpochFences>,
     /// Where zones are decided on in common.
-    zones: Option<RefCell<Zones>>,
+    zones: Option<RefCell<ZoneDecisions>>,
     /// Where what is acted on is told.
-    audit: RefCell<Option<Audit>>,
+    audit: RefCell<Option<AppliedVersions>>,
     /// For drills: plans are said to be in effect and are not.
     keeps_plans: bool,
     /// The socket: a last word that no agent takes is left beside it.
@@ -178,7 +178,7 @@
             sets: RefCell::default(),
             told: RefCell::default(),
             revision: Cell::new(0),
-            fences: RefCell::new(Fences::new(started_ms)),
+            fences: RefCell::new(EpochFences::new(started_ms)),
             zones: zones.then(RefCell::default),
             audit: RefCell::default(),
             keeps_plans,
@@ -200,7 +200,7 @@
         let decided = std::mem::take(&mut line.hands.borrow_mut().decided);
         if !decided.is_empty() {
             let mut gatekeeper = self.gatekeeper.borrow_mut();
-            decided.iter().for_each(|(request, granted)| gatekeeper.used(request, *granted));
+            decided.iter().for_each(|(request, granted)| gatekeeper.count_check(request, *granted));
         }
     }
 
@@ -216,12 +216,12 @@
         let fresh: Vec<UseBatch> =
             self.gatekeeper.borrow_mut().usage().map_or(Vec::new(), |usage| usage.close(now_ms, last));
         if let Some(line) = self.keeper() {
-            fresh.into_iter().for_each(|batch| line.peer.report_use(batch));
+            fresh.into_iter().for_each(|batch| line.peer.send_usage(batch));
         }
     }
 
     /// The task that reports use, and what stores hold.
-    pub async fn report(self: Rc<Self>, every: Duration) {
+    pub async fn run_usage_reporting(self: Rc<Self>, every: Duration) {
         let (mut next, mut part) = (Instant::now() + every, 0);
         let mut again = Instant::now() + AGAIN;
         loop {
@@ -235,17 +235,17 @@
                 again = Instant::now() + AGAIN;
                 // An agent without room takes nothing and says nothing.
                 if let Some(usage) = self.gatekeeper.borrow_mut().usage() {
-                    usage.overdue(AGAIN_AT_ONCE).for_each(|batch| line.peer.report_use(batch.clone()));
+                    usage.overdue(AGAIN_AT_ONCE).for_each(|batch| line.peer.send_usage(batch.clone()));
                 }
             }
-            if line.peer.unread() < LEVELS_UNREAD {
+            if line.peer.unread_bytes() < LEVELS_UNREAD {
                 part = self.tell_levels(&line.peer, part, LOOK_AT).unwrap_or(0);
             }
         }
     }
 
     /// The task that reports what is seen of zones.
-    pub async fn look_at_zones(self: Rc<Self>, every: Duration) {
+    pub async fn run_zone_reporting(self: Rc<Self>, every: Duration) {
         self.gatekeeper.borrow_mut().watch_zones(true);
         loop {
             sleep(every).await;
@@ -255,14 +255,14 @@
             let lines = self.lines.borrow();
             let takes = |l: &&Rc<Line>| l.zones && !l.leaving.get();
             if let Some(line) = lines.values().filter(takes).max_by_key(|l| l.peer.number) {
-                line.peer.zones(zones.borrow().seen(&self.gatekeeper.borrow(), sight));
+                line.peer.send_zone_observation(zones.borrow().observation(&self.gatekeeper.borrow(), sight));
             }
         }
     }
 
     /// The task that tells what is acted on, at each change and as a sign of life.
-    pub async fn tell_acts(self: Rc<Self>, every: Duration, fixed: Fixed) {
-        *self.audit.borrow_mut() = Some(Audit::new(fixed));
+    pub async fn run_version_reporting(self: Rc<Self>, every: Duration, fixed: ConfigDigests) {
+        *self.audit.borrow_mut() = Some(AppliedVersions::new(fixed));
         loop {
             sleep(every).await;
             self.tell_now();
@@ -282,19 +282,20 @@
         let zones = self.zones.as_ref().map(RefCell::borrow);
         let in_effect = zones.as_ref().map_or((0, ""), |z| z.in_effect());
         let now_ms = (gatekeeper.now().max(0.0) as u64).saturating_add_signed(self.ahead);
-        let acts = audit.tell(now_ms, &gatekeeper, (self.revision.get(), &plans), in_effect, fences.epochs());
-        takes.for_each(|line| line.peer.acts(acts.clone()));
+        let acts =
+            audit.report(now_ms, &gatekeeper, (self.revision.get(), &plans), in_effect, fences.epochs());
+        takes.for_each(|line| line.peer.send_applied_versions(acts.clone()));
     }
 
     /// The configuration was read again.
-    pub fn reread(&self, fixed: Fixed) {
+    pub fn set_config_digests(&self, fixed: ConfigDigests) {
         if let Some(audit) = self.audit.borrow_mut().as_mut() {
-            audit.reread(fixed);
+            audit.set_config_digests(fixed);
         }
     }
 
     /// Whether something sent on behalf of the fleet may be taken; if not, who sent it is told.
-    fn admitted(&self, peer: &Rc<Peer>, duty: &str, fence: Option<&Fence>, what: &str) -> bool {
+    fn admitted(&self, peer: &Rc<AgentConnection>, duty: &str, fence: Option<&Fence>, what: &str) -> bool {
         let Err(refused) = self.fences.borrow_mut().admit(duty, fence) else { return true };
         let (epoch, stands) = (refused.epoch, refused.stands);
         let why = match stands {
@@ -302,12 +303,12 @@
             _ => "a later owner's stand",
         };
         tracing::warn!(duty, epoch, stands, "{what} of epoch {epoch} are refused: {why}");
-        peer.refused(refused);
+        peer.send_refused(refused);
         false
     }
 
     /// Tells of stores that have changed since they were told of, of so many parts from one on.
-    fn tell_levels(&self, peer: &Peer, part: usize, most: usize) -> Option<usize> {
+    fn tell_levels(&self, peer: &AgentConnection, part: usize, most: usize) -> Option<usize> {
         let (levels, next) = self.gatekeeper.borrow().levels(part, most);
         let mut told = self.told.borrow_mut();
         if told.len() > TOLD_STORES {
@@ -315,7 +316,7 @@
         }
         for l in levels {
             if told.insert(l.key, l.last_seen) != Some(l.last_seen) {
-                peer.level(level_word(&l));
+                peer.send_level(level_word(&l));
             }
         }
         next
@@ -323,7 +324,7 @@
 
     /// The last word of this life: all use, and what all stores hold. Waits until an agent has it, not for ever; what
     /// none has by then is left in a file beside the socket, for the next agent.
-    pub async fn last_word(&self) {
+    pub async fn send_final_report(&self) {
         if self.gatekeeper.borrow_mut().usage().is_none() {
             return;
         }
@@ -338,7 +339,7 @@
         if let Some(line) = self.keeper() {
             self.told.borrow_mut().clear();
             let mut part = Some(0);
-            while let Some(from) = part.filter(|_| line.peer.unread() <= UNREAD_MOST / 2) {
+            while let Some(from) = part.filter(|_| line.peer.unread_bytes() <= MAX_UNREAD_BYTES / 2) {
                 part = self.tell_levels(&line.peer, from, LOOK_AT);
                 yield_now().await;
             }
@@ -347,7 +348,7 @@
         let until = Instant::now() + LAST_WORD;
         while Instant::now() < until
             && self.keeper().is_some()
-            && !self.gatekeeper.borrow_mut().usage().is_none_or(|u| u.settled())
+            && !self.gatekeeper.borrow_mut().usage().is_none_or(|u| u.is_settled())
         {
             sleep(Duration::from_millis(5)).await;
         }
@@ -365,11 +366,11 @@
             levels.extend(some.iter().map(level_word));
             part = next;
         }
-        let Some(usage) = gatekeeper.usage().filter(|usage| !usage.settled()) else { return };
+        let Some(usage) = gatekeeper.usage().filter(|usage| !usage.is_settled()) else { return };
         let [passed, refused, served] = usage.sums().map(|milli| milli as f64 / 1000.0);
         let (from_ms, to_ms) = usage.span();
         let (name, what) = (&self.name, format!("units passed {passed}, refused {refused}, served {served}"));
-        match left::write(&self.socket, &welcome, usage.waiting(), &levels) {
+        match final_report::write(&self.socket, &welcome, usage.pending(), &levels) {
             Ok(path) => tracing::warn!(
                 passed,
                 refused,
@@ -385,17 +386,17 @@
                 "{name}: no agent took the last word, and it can't be left at {}: {e}; use from {from_ms} to \
                  {to_ms} ms (Unix time) is lost to the record: {what}; traffic was not touched; make room there before \
                  the next stop",
-                left::place(&self.socket, self.started_ms).display()
+                final_report::path_of(&self.socket, self.started_ms).display()
             ),
         }
     }
 
     /// Tells the agents that no new check is taken.
-    pub fn stop(&self) {
-        self.lines.borrow().values().for_each(|line| line.peer.bye("the gatekeeper stops"));
+    pub fn announce_stop(&self) {
+        self.lines.borrow().values().for_each(|line| line.peer.send_bye("the gatekeeper stops"));
     }
 
-    fn line(&self, peer: &Rc<Peer>) -> Option<Rc<Line>> {
+    fn line(&self, peer: &Rc<AgentConnection>) -> Option<Rc<Line>> {
         self.lines.borrow().get(&peer.number).cloned()
     }
 
@@ -407,18 +408,18 @@
             let at = usize::try_from(value).unwrap_or(usize::MAX);
             if at < most { Ok(at) } else { Err(format!("{name} {value}: below {most}")) }
         };
-        if ask::hex(&check.shop).is_none_or(|number| number >= CUSTOMERS) {
+        if client_request::parse_hex(&check.shop).is_none_or(|number| number >= MAX_CUSTOMERS) {
             return Err("shop: 16 hex digits, a number below 2^33".into());
         }
-        let most = milli(ask::largest(settings));
+        let most = milli(client_request::max_units(settings));
         if !(1..=most).contains(&check.units_milli) {
             return Err(format!("units: over 0 and at most {}", most as f64 / 1000.0));
         }
         if !(1..=settings.gatekeepers).contains(&check.spread) {
             return Err(format!("spread {}: 1 to {}", check.spread, settings.gatekeepers));
         }
-        if !(1..=WAIT_MOST as u32).contains(&check.within_ms) {
-            return Err(format!("within_ms: 1 to {WAIT_MOST}"));
+        if !(1..=MAX_WAIT_MS as u32).contains(&check.within_ms) {
+            return Err(format!("within_ms: 1 to {MAX_WAIT_MS}"));
         }
         Ok(Request {
             id: 0,
@@ -460,7 +461,7 @@
     conf.plans.iter().zip(&settings.plans).map(plan).collect()
 }
 
-impl Host for Links {
+impl LinkHandler for Links {
     fn welcome(&self) -> Welcome {
         let gatekeeper = self.gatekeeper.borrow();
         let (conf, settings) = (&gatekeeper.conf, &gatekeeper.settings);
@@ -477,7 +478,7 @@
         }
     }
 
-    fn joined(&self, peer: &Rc<Peer>, hello: Hello) {
+    fn agent_connected(&self, peer: &Rc<AgentConnection>, hello: Hello) {
         let line = Line {
             peer: peer.clone(),
             outside: hello.outside,
@@ -490,27 +491,27 @@
         if hello.record {
             // What another agent, or this one's former life, has not kept.
             if let Some(usage) = self.gatekeeper.borrow_mut().usage() {
-                usage.waiting().cloned().for_each(|batch| peer.report_use(batch));
+                usage.pending().cloned().for_each(|batch| peer.send_usage(batch));
             }
             self.told.borrow_mut().clear();
         }
         self.lines.borrow_mut().insert(peer.number, Rc::new(line));
         let sets = self.sets.borrow();
         for (shop, (first, spread)) in sets.young.iter().take(TOLD_MOST) {
-            peer.seen(Seen { shop: shop.to_string(), first: *first, spread: *spread });
+            peer.send_shop_set(Seen { shop: shop.to_string(), first: *first, spread: *spread });
         }
         if let Some((breaker, counts)) = self.gatekeeper.borrow().outside_state() {
-            peer.outside_state(state(breaker, counts));
+            peer.send_breaker_state(state(breaker, counts));
         }
         // A name comes from outside: what can't be printed would spoil the log.
         let name: String = hello.peer.chars().filter(|c| c.is_ascii_graphic()).take(64).collect();
         tracing::info!(agent = name, "agent {name} is linked");
     }
 
-    fn check(&self, peer: &Rc<Peer>, check: Check) {
+    fn handle_check(&self, peer: &Rc<AgentConnection>, check: Check) {
         let Some(line) = self.line(peer) else { return };
         let refuse = |code: Code, error: String| {
-            peer.decide(Decision { id: check.id, code: code.into(), error, ..Decision::default() });
+            peer.send_decision(Decision { id: check.id, code: code.into(), error, ..Decision::default() });
         };
         if self.ended.get() {
             return refuse(Code::Busy, String::new());
@@ -539,17 +540,17 @@
         self.count(&line);
     }
 
-    fn settle(&self, peer: &Rc<Peer>, settle: Settle) {
+    fn settle_grant(&self, peer: &Rc<AgentConnection>, settle: Settle) {
         let Some(line) = self.line(peer) else { return };
         let held = line.hands.borrow_mut().held.remove(&settle.id);
         match held {
-            Some(request) if settle.keep => self.gatekeeper.borrow_mut().used(&request, true),
-            Some(request) => self.gatekeeper.borrow_mut().unused(request),
+            Some(request) if settle.keep => self.gatekeeper.borrow_mut().count_check(&request, true),
+            Some(request) => self.gatekeeper.borrow_mut().refund_check(request),
             None => {}
         }
     }
 
-    fn outside(&self, _peer: &Rc<Peer>, verdict: OutsideVerdict) {
+    fn outside_verdict(&self, _peer: &Rc<AgentConnection>, verdict: OutsideVerdict) {
         let said = match verdict.code() {
             VerdictWord::Ok => {
                 Verdict::Ok { ahead: verdict.quota_milli as f64 / 1000.0, ahead_ms: verdict.quota_ms as f64 }
@@ -560,21 +561,21 @@
         self.gatekeeper.borrow_mut().outside_verdict(verdict.id, said);
     }
 
-    fn use_kept(&self, _peer: &Rc<Peer>, kept: &[UseKept]) {
+    fn usage_acknowledged(&self, _peer: &Rc<AgentConnection>, kept: &[UseKept]) {
         if let Some(usage) = self.gatekeeper.borrow_mut().usage() {
             // Those of a former life are none of this one's.
-            kept.iter().filter(|k| k.started_ms == self.started_ms).for_each(|k| usage.kept(&k.seqs));
+            kept.iter().filter(|k| k.started_ms == self.started_ms).for_each(|k| usage.acknowledge(&k.seqs));
         }
     }
 
-    fn epochs(&self, _peer: &Rc<Peer>, epochs: Epochs) {
-        if self.fences.borrow_mut().heard(&epochs) {
+    fn apply_epochs(&self, _peer: &Rc<AgentConnection>, epochs: Epochs) {
+        if self.fences.borrow_mut().record_epochs(&epochs) {
             tracing::info!("the council's epochs are known: its decisions count from now on");
         }
     }
 
-    fn plans(&self, peer: &Rc<Peer>, sent: Plans) {
-        if !self.admitted(peer, PLANS, sent.fence.as_ref(), "plans") {
+    fn apply_plans(&self, peer: &Rc<AgentConnection>, sent: Plans) {
+        if !self.admitted(peer, PLANS_DUTY, sent.fence.as_ref(), "plans") {
             return;
         }
         let mut gatekeeper = self.gatekeeper.borrow_mut();
@@ -582,7 +583,7 @@
         if sent.revision < self.revision.get() {
             let error = format!("revision {} is in effect here", self.revision.get());
             let plans = plans(&gatekeeper);
-            return peer.plans_taken(PlansTaken {
+            return peer.send_plans_taken(PlansTaken {
                 revision: self.revision.get(),
                 plans,
                 error,
@@ -608,9 +609,9 @@
         // What was decided so far was under the plans before.
         let now_ms = (gatekeeper.now().max(0.0) as u64).saturating_add_signed(self.ahead);
         let turn_to = |gatekeeper: &mut Gatekeeper, revision: u64| {
-            let closed = gatekeeper.usage().map_or(Vec::new(), |u| u.turn_to(revision, now_ms));
+            let closed = gatekeeper.usage().map_or(Vec::new(), |u| u.start_revision(revision, now_ms));
             if let Some(line) = self.keeper() {
-                closed.into_iter().for_each(|batch| line.peer.report_use(batch));
+                closed.into_iter().for_each(|batch| line.peer.send_usage(batch));
             }
         };
         let before = self.revision.get();
@@ -637,21 +638,26 @@
             );
         }
         let (plans, revision) = (plans(&gatekeeper), self.revision.get());
-        peer.plans_taken(PlansTaken { revision, unknown, plans, error: taken.err().unwrap_or_default() });
+        peer.send_plans_taken(PlansTaken {
+            revision,
+            unknown,
+            plans,
+            error: taken.err().unwrap_or_default(),
+        });
         drop(gatekeeper);
         self.tell_now();
     }
 
-    fn shut(&self, peer: &Rc<Peer>, shut: Shut) {
+    fn apply_fenced_off(&self, peer: &Rc<AgentConnection>, shut: Shut) {
         if self.audit.borrow().is_none()
-            || !self.admitted(peer, AUDIT, shut.fence.as_ref(), "decisions on who is shut out")
+            || !self.admitted(peer, AUDIT_DUTY, shut.fence.as_ref(), "decisions on who is shut out")
         {
             return;
         }
         let me = self.gatekeeper.borrow().settings.own_index;
-        let taken = self.audit.borrow_mut().as_mut().map(|a| a.shut(&self.name, me, &shut));
+        let taken = self.audit.borrow_mut().as_mut().map(|a| a.apply_fenced_off(&self.name, me, &shut));
         match taken {
-            Some(Ok(word)) => self.gatekeeper.borrow_mut().shut(word),
+            Some(Ok(word)) => self.gatekeeper.borrow_mut().apply_fenced_off(word),
             Some(Err(why)) => {
                 let version = shut.version;
                 tracing::warn!(
@@ -665,12 +671,12 @@
         self.tell_now();
     }
 
-    fn zones(&self, peer: &Rc<Peer>, guide: ZonesGuide) {
+    fn apply_zone_decision(&self, peer: &Rc<AgentConnection>, guide: ZonesGuide) {
         let Some(zones) = &self.zones else { return };
-        if !self.admitted(peer, ZONES, guide.fence.as_ref(), "decisions on zones") {
+        if !self.admitted(peer, ZONES_DUTY, guide.fence.as_ref(), "decisions on zones") {
             return;
         }
-        let taken = zones.borrow_mut().take(&mut self.gatekeeper.borrow_mut(), &guide);
+        let taken = zones.borrow_mut().apply_decision(&mut self.gatekeeper.borrow_mut(), &guide);
         if let Err(why) = taken {
             let version = guide.version;
             tracing::warn!(
@@ -681,7 +687,7 @@
         }
     }
 
-    fn levels(&self, _peer: &Rc<Peer>, levels: &[LevelWord]) {
+    fn restore_levels(&self, _peer: &Rc<AgentConnection>, levels: &[LevelWord]) {
         let level = |l: &LevelWord| BucketSnapshot {
             key: l.key,
             plan: l.plan as usize,
@@ -692,16 +698,16 @@
         self.gatekeeper.borrow_mut().restore(levels.iter().map(level).collect());
     }
 
-    fn agent_stops(&self, peer: &Rc<Peer>) {
+    fn agent_stopping(&self, peer: &Rc<AgentConnection>) {
         let Some(line) = self.line(peer) else { return };
         // Reported to this one even now, if there is no other.
         self.close(false);
         line.leaving.set(true);
-        let number = self.gatekeeper.borrow_mut().usage().map_or(0, |usage| usage.last());
-        peer.reported(number);
+        let number = self.gatekeeper.borrow_mut().usage().map_or(0, |usage| usage.last_seq());
+        peer.send_usage_reported(number);
     }
 
-    fn left(&self, peer: &Rc<Peer>, why: Option<String>) {
+    fn agent_disconnected(&self, peer: &Rc<AgentConnection>, why: Option<String>) {
         match why {
             Some(why) => {
                 tracing::warn!(reason = why, "an agent was cut off: {why}; RESP2 traffic goes on without it")
@@ -714,33 +720,33 @@
         self.count(&line);
         let mut gatekeeper = self.gatekeeper.borrow_mut();
         // Nobody is left to say that they are not used.
-        held.values().for_each(|request| gatekeeper.used(request, true));
-        gatekeeper.leave(waiting.into_values().map(|(id, ..)| id));
-        if line.outside && !self.linked() {
-            gatekeeper.unlinked();
+        held.values().for_each(|request| gatekeeper.count_check(request, true));
+        gatekeeper.cancel_checks(waiting.into_values().map(|(id, ..)| id));
+        if line.outside && !self.has_outside_agent() {
+            gatekeeper.link_lost();
         }
     }
 }
 
-fn state(breaker: Breaker, counts: Counts) -> OutsideState {
+fn state(breaker: BreakerState, counts: CallCounts) -> OutsideState {
     let word = match breaker {
-        Breaker::Closed => BreakerWord::Closed,
-        Breaker::Open => BreakerWord::Open,
-        Breaker::HalfOpen => BreakerWord::HalfOpen,
+        BreakerState::Closed => BreakerWord::Closed,
+        BreakerState::Open => BreakerWord::Open,
+        BreakerState::HalfOpen => BreakerWord::HalfOpen,
     };
     OutsideState { breaker: word.into(), failed: counts.failed, by_mode: counts.by_mode }
 }
 
-impl Agents for Links {
-    fn seen(&self, customer: &Name, first: u32, spread: u32) {
+impl AgentLinks for Links {
+    fn record_shop_set(&self, customer: &Name, first: u32, spread: u32) {
         if self.sets.borrow_mut().see(customer, (first, spread)) {
             for line in self.lines.borrow().values() {
-                line.peer.seen(Seen { shop: customer.to_string(), first, spread });
+                line.peer.send_shop_set(Seen { shop: customer.to_string(), first, spread });
             }
         }
     }
 
-    fn linked(&self) -> bool {
+    fn has_outside_agent(&self) -> bool {
         self.lines.borrow().values().any(|line| line.outside)
     }
 
@@ -751,7 +757,7 @@
         else {
             return false;
         };
-        line.peer.ask_outside(OutsideAsk {
+        line.peer.send_outside_request(OutsideAsk {
             id: call,
             shop: request.customer.to_string(),
             plan: u32::try_from(request.plan).unwrap_or(u32::MAX),
@@ -761,8 +767,8 @@
         })
     }
 
-    fn breaker(&self, breaker: Breaker, counts: Counts) {
-        self.lines.borrow().values().for_each(|line| line.peer.outside_state(state(breaker, counts)));
+    fn breaker_changed(&self, breaker: BreakerState, counts: CallCounts) {
+        self.lines.borrow().values().for_each(|line| line.peer.send_breaker_state(state(breaker, counts)));
     }
 }
 
--- a/src/bin/frostvale/extra.rs
+++ b/src/bin/frostvale/local_settings.rs
@@ -2,7 +2,7 @@
 
 use frostvale::RawSettings;
 use frostvale_log::Format;
-use frostvale_outside::{Mode, Settings};
+use frostvale_outside::{FailureMode, Settings};
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::env;
@@ -14,9 +14,9 @@
 struct File {
     link: Option<Link>,
     outside: Option<Outside>,
-    usage: Option<UsageReport>,
-    zones: Option<ZonesPart>,
-    audit: Option<AuditPart>,
+    usage: Option<UsageSettings>,
+    zones: Option<ZoneSettings>,
+    audit: Option<AuditSettings>,
     log: Log,
     clock_ahead_ms: i64,
 }
@@ -36,32 +36,32 @@
 }
 
 /// The same, as it is to be used.
-pub struct LogLines {
+pub struct LogSettings {
     pub format: Format,
     pub level: String,
 }
 
-impl Default for LogLines {
+impl Default for LogSettings {
     fn default() -> Self {
-        LogLines { format: Format::Text, level: "info".into() }
+        LogSettings { format: Format::Text, level: "info".into() }
     }
 }
 
 /// How use is reported to the agent.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct UsageReport {
+pub struct UsageSettings {
     report_ms: u64,
 }
 
-impl Default for UsageReport {
+impl Default for UsageSettings {
     fn default() -> Self {
-        UsageReport { report_ms: 1000 }
+        UsageSettings { report_ms: 1000 }
     }
 }
 
-impl UsageReport {
-    pub fn report(&self) -> Duration {
+impl UsageSettings {
+    pub fn report_interval(&self) -> Duration {
         Duration::from_millis(self.report_ms)
     }
 }
@@ -69,18 +69,18 @@
 /// Zones, decided in common: what is seen is reported, and what was decided is acted on.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct ZonesPart {
+pub struct ZoneSettings {
     report_ms: u64,
 }
 
-impl Default for ZonesPart {
+impl Default for ZoneSettings {
     fn default() -> Self {
-        ZonesPart { report_ms: 250 }
+        ZoneSettings { report_ms: 250 }
     }
 }
 
-impl ZonesPart {
-    pub fn report(&self) -> Duration {
+impl ZoneSettings {
+    pub fn report_interval(&self) -> Duration {
         Duration::from_millis(self.report_ms)
     }
 }
@@ -88,20 +88,20 @@
 /// The audit: what this gatekeeper acts on is told, and who is shut out is heeded.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct AuditPart {
+pub struct AuditSettings {
     report_ms: u64,
     /// For drills alone: it says that plans are in effect and goes on by the ones it has.
     pub fault_keeps_plans: bool,
 }
 
-impl Default for AuditPart {
+impl Default for AuditSettings {
     fn default() -> Self {
-        AuditPart { report_ms: 500, fault_keeps_plans: false }
+        AuditSettings { report_ms: 500, fault_keeps_plans: false }
     }
 }
 
-impl AuditPart {
-    pub fn report(&self) -> Duration {
+impl AuditSettings {
+    pub fn report_interval(&self) -> Duration {
         Duration::from_millis(self.report_ms)
     }
 }
@@ -142,35 +142,35 @@
 
 /// What the file says; all off where there is none.
 #[derive(Default)]
-pub struct Extra {
+pub struct LocalSettings {
     pub link: Option<Link>,
     /// How an outside service is consulted.
     pub outside: Option<Settings>,
     /// Whether use and levels are reported, and how often.
-    pub usage: Option<UsageReport>,
+    pub usage: Option<UsageSettings>,
     /// Whether zones are decided on in common.
-    pub zones: Option<ZonesPart>,
+    pub zones: Option<ZoneSettings>,
     /// Whether what is acted on is told.
-    pub audit: Option<AuditPart>,
+    pub audit: Option<AuditSettings>,
     /// The digest of the file; of nothing where there is none.
     pub digest: String,
     /// How log lines are written.
-    pub log: LogLines,
+    pub log: LogSettings,
     /// Added to the host's clock where lives are named and use is dated.
     pub clock_ahead_ms: i64,
 }
 
-impl Extra {
+impl LocalSettings {
     /// Reads the file that `GW_EXTRA` names, if it names one. Plans are looked up in the settings.
-    pub fn read(conf: &RawSettings) -> Result<Extra, String> {
+    pub fn read(conf: &RawSettings) -> Result<LocalSettings, String> {
         let Some(path) = env::var("GW_EXTRA").ok().filter(|path| !path.is_empty()) else {
-            return Ok(Extra::default());
+            return Ok(LocalSettings::default());
         };
         let text = std::fs::read_to_string(&path).map_err(|e| format!("cannot read {path}: {e}"))?;
-        Self::of(&text, conf).map_err(|e| format!("{path}: {e}"))
+        Self::parse(&text, conf).map_err(|e| format!("{path}: {e}"))
     }
 
-    fn of(text: &str, conf: &RawSettings) -> Result<Extra, String> {
+    fn parse(text: &str, conf: &RawSettings) -> Result<LocalSettings, String> {
         // The first line says where and what; the rest is a drawing.
         let told = |e: toml::de::Error| e.to_string().lines().collect::<Vec<_>>().join(" ");
         let file: File = toml::from_str(text).map_err(told)?;
@@ -207,14 +207,14 @@
         };
         let format = file.log.format.parse().map_err(|e| format!("log.format: {e}"))?;
         frostvale_log::check(&file.log.level).map_err(|e| format!("log.level: {e}"))?;
-        let log = LogLines { format, level: file.log.level };
+        let log = LogSettings { format, level: file.log.level };
         let clock_ahead_ms = file.clock_ahead_ms;
         if !(-600_000..=600_000).contains(&clock_ahead_ms) {
             return Err("clock_ahead_ms: -600000 to 600000".into());
         }
         let File { link, usage, zones, audit, .. } = file;
-        let digest = crate::acts::digest(text.as_bytes());
-        Ok(Extra { link, outside, usage, zones, audit, digest, log, clock_ahead_ms })
+        let digest = crate::applied_versions::digest(text.as_bytes());
+        Ok(LocalSettings { link, outside, usage, zones, audit, digest, log, clock_ahead_ms })
     }
 }
 
@@ -233,8 +233,8 @@
             return Err(format!("outside.plans.{name}: a plan with a hard ceiling takes \"deny\" alone"));
         }
         plans[at] = Some(match word {
-            Word::Allow => Mode::Allow,
-            Word::Deny => Mode::Deny,
+            Word::Allow => FailureMode::Allow,
+            Word::Deny => FailureMode::Deny,
         });
     }
     let usual = Settings::default();
--- a/src/bin/frostvale/extra/tests.rs
+++ b/src/bin/frostvale/local_settings/tests.rs
@@ -31,16 +31,17 @@
         ),
     ];
     for (text, word) in bad {
-        let said = Extra::of(text, &conf()).err().unwrap_or_else(|| panic!("{text:?} was taken"));
+        let said = LocalSettings::parse(text, &conf()).err().unwrap_or_else(|| panic!("{text:?} was taken"));
         assert!(said.contains(word) && !said.contains('\n'), "{text:?}: {said}");
     }
-    assert!(Extra::of("", &conf()).is_ok_and(|e| e.link.is_none() && e.outside.is_none()));
+    assert!(LocalSettings::parse("", &conf()).is_ok_and(|e| e.link.is_none() && e.outside.is_none()));
 }
 
 /// What `run` starts with: no file. Whoever adds a part adds it here, switched off.
 #[test]
 fn without_a_file_every_part_is_off() {
-    let Extra { link, outside, usage, zones, audit, digest, log, clock_ahead_ms } = Extra::default();
+    let LocalSettings { link, outside, usage, zones, audit, digest, log, clock_ahead_ms } =
+        LocalSettings::default();
     assert!(link.is_none() && outside.is_none() && usage.is_none() && zones.is_none());
     assert!(audit.is_none() && digest.is_empty());
     assert!(matches!(log.format, Format::Text) && log.level == "info" && clock_ahead_ms == 0);
@@ -49,6 +50,6 @@
 #[test]
 fn the_sample_is_sound() {
     let sample = include_str!("../../../../deploy/frostvale.toml");
-    let extra = Extra::of(sample, &conf()).expect("sound");
+    let extra = LocalSettings::parse(sample, &conf()).expect("sound");
     assert!(extra.link.is_some());
 }
--- a/src/bin/frostvale/main.rs
+++ b/src/bin/frostvale/main.rs
@@ -1,20 +1,20 @@
 //! A gatekeeper on real sockets: clients in front, workers behind, the decisions in the library.
 //! Start, signals and shutdown.
 
-mod acts;
-mod ask;
+mod applied_versions;
 mod backoff;
 mod budget;
 mod client;
+mod client_request;
 mod clients;
 mod config;
 mod discovery;
 mod endpoint_update;
+mod epoch_fences;
 mod event_loop;
-mod extra;
-mod fences;
 mod gatekeeper;
 mod link;
+mod local_settings;
 mod metrics;
 mod peers;
 mod receive_time;
@@ -25,13 +25,13 @@
 mod workers;
 mod zones;
 
-use acts::Fixed;
+use applied_versions::ConfigDigests;
 use clients::Clients;
 use config::Config;
-use extra::Extra;
-use frostvale_outside::Consult;
+use frostvale_outside::OutsidePolicy;
 use gatekeeper::{Gatekeeper, Shared};
 use link::Links;
+use local_settings::LocalSettings;
 use metrics::Metrics;
 use peers::Peers;
 use run_queue::RunQueue;
@@ -59,9 +59,9 @@
 const WORKER_PART: usize = 45;
 
 /// Both files, as they are to be used.
-fn told(again: bool) -> Result<(Config, Extra), String> {
+fn load_settings(again: bool) -> Result<(Config, LocalSettings), String> {
     let config = if again { Config::read_again()? } else { Config::read()? };
-    let extra = Extra::read(&config.conf)?;
+    let extra = LocalSettings::read(&config.conf)?;
     Ok((config, extra))
 }
 
@@ -69,7 +69,7 @@
     let args: Vec<String> = std::env::args().skip(1).collect();
     match args.iter().map(String::as_str).collect::<Vec<_>>()[..] {
         [] => {}
-        ["--check"] => match told(false) {
+        ["--check"] => match load_settings(false) {
             Ok((config, _)) => {
                 println!("frostvale: the configuration of {} is sound", config.name);
                 return ExitCode::SUCCESS;
@@ -88,7 +88,7 @@
     let wakes = run_queue.clone();
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
-        .on_thread_unpark(move || wakes.woke())
+        .on_thread_unpark(move || wakes.record_wakeup())
         .build();
     let runtime = runtime.map_err(|e| format!("cannot start the runtime: {e}"));
     match runtime.and_then(|runtime| LocalSet::new().block_on(&runtime, run(run_queue))) {
@@ -105,7 +105,7 @@
     let mut hup = signal(SignalKind::hangup()).map_err(|e| format!("cannot await SIGHUP: {e}"))?;
     let mut term = signal(SignalKind::terminate()).map_err(|e| format!("cannot await SIGTERM: {e}"))?;
     let mut int = signal(SignalKind::interrupt()).map_err(|e| format!("cannot await SIGINT: {e}"))?;
-    let (mut config, extra) = told(false)?;
+    let (mut config, extra) = load_settings(false)?;
     let (name, me) = (std::mem::take(&mut config.name), config.settings.own_index);
     frostvale_log::init("frostvale", ("instance", &name), extra.log.format, &extra.log.level)?;
     let listen = config.listen;
@@ -116,7 +116,7 @@
         }
         None => None,
     };
-    let door = extra.link.as_ref().map(|link| frostvale_link::node::open(&link.socket)).transpose()?;
+    let door = extra.link.as_ref().map(|link| frostvale_link::node::bind(&link.socket)).transpose()?;
     let seed = config.seed;
     let known = config.known.take();
     let platform = config.digest();
@@ -124,27 +124,27 @@
     let clients = Clients::new(config.sockets * CLIENT_PART / 100, config.memory_part(), run_queue.clone());
     let places = config.sockets * WORKER_PART / 100;
     let gatekeeper = Gatekeeper::new(config, peers.clone(), places).map_err(|e| e.to_string())?;
-    let consult = move |extra: &Extra| {
+    let consult = move |extra: &LocalSettings| {
         let settings = extra.outside.clone();
-        settings.map(|s| Consult::new(s, seed)).transpose().map_err(|e| format!("outside.{e}"))
+        settings.map(|s| OutsidePolicy::new(s, seed)).transpose().map_err(|e| format!("outside.{e}"))
     };
     gatekeeper.borrow_mut().set_outside(consult(&extra)?);
     let (agents, socket) = extra.link.map_or((0, PathBuf::new()), |link| (link.agents, link.socket));
-    let audit = extra.audit.as_ref().map(|part| (part.report(), part.fault_keeps_plans));
-    let fixed = Fixed { platform: platform.clone(), own: extra.digest.clone() };
+    let audit = extra.audit.as_ref().map(|part| (part.report_interval(), part.fault_keeps_plans));
+    let fixed = ConfigDigests { platform: platform.clone(), own: extra.digest.clone() };
     let links = door.map(|door| {
         let zones = extra.zones.is_some();
         let keeps = audit.is_some_and(|(_, keeps)| keeps);
         let links = Links::new(gatekeeper.clone(), name.clone(), socket, extra.clock_ahead_ms, zones, keeps);
         if let Some((every, _)) = audit {
-            spawn_local(links.clone().tell_acts(every, fixed));
+            spawn_local(links.clone().run_version_reporting(every, fixed));
         }
         if let Some(zones) = &extra.zones {
-            spawn_local(links.clone().look_at_zones(zones.report()));
+            spawn_local(links.clone().run_zone_reporting(zones.report_interval()));
         }
         if let Some(usage) = &extra.usage {
-            gatekeeper.borrow_mut().count_use(extra.clock_ahead_ms);
-            spawn_local(links.clone().report(usage.report()));
+            gatekeeper.borrow_mut().enable_usage(extra.clock_ahead_ms);
+            spawn_local(links.clone().run_usage_reporting(usage.report_interval()));
         }
         spawn_local(frostvale_link::node::serve(door, links.clone(), agents));
         links
@@ -157,12 +157,12 @@
     // From here on the kernel takes connections, and their requests' time runs.
     let listener = TcpListener::bind(listen).await.map_err(|e| format!("cannot listen at {listen}: {e}"))?;
     let listen = listener.local_addr().unwrap_or(listen);
-    run_queue.woke();
+    run_queue.record_wakeup();
     let news = Rc::new(Notify::new());
-    gatekeeper.borrow_mut().news = news.clone();
+    gatekeeper.borrow_mut().first_list = news.clone();
     if let Some(peers) = peers {
         let heard = gatekeeper.clone();
-        spawn_local(peers.listen(me, move |from, text| heard.borrow_mut().note(from, text)));
+        spawn_local(peers.listen(me, move |from, text| heard.borrow_mut().receive_peer_message(from, text)));
     }
     spawn_local(Gatekeeper::keep_time(gatekeeper.clone()));
     spawn_local(clients.clone().keep_time());
@@ -171,7 +171,7 @@
     spawn_local(async {
         loop {
             sleep(LOG_TURN).await;
-            frostvale_log::turn();
+            frostvale_log::flush_summaries();
         }
     });
     // Gatekeepers may have been given one seed.
@@ -182,7 +182,7 @@
     let (heard, mut own) = (links.clone(), extra.digest);
     spawn_local(async move {
         while hup.recv().await.is_some() {
-            let fresh = told(true).and_then(|(config, extra)| Ok((config, consult(&extra)?, extra)));
+            let fresh = load_settings(true).and_then(|(config, extra)| Ok((config, consult(&extra)?, extra)));
             match fresh {
                 // Sent also where it is the same: the whole list is asked for once more.
                 Ok((config, fresh, extra)) => {
@@ -191,11 +191,11 @@
                     // All but these waits for a restart.
                     let discovery = config.discovery;
                     if extra.outside != outside {
-                        own = acts::digest(format!("{own} {}", extra.digest).as_bytes());
+                        own = applied_versions::digest(format!("{own} {}", extra.digest).as_bytes());
                     }
-                    let platform = acts::digest(format!("{platform} {discovery}").as_bytes());
+                    let platform = applied_versions::digest(format!("{platform} {discovery}").as_bytes());
                     if let Some(links) = &heard {
-                        links.reread(Fixed { platform, own: own.clone() });
+                        links.set_config_digests(ConfigDigests { platform, own: own.clone() });
                     }
                     // The breaker's state is kept where nothing has changed.
                     if extra.outside != outside {
@@ -216,19 +216,19 @@
     serve_until(stop, &clients, &listener, &gatekeeper, &news, &format!("{name} serves at {listen}")).await;
     tracing::info!("{name} stops");
     if let Some(links) = &links {
-        links.stop();
+        links.announce_stop();
     }
     shutdown::graceful(&clients, listener, &gatekeeper).await;
     // The last attempts of clients that have left need no answer; the last bytes to clients are the kernel's.
-    while !gatekeeper.borrow().settled() {
+    while !gatekeeper.borrow().is_settled() {
         sleep(Duration::from_millis(5)).await;
     }
     // Nothing is sent on any more, so nothing more can become use.
     if let Some(links) = &links {
-        links.last_word().await;
+        links.send_final_report().await;
     }
     gatekeeper.borrow().metrics.log();
-    frostvale_log::end();
+    frostvale_log::finish();
     Ok(())
 }
 
--- a/src/bin/frostvale/peers.rs
+++ b/src/bin/frostvale/peers.rs
@@ -6,7 +6,7 @@
 use tokio::net::UdpSocket;
 
 /// A longer datagram voids the run, and none is taken in.
-pub const NOTE_MOST: usize = 256;
+pub const MAX_MESSAGE_BYTES: usize = 256;
 
 /// The way to the other gatekeepers of the tier.
 #[derive(Clone)]
@@ -27,17 +27,17 @@
     }
 
     /// Sends a note if the socket takes it now. Notes may be lost, so nothing waits for one.
-    pub fn tell(&self, to: u32, text: &str) {
+    pub fn send(&self, to: u32, text: &str) {
         if let Some(address) = self.addresses.get(to as usize)
-            && text.len() <= NOTE_MOST
+            && text.len() <= MAX_MESSAGE_BYTES
         {
             let _ = self.socket.try_send_to(text.as_bytes(), *address);
         }
     }
 
     /// Sends a note to all of them. One that comes back to its sender is passed over there.
-    pub fn tell_all(&self, text: &str) {
-        if text.len() > NOTE_MOST {
+    pub fn broadcast(&self, text: &str) {
+        if text.len() > MAX_MESSAGE_BYTES {
             return;
         }
         match &self.all {
@@ -54,7 +54,7 @@
     pub async fn listen(self, me: u32, heard: impl Fn(u32, &str)) {
         let numbered = self.addresses.iter().zip(0u32..);
         let numbers: HashMap<SocketAddr, u32> = numbered.map(|(address, k)| (*address, k)).collect();
-        let mut bytes = [0u8; NOTE_MOST + 1];
+        let mut bytes = [0u8; MAX_MESSAGE_BYTES + 1];
         loop {
             // An error is an earlier note that could not be delivered, or lasting: then this must not spin.
             let Ok((len, from)) = self.socket.recv_from(&mut bytes).await else {
@@ -62,7 +62,8 @@
                 continue;
             };
             // Only peers are heard, and only in words that may be a note.
-            let Some(from) = numbers.get(&from).copied().filter(|k| *k != me && len <= NOTE_MOST) else {
+            let Some(from) = numbers.get(&from).copied().filter(|k| *k != me && len <= MAX_MESSAGE_BYTES)
+            else {
                 continue;
             };
             let Ok(text) = std::str::from_utf8(&bytes[..len]) else { continue };
--- a/src/bin/frostvale/receive_time.rs
+++ b/src/bin/frostvale/receive_time.rs
@@ -71,7 +71,7 @@
     pub fn last_received(&self, connection: &ConnectionId) -> Instant {
         let now = Instant::now();
         let age = self.socket.as_ref().and_then(|socket| age_of_last_bytes(socket, connection));
-        let age = age.unwrap_or_else(|| self.run_queue.latest()).min(AGE_MOST);
+        let age = age.unwrap_or_else(|| self.run_queue.last_delay()).min(AGE_MOST);
         now.checked_sub(age).unwrap_or(now)
     }
 }
--- a/src/bin/frostvale/run_queue.rs
+++ b/src/bin/frostvale/run_queue.rs
@@ -36,12 +36,12 @@
     }
 
     /// The event loop has woken.
-    pub fn woke(&self) {
+    pub fn record_wakeup(&self) {
         self.delays.woke(self.account.read().waiting_ns);
     }
 
     /// How long what is read now may have waited for this process to get a core.
-    pub fn latest(&self) -> Duration {
+    pub fn last_delay(&self) -> Duration {
         Duration::from_nanos(self.delays.latest_ns.load(Ordering::Relaxed))
     }
 }
--- a/src/bin/frostvale/shutdown.rs
+++ b/src/bin/frostvale/shutdown.rs
@@ -5,7 +5,7 @@
 //! comes later has to be answered by then, and cannot surely be. So nothing is begun from a little before `GRACE` on, and what
 //! was begun is answered within its own deadline: the process ends that much later, and `client::LINGER`, at the latest.
 
-use crate::client::Life;
+use crate::client::ConnectionState;
 use crate::clients::Clients;
 use crate::gatekeeper::Shared;
 use std::rc::Rc;
@@ -24,15 +24,15 @@
 pub async fn graceful(clients: &Rc<Clients>, listener: TcpListener, gatekeeper: &Shared) {
     let began = Instant::now();
     let _ = timeout_at(began + ACCEPT, clients.clone().accept(&listener, gatekeeper.clone())).await;
-    clients.all_to(Life::Stopping);
+    clients.advance_all_to(ConnectionState::Stopping);
     let ended = async {
         clients.accept_rest(&listener, gatekeeper).await;
         drop(listener);
-        clients.all_left().await;
+        clients.wait_until_empty().await;
     };
     tokio::pin!(ended);
     if timeout_at(began + GRACE - TURN, &mut ended).await.is_err() {
-        clients.all_to(Life::Declining);
+        clients.advance_all_to(ConnectionState::Declining);
         ended.await;
     }
 }
--- a/src/bin/frostvale/usage.rs
+++ b/src/bin/frostvale/usage.rs
@@ -16,7 +16,7 @@
 
 /// What happened to a request's units.
 #[derive(Clone, Copy)]
-pub enum What {
+pub enum UsageKind {
     /// They came whole to a worker, or were granted to a check.
     Passed,
     /// They were refused.
@@ -59,7 +59,7 @@
     }
 
     /// Counts a request's units.
-    pub fn count(&mut self, shop: &Name, plan: usize, class: usize, units: f64, what: What) {
+    pub fn count(&mut self, shop: &Name, plan: usize, class: usize, units: f64, what: UsageKind) {
         let number = |n: usize| u32::try_from(n).unwrap_or(u32::MAX);
         let full = self.open.len() >= SHOPS_MOST;
         let key = (shop.clone(), number(plan), number(class));
@@ -68,14 +68,14 @@
         let sums = self.open.entry(key).or_default();
         let milli = (units * 1000.0).round().max(0.0) as u64;
         match what {
-            What::Passed => sums.passed += milli,
-            What::Refused => sums.refused += milli,
-            What::Served => sums.served += milli,
+            UsageKind::Passed => sums.passed += milli,
+            UsageKind::Refused => sums.refused += milli,
+            UsageKind::Served => sums.served += milli,
         }
     }
 
     /// Other plans are in effect from here on: what is open was decided under the former ones, and is closed as such.
-    pub fn turn_to(&mut self, revision: u64, now_ms: u64) -> Vec<UseBatch> {
+    pub fn start_revision(&mut self, revision: u64, now_ms: u64) -> Vec<UseBatch> {
         let fresh = if self.open.is_empty() { Vec::new() } else { self.close_open(now_ms, false) };
         self.revision = revision;
         fresh
@@ -126,7 +126,7 @@
     }
 
     /// Batches that no agent has kept yet.
-    pub fn waiting(&self) -> impl Iterator<Item = &UseBatch> {
+    pub fn pending(&self) -> impl Iterator<Item = &UseBatch> {
         self.waiting.iter()
     }
 
@@ -137,12 +137,12 @@
     }
 
     /// An agent has kept these.
-    pub fn kept(&mut self, numbers: &[u64]) {
+    pub fn acknowledge(&mut self, numbers: &[u64]) {
         self.waiting.retain(|batch| !numbers.contains(&batch.seq));
     }
 
     /// The number of the last batch.
-    pub fn last(&self) -> u64 {
+    pub fn last_seq(&self) -> u64 {
         self.seq
     }
 
@@ -159,7 +159,7 @@
     }
 
     /// Whether all is kept.
-    pub fn settled(&self) -> bool {
+    pub fn is_settled(&self) -> bool {
         self.open.is_empty() && self.waiting.is_empty()
     }
 }
--- a/src/bin/frostvale/usage/tests.rs
+++ b/src/bin/frostvale/usage/tests.rs
@@ -8,37 +8,37 @@
 fn use_is_numbered_kept_until_acknowledged_and_merged_without_an_agent() {
     let mut usage = Usage::new(0);
     let shop: Name = "00000000b4d65521".into();
-    usage.count(&shop, 0, 0, 1.5, What::Passed);
-    usage.count(&shop, 0, 0, 1.0, What::Passed);
-    usage.count(&shop, 0, 1, 1.0, What::Refused);
+    usage.count(&shop, 0, 0, 1.5, UsageKind::Passed);
+    usage.count(&shop, 0, 0, 1.0, UsageKind::Passed);
+    usage.count(&shop, 0, 1, 1.0, UsageKind::Refused);
     let first = usage.close(1000, false);
     assert_eq!((first.len(), first[0].seq, first[0].lines.len(), total(&first)), (1, 1, 2, 2500));
     assert!(usage.close(2000, false).is_empty(), "nothing was used");
     for k in 0..1000u64 {
-        usage.count(&shop, 0, 0, 1.0, What::Passed);
+        usage.count(&shop, 0, 0, 1.0, UsageKind::Passed);
         usage.close(3000 + k, false);
     }
-    assert_eq!(usage.waiting().count(), WAITING, "no more batches than that");
-    let all: Vec<UseBatch> = usage.waiting().cloned().collect();
+    assert_eq!(usage.pending().count(), WAITING, "no more batches than that");
+    let all: Vec<UseBatch> = usage.pending().cloned().collect();
     let numbers: Vec<u64> = all.iter().map(|b| b.seq).collect();
     assert_eq!(numbers, (1..=WAITING as u64).collect::<Vec<_>>());
     assert_eq!(usage.overdue(8).count(), 0, "they may be on their way");
     let overdue: Vec<u64> = usage.overdue(8).map(|b| b.seq).collect();
     assert_eq!(overdue, (1..=8).collect::<Vec<_>>(), "the oldest are reported again");
-    usage.kept(&numbers);
+    usage.acknowledge(&numbers);
     let rest = usage.close(9000, true);
     assert_eq!(total(&all) + total(&rest), 1_002_500, "nothing is lost by merging");
     assert!(rest.last().is_some_and(|b| b.last));
-    assert!(!usage.settled());
-    usage.kept(&rest.iter().map(|b| b.seq).collect::<Vec<_>>());
-    assert!(usage.settled());
+    assert!(!usage.is_settled());
+    usage.acknowledge(&rest.iter().map(|b| b.seq).collect::<Vec<_>>());
+    assert!(usage.is_settled());
 }
 
 #[test]
 fn more_shops_than_may_be_held_are_counted_together() {
     let mut usage = Usage::new(0);
     for k in 0..SHOPS_MOST + 500 {
-        usage.count(&format!("{k:016x}").as_str().into(), 0, 0, 1.0, What::Passed);
+        usage.count(&format!("{k:016x}").as_str().into(), 0, 0, 1.0, UsageKind::Passed);
     }
     let batches = usage.close(1, true);
     assert_eq!(total(&batches), (SHOPS_MOST as u64 + 500) * 1000);
--- a/src/bin/frostvale/workers.rs
+++ b/src/bin/frostvale/workers.rs
@@ -1,9 +1,9 @@
 //! Workers: what the list says of each, their pooled connections, and the reading of answers.
 //! A connection carries one attempt at a time, so that giving up one can close it.
 
-use crate::budget::{Budget, Share};
+use crate::budget::{MemoryBudget, MemoryShare};
 use crate::endpoint_update::EndpointState;
-use crate::resp::{self, Reply, VALUE_MOST};
+use crate::resp::{self, MAX_VALUE_BYTES, Reply};
 use frostvale::{Health, LoadReport, Name};
 use socket2::SockRef;
 use std::borrow::Cow;
@@ -18,16 +18,16 @@
 use tokio::task::AbortHandle;
 
 /// A whole answer: a value, and a little for the report and the figures on use.
-const ANSWER_MOST: usize = VALUE_MOST + 4096;
+const ANSWER_MOST: usize = MAX_VALUE_BYTES + 4096;
 /// Room that a connection keeps between answers.
 const KEPT: usize = 8 * 1024;
 
 /// Who hears what comes on the connections.
-pub trait Ear {
+pub trait ReplyHandler {
     /// A worker answered. `clean`: with nothing behind it.
-    fn answered(&self, conn: &Rc<Conn>, reply: Reply, bytes: &[u8], clean: bool);
+    fn reply_received(&self, conn: &Rc<Conn>, reply: Reply, bytes: &[u8], clean: bool);
     /// A connection has ended, perhaps over bytes that are no answer.
-    fn closed(&self, conn: &Rc<Conn>, spoilt: Option<&'static str>);
+    fn connection_closed(&self, conn: &Rc<Conn>, spoilt: Option<&'static str>);
 }
 
 /// A connection to a worker.
@@ -35,7 +35,7 @@
     pub stream: TcpStream,
     pub worker: Name,
     /// The life of the worker it was made in.
-    pub life: u64,
+    pub incarnation: u64,
     /// The request whose attempt it carries.
     pub busy: Cell<Option<u64>>,
     /// Whether the attempt's last byte is written: before that it surely never ran.
@@ -44,8 +44,8 @@
     /// Its place among the connections at rest, as long as it is one of them.
     rest_key: Cell<RestKey>,
     task: OnceCell<AbortHandle>,
-    reading: Share,
-    _place: Place,
+    reading: MemoryShare,
+    _place: ConnectionPermit,
 }
 
 /// The order of connections at rest: since when, in microseconds, and a number of its own. Never used twice.
@@ -59,22 +59,28 @@
 }
 
 /// A descriptor's place: counted from before the connect until the connection is really closed.
-pub struct Place(Rc<Cell<usize>>);
+pub struct ConnectionPermit(Rc<Cell<usize>>);
 
-impl Drop for Place {
+impl Drop for ConnectionPermit {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
 }
 
 impl Conn {
-    pub fn new(stream: TcpStream, worker: Name, life: u64, place: Place, reading: Share) -> Rc<Conn> {
+    pub fn new(
+        stream: TcpStream,
+        worker: Name,
+        incarnation: u64,
+        place: ConnectionPermit,
+        reading: MemoryShare,
+    ) -> Rc<Conn> {
         // Without it small commands wait for acknowledgements; a socket that fails here fails again soon.
         let _ = stream.set_nodelay(true);
         Rc::new(Conn {
             stream,
             worker,
-            life,
+            incarnation,
             busy: Cell::new(None),
             written: Cell::new(false),
             idle_since: Cell::new(0.0),
@@ -102,23 +108,23 @@
 
     /// Whether the worker has closed it, or sent what nobody asked for. The runtime may not have seen that
     /// yet, so the socket itself is asked.
-    pub fn stale(&self) -> bool {
+    pub fn is_stale(&self) -> bool {
         let mut byte = [MaybeUninit::uninit()];
         !matches!(SockRef::from(&self.stream).peek(&mut byte), Err(e) if e.kind() == ErrorKind::WouldBlock)
     }
 
     /// Reads answers until the connection ends.
-    pub fn listen(self: &Rc<Conn>, ear: Rc<dyn Ear>) {
+    pub fn listen(self: &Rc<Conn>, ear: Rc<dyn ReplyHandler>) {
         let conn = self.clone();
         let task = tokio::task::spawn_local(async move {
             let ended = conn.read(&*ear).await;
-            ear.closed(&conn, ended);
+            ear.connection_closed(&conn, ended);
         });
         let _ = self.task.set(task.abort_handle());
     }
 
     /// Gives what was wrong with the bytes, if that is why it ended.
-    async fn read(self: &Rc<Conn>, ear: &dyn Ear) -> Option<&'static str> {
+    async fn read(self: &Rc<Conn>, ear: &dyn ReplyHandler) -> Option<&'static str> {
         let mut bytes: Vec<u8> = Vec::new();
         loop {
             self.stream.readable().await.ok()?;
@@ -130,7 +136,7 @@
                 Err(_) => return None,
             }
             self.busy.get()?;
-            if !self.reading.set(bytes.capacity(), KEPT) {
+            if !self.reading.update(bytes.capacity(), KEPT) {
                 return Some("no room for so long an answer now");
             }
             match resp::reply(&bytes) {
@@ -139,14 +145,14 @@
                 Ok(Some((reply, len))) => {
                     // What follows belongs to no request: the next one must not be given it.
                     let clean = len == bytes.len();
-                    ear.answered(self, reply, &bytes, clean);
+                    ear.reply_received(self, reply, &bytes, clean);
                     if !clean {
                         return None;
                     }
                     bytes.clear();
                     if bytes.capacity() > KEPT {
                         bytes = Vec::new();
-                        self.reading.set(0, 0);
+                        self.reading.update(0, 0);
                     }
                 }
                 Err(broken) => return Some(broken.0),
@@ -174,7 +180,7 @@
     state: EndpointState,
     /// New with each restart, each new address and each return to the list, and never used twice: connections of an
     /// earlier life are of no use.
-    pub life: u64,
+    pub incarnation: u64,
     idle: Vec<Rc<Conn>>,
 }
 
@@ -213,7 +219,7 @@
     lives: u64,
     open: Rc<Cell<usize>>,
     most: usize,
-    reading: Budget,
+    reading: MemoryBudget,
 }
 
 impl Workers {
@@ -228,13 +234,13 @@
             lives: 0,
             open: Rc::default(),
             most,
-            reading: Budget::new(memory),
+            reading: MemoryBudget::new(memory),
         }
     }
 
     /// A new connection's share of the memory.
-    pub fn reading(&self) -> Share {
-        self.reading.share()
+    pub fn read_share(&self) -> MemoryShare {
+        self.reading.new_share()
     }
 
     pub fn get(&self, name: &str) -> Option<&Worker> {
@@ -285,9 +291,9 @@
     fn apply_one(&mut self, change: &EndpointChange, effect: &mut UpdateEffect) -> bool {
         let EndpointChange { name, state } = change;
         self.lives += 1;
-        let life = self.lives;
+        let incarnation = self.lives;
         let Some(worker) = self.all.get_mut(name) else {
-            self.all.insert(name.clone(), Worker { state: *state, life, idle: Vec::new() });
+            self.all.insert(name.clone(), Worker { state: *state, incarnation, idle: Vec::new() });
             self.by_address.entry(state.address).or_default().push(name.clone());
             return true;
         };
@@ -296,7 +302,7 @@
         // A list that goes back in time ends no life once more when it comes forward again.
         worker.state = EndpointState { boot_ms: before.boot_ms.max(state.boot_ms), ..*state };
         if moved || restarted {
-            worker.life = life;
+            worker.incarnation = incarnation;
         }
         if moved || restarted || state.health != Health::Up {
             self.close_resting(name);
@@ -358,7 +364,7 @@
         while let Some(at) = idle.iter().rposition(|conn| conn.idle_since.get() <= rested) {
             let conn = idle.remove(at);
             self.resting.remove(&conn.rest_key.get());
-            if !conn.stale() {
+            if !conn.is_stale() {
                 return Some(conn);
             }
             conn.close();
@@ -371,7 +377,7 @@
         conn.busy.set(None);
         conn.idle_since.set(now);
         match self.all.get_mut(&conn.worker) {
-            Some(w) if w.state.health == Health::Up && w.life == conn.life => {
+            Some(w) if w.state.health == Health::Up && w.incarnation == conn.incarnation => {
                 self.rests += 1;
                 conn.rest_key.set(RestKey::new(now, self.rests));
                 self.resting.insert(conn.rest_key.get(), conn.clone());
@@ -382,14 +388,14 @@
     }
 
     /// A place for one more connection. At the limit the longest idle one of any worker makes room.
-    pub fn place(&mut self) -> Option<Place> {
+    pub fn acquire_permit(&mut self) -> Option<ConnectionPermit> {
         if self.open.get() >= self.most {
             let (_, oldest) = self.resting.pop_first()?;
             self.forget(&oldest);
             oldest.close();
         }
         self.open.set(self.open.get() + 1);
-        Some(Place(self.open.clone()))
+        Some(ConnectionPermit(self.open.clone()))
     }
 
     /// Forgets a connection that has ended.
--- a/src/bin/frostvale/zones.rs
+++ b/src/bin/frostvale/zones.rs
@@ -6,13 +6,13 @@
 use std::time::{Duration, Instant};
 
 /// The duty whose decisions are about zones.
-pub const ZONES: &str = "zones";
+pub const ZONES_DUTY: &str = "zones";
 /// Zones that a decision may speak of.
 const ZONES_MOST: usize = 64;
 
 /// The decision in effect.
 #[derive(Default)]
-pub struct Zones {
+pub struct ZoneDecisions {
     version: u64,
     epoch: u64,
     /// Until when it is more than what this gatekeeper does by itself.
@@ -65,9 +65,9 @@
     text.chars().filter(|c| !c.is_control()).take(40).collect()
 }
 
-impl Zones {
+impl ZoneDecisions {
     /// Takes a decision that its fence lets through, or says why not; then nothing has changed.
-    pub fn take(&mut self, gatekeeper: &mut Gatekeeper, word: &ZonesGuide) -> Result<(), String> {
+    pub fn apply_decision(&mut self, gatekeeper: &mut Gatekeeper, word: &ZonesGuide) -> Result<(), String> {
         let epoch = word.fence.as_ref().map_or(0, |f| f.epoch);
         if word.version < self.version {
             self.problem = format!("version {} came after {}", word.version, self.version);
@@ -84,7 +84,7 @@
         let fresh = word.version != self.version;
         if fresh {
             let rows = ZonesGuide { rows: word.rows.clone(), ..ZonesGuide::default() };
-            self.digest = crate::acts::digest(&frostvale_link::encode(&rows));
+            self.digest = crate::applied_versions::digest(&frostvale_link::encode(&rows));
         }
         (self.version, self.epoch) = (word.version, epoch);
         self.until = Some(
@@ -110,7 +110,7 @@
     }
 
     /// What is told of a look, and what is in effect.
-    pub fn seen(&self, gatekeeper: &Gatekeeper, sight: ZoneObservation) -> ZonesSeen {
+    pub fn observation(&self, gatekeeper: &Gatekeeper, sight: ZoneObservation) -> ZonesSeen {
         let areas = &gatekeeper.conf.areas;
         let milli = |x: f64| (x.max(0.0) * 1000.0).round().min(1e12) as u64;
         let line = |(zone, class, [attempts, bad, late]): (u32, usize, [u32; 3])| ZoneLine {
--- a/tests/large_list.rs
+++ b/tests/large_list.rs
@@ -7,7 +7,7 @@
 #[path = "node/sockets.rs"]
 mod sockets;
 
-use frostvale_standin::formula::{Formula, Options};
+use frostvale_standin::formula_server::{FormulaServer, ServerOptions};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use rig::*;
@@ -79,7 +79,7 @@
     /// The commands that told a server more than its client had left, and by how much.
     fn told_too_much(&self, servers: &Servers) -> Vec<(String, Duration)> {
         let sent = self.0.lock().expect("whole");
-        let arrivals = servers.all.iter().flat_map(|server| server.books().arrivals);
+        let arrivals = servers.all.iter().flat_map(|server| server.ledger().arrivals);
         let excess = arrivals.filter_map(|arrival| {
             let left = DEADLINE.saturating_sub(arrival.at.duration_since(*sent.get(&arrival.id)?));
             Some((arrival.id, arrival.wait?.saturating_sub(left + SLACK)))
@@ -90,7 +90,7 @@
 
 /// Servers that answer at once, each at an address of its own.
 struct Servers {
-    all: Vec<Formula>,
+    all: Vec<FormulaServer>,
     _runtime: tokio::runtime::Runtime,
 }
 
@@ -98,13 +98,13 @@
     fn start(count: usize) -> Servers {
         let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(1).enable_all().build();
         let runtime = runtime.expect("a runtime");
-        let options = Options { work: Duration::from_millis(1), ..Options::default() };
+        let options = ServerOptions { work: Duration::from_millis(1), ..ServerOptions::default() };
         let all = runtime.block_on(async {
             let mut all = Vec::new();
             for k in 0..count {
                 let ip = IpAddr::V4(Ipv4Addr::LOCALHOST);
                 let uid = format!("s-{:08x}", (k as u32).wrapping_mul(0x9e37_79b1));
-                let server = Formula::start(&uid, ip, options.clone(), Arc::default(), false).await;
+                let server = FormulaServer::start(&uid, ip, options.clone(), Arc::default(), false).await;
                 all.push(server.expect("a descriptor for each server"));
             }
             all
@@ -120,7 +120,7 @@
     fn runs(&self) -> (usize, usize) {
         let (mut seen, mut twice) = (HashSet::new(), 0);
         for server in &self.all {
-            for (id, runs) in server.books().runs {
+            for (id, runs) in server.ledger().runs {
                 twice += usize::from(runs > 1 || !seen.insert(id));
             }
         }
@@ -425,10 +425,10 @@
     thread::sleep(AFTER_TOLD);
     stop.store(true, Ordering::SeqCst);
     clients.into_iter().for_each(|client| client.join().expect("a client"));
-    let left_out = servers.all[kept.len()..].iter().flat_map(|server| server.books().arrivals);
+    let left_out = servers.all[kept.len()..].iter().flat_map(|server| server.ledger().arrivals);
     let strays = left_out.filter(|arrival| arrival.at > told + DRAIN_GRACE).count();
     assert_eq!(strays, 0, "seed {seed}: sent to servers that are not listed any more; events {events:?}");
-    let reached: HashSet<String> = servers.all.iter().flat_map(|s| s.books().runs.into_keys()).collect();
+    let reached: HashSet<String> = servers.all.iter().flat_map(|s| s.ledger().runs.into_keys()).collect();
     let answered = outcomes.answered.load(Ordering::SeqCst);
     let late = std::mem::take(&mut *outcomes.late.lock().expect("whole"));
     let unanswered = std::mem::take(&mut *outcomes.unanswered.lock().expect("whole"));
--- a/tests/link.rs
+++ b/tests/link.rs
@@ -1,15 +1,15 @@
 //! The built gatekeeper's end of the link, against an agent that does all that it should not.
 
 use frostvale_link::VERSION;
-use frostvale_link::codec::{Frames, put};
-use frostvale_link::node::UNREAD_MOST;
+use frostvale_link::codec::{FrameReader, append_frame};
+use frostvale_link::node::MAX_UNREAD_BYTES;
 use frostvale_link::proto::decision::Code;
 use frostvale_link::proto::{
     Check, Epochs, Fence, FromNode, Hello, Settle, ToNode, Welcome, ZoneRow, ZoneSpill, ZonesGuide, ZonesSeen,
 };
-use frostvale_standin::load::{Shop, ask};
-use frostvale_standin::resp::{Answer, Conn};
-use frostvale_standin::town::{Plan, Town};
+use frostvale_standin::client::{Shop, send_request};
+use frostvale_standin::local_cluster::{ClusterOptions, LocalCluster};
+use frostvale_standin::resp::{Answer, RespConnection};
 use serde_json::json;
 use std::io::ErrorKind;
 use std::os::unix::fs::PermissionsExt;
@@ -24,17 +24,17 @@
 /// An agent as these tests write it.
 struct Agent {
     stream: UnixStream,
-    frames: Frames,
+    frames: FrameReader,
 }
 
 impl Agent {
-    async fn connect(town: &Town) -> Agent {
+    async fn connect(town: &LocalCluster) -> Agent {
         let stream = UnixStream::connect(&town.gatekeepers[0].socket).await.expect("connected");
-        Agent { stream, frames: Frames::default() }
+        Agent { stream, frames: FrameReader::default() }
     }
 
     /// Connected and welcomed.
-    async fn join(town: &Town) -> (Agent, Welcome) {
+    async fn join(town: &LocalCluster) -> (Agent, Welcome) {
         let mut agent = Agent::connect(town).await;
         agent.hello(VERSION).await;
         let welcome = agent.next().await.expect("a frame").welcome.expect("a welcome");
@@ -49,17 +49,17 @@
 
     async fn say(&mut self, frame: &ToNode) {
         let mut bytes = Vec::new();
-        put(&mut bytes, frame).expect("short");
+        append_frame(&mut bytes, frame).expect("short");
         self.stream.write_all(&bytes).await.expect("written");
     }
 
     /// The next frame; none once the gatekeeper has ended the connection.
     async fn next(&mut self) -> Option<FromNode> {
         loop {
-            if let Some(frame) = self.frames.take::<FromNode>().expect("a frame") {
+            if let Some(frame) = self.frames.next_message::<FromNode>().expect("a frame") {
                 return Some(frame);
             }
-            let read = timeout(LONG, self.stream.read_buf(self.frames.room())).await.expect("in time");
+            let read = timeout(LONG, self.stream.read_buf(self.frames.read_buffer())).await.expect("in time");
             match read {
                 Ok(0) => return None,
                 Ok(_) => {}
@@ -97,18 +97,24 @@
 }
 
 /// One gatekeeper with a plan of 5 units that fills once in 1,000 s: what is granted can be counted.
-async fn town(gatekeepers: usize) -> Town {
+async fn town(gatekeepers: usize) -> LocalCluster {
     let plans = json!([{"Name": "five", "UnitsPerS": 0.005, "PeakUnits": 5.0, "ValueFactor": 1.0},
                        {"Name": "wide", "UnitsPerS": 1e6, "PeakUnits": 1e6, "ValueFactor": 1.0}]);
-    let plan = Plan { gatekeepers, servers: 2, agent: false, plans: Some(plans), ..Plan::default() };
-    Town::start(plan).await.expect("started")
+    let plan = ClusterOptions {
+        gatekeepers,
+        servers: 2,
+        agent: false,
+        plans: Some(plans),
+        ..ClusterOptions::default()
+    };
+    LocalCluster::start(plan).await.expect("started")
 }
 
 /// RESP2 traffic goes on.
-async fn serves(town: &Town) {
-    let mut conn = Conn::connect(town.gatekeepers[0].resp).await.expect("connected");
+async fn serves(town: &LocalCluster) {
+    let mut conn = RespConnection::connect(town.gatekeepers[0].resp).await.expect("connected");
     let shop = Shop { id: format!("{:016x}", 99), plan: "wide".into(), first: 0, spread: 1 };
-    let answer = ask(&mut conn, &shop, "formula-read", None, 1, Duration::from_secs(1)).await;
+    let answer = send_request(&mut conn, &shop, "formula-read", None, 1, Duration::from_secs(1)).await;
     assert!(matches!(answer, Ok(Answer::Served(_))), "{answer:?}");
 }
 
@@ -226,13 +232,13 @@
     // Each refusal is longer than what it answers. More than the sockets and the bound hold together.
     let bad: Vec<Check> = (0..1000).map(|k| Check { shop: String::new(), ..check(k + 1, 7) }).collect();
     let mut bytes = Vec::new();
-    put(&mut bytes, &ToNode { checks: bad, ..ToNode::default() }).expect("short");
+    append_frame(&mut bytes, &ToNode { checks: bad, ..ToNode::default() }).expect("short");
     let mut sent = 0;
-    while sent < 40 * UNREAD_MOST && deaf.stream.write_all(&bytes).await.is_ok() {
+    while sent < 40 * MAX_UNREAD_BYTES && deaf.stream.write_all(&bytes).await.is_ok() {
         sent += bytes.len();
     }
-    assert!(sent < 40 * UNREAD_MOST, "it was let go on for ever");
-    town.gatekeepers[0].process.says("unread").await.expect("and the log says why");
+    assert!(sent < 40 * MAX_UNREAD_BYTES, "it was let go on for ever");
+    town.gatekeepers[0].process.wait_for_log("unread").await.expect("and the log says why");
     assert_eq!(other.check(check(1, 7)).await.code(), Code::Granted);
     serves(&town).await;
 }
@@ -263,7 +269,7 @@
     twice.hello(VERSION).await;
     ended(twice).await;
 
-    town.gatekeepers[0].process.says_times("an agent was cut off", 5).await.expect("a line for each");
+    town.gatekeepers[0].process.wait_for_log_times("an agent was cut off", 5).await.expect("a line for each");
     assert_eq!(other.check(check(1, 7)).await.code(), Code::Granted, "the other one noticed nothing");
     serves(&town).await;
 }
@@ -285,10 +291,10 @@
     let mut town = town(1).await;
     let (mut agent, _) = Agent::join(&town).await;
     let mut bytes = Vec::new();
-    put(&mut bytes, &ToNode { checks: vec![check(1, 7); 3], ..ToNode::default() }).expect("short");
+    append_frame(&mut bytes, &ToNode { checks: vec![check(1, 7); 3], ..ToNode::default() }).expect("short");
     agent.stream.write_all(&bytes[..bytes.len() - 1]).await.expect("written");
     drop(agent);
-    town.gatekeepers[0].process.says("inside a frame").await.expect("seen");
+    town.gatekeepers[0].process.wait_for_log("inside a frame").await.expect("seen");
     let (mut next, _) = Agent::join(&town).await;
     for id in 1..=5 {
         assert_eq!(next.check(check(id, 7)).await.code(), Code::Granted, "all five are there");
@@ -327,12 +333,13 @@
     let (mut agent, _) = Agent::join(&town).await;
     assert_eq!(agent.check(check(1, 7)).await.code(), Code::Granted);
     // A second one with the same socket must not take it from the first.
-    let second = std::process::Command::new(frostvale_standin::town::program("frostvale").expect("built"))
-        .env("GW_CONFIG", &town.gatekeepers[0].config)
-        .env("GW_EXTRA", &town.gatekeepers[0].extra)
-        .env("GW_LISTEN", format!("{}:0", town.ip))
-        .output()
-        .expect("run");
+    let second =
+        std::process::Command::new(frostvale_standin::local_cluster::program("frostvale").expect("built"))
+            .env("GW_CONFIG", &town.gatekeepers[0].config)
+            .env("GW_EXTRA", &town.gatekeepers[0].local_settings)
+            .env("GW_LISTEN", format!("{}:0", town.ip))
+            .output()
+            .expect("run");
     let said = String::from_utf8_lossy(&second.stderr);
     assert!(!second.status.success() && said.lines().count() == 1, "{said}");
     // Its notes' port is taken too; whichever it meets first, the first one's socket is whole.
@@ -347,12 +354,12 @@
     std::fs::create_dir_all(&folder).expect("a folder");
     let path = folder.join("precious");
     std::fs::write(&path, "data").expect("written");
-    let said = frostvale_link::node::open(&path).expect_err("refused");
+    let said = frostvale_link::node::bind(&path).expect_err("refused");
     assert!(said.contains("is no socket"), "{said}");
     assert_eq!(std::fs::read_to_string(&path).expect("there"), "data");
     let live = folder.join("live");
-    let door = frostvale_link::node::open(&live).expect("opened");
-    let said = frostvale_link::node::open(&live).expect_err("refused");
+    let door = frostvale_link::node::bind(&live).expect("opened");
+    let said = frostvale_link::node::bind(&live).expect_err("refused");
     assert!(said.contains("another process listens"), "{said}");
     drop(door);
     assert!(!live.exists(), "a door that closes takes its file along");
@@ -371,7 +378,7 @@
     std::fs::write(&config, file.to_string()).expect("written");
     let run = |text: &str, args: &[&str]| {
         std::fs::write(&extra, text).expect("written");
-        let program = frostvale_standin::town::program("frostvale").expect("built");
+        let program = frostvale_standin::local_cluster::program("frostvale").expect("built");
         let ran = std::process::Command::new(program)
             .args(args)
             .env("GW_CONFIG", &config)
@@ -425,15 +432,15 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn decisions_on_zones_that_come_late_or_cannot_be_change_nothing() {
     let plans = json!([{"Name": "wide", "UnitsPerS": 1e6, "PeakUnits": 1e6, "ValueFactor": 1.0}]);
-    let plan = Plan {
+    let plan = ClusterOptions {
         gatekeepers: 1,
         servers: 3,
         agent: false,
         plans: Some(plans),
-        gatekeeper_extra: "[zones]\nreport_ms = 20\n".into(),
-        ..Plan::default()
+        gatekeeper_settings: "[zones]\nreport_ms = 20\n".into(),
+        ..ClusterOptions::default()
     };
-    let mut town = Town::start(plan).await.expect("started");
+    let mut town = LocalCluster::start(plan).await.expect("started");
     let (mut agent, welcome) = Agent::join(&town).await;
     agent.say(&guide(3, 7, 1000)).await;
     assert_eq!(acts(&mut agent).await.version, 0, "nobody is believed before the council's epochs are known");
@@ -466,7 +473,7 @@
     for _ in 0..20 {
         serves(&town).await;
     }
-    let at: Vec<u64> = town.servers.iter().map(|s| s.work().1).collect();
+    let at: Vec<u64> = town.servers.iter().map(|s| s.work_counts().1).collect();
     assert!(at[0] == 0 && at[1] + at[2] == 20, "{at:?}");
     town.stop().await;
 }
