--- a/tests/module.rs
+++ b/tests/module.rs
@@ -951,7 +951,7 @@
 }
 
 #[test]
-fn actions_are_equal_when_seeds_are_equal() {
+fn actions_are_equal_only_when_seeds_are_equal() {
     let run = |seed| {
         let mut gatekeeper = Control::new(settings(), seed).expect("valid settings");
         let servers = vec![server_in_zone("a", 0), server_in_zone("b", 0), server_in_zone("c", 1)];
