--- a/src/aggregate_limit.rs
+++ b/src/aggregate_limit.rs
@@ -1,134 +1,157 @@
-//! A plan's hard ceiling, dealt out among the gatekeepers so that their sum can never pass it.
+//! Divides a plan's hard ceiling among the gatekeepers so that the sum of their shares never exceeds it.
 //!
-//! Equal slices alone starve whoever sees most of a customer: of a set of eight each holds an eighth, and a request that
-//! comes where the slice is spent is turned away with the ceiling far off. So the customer's keeper, which is asked
-//! for each request's units in any case, holds the larger part, and a unit it has just granted is covered by that. What
-//! goes out without a fresh grant (from stock, or past a silent keeper) is covered by the sender's own slice of the rest.
-//! Both begin a life empty: a former life may have spent what they held.
+//! Equal local shares alone would starve the gatekeeper that gets most of a customer's requests: in a set of
+//! eight each holds an eighth, and a request that arrives where the local share is spent is refused far below
+//! the ceiling. So the customer's quota owner, which is asked for the units of each request anyway, holds the
+//! larger share, and that share covers the units it has just granted. Units sent without a fresh grant (from
+//! prefetched tokens, or while the quota owner does not reply) are covered by the sender's local share of the
+//! rest. Both shares start empty after a restart, because the previous incarnation may already have spent
+//! them.
 
 use crate::api::Plan;
 
-/// The keeper's part at the least and at the most: between, a little more than the quota it grants from.
-const KEPT: (f64, f64) = (0.62, 0.85);
-const ABOVE_QUOTA: f64 = 1.1;
-/// What keeper and slices hold together. The remainder covers grants that are still on their way when they are used.
-const DEALT: f64 = 0.92;
-
-/// A share of a ceiling: units a second, and the most it holds. No ceiling is an endless share.
+/// Bounds of the owner's fraction of the ceiling. Between them the owner holds a little more than the quota
+/// that it grants from.
+const OWNER_FRACTION_RANGE: (f64, f64) = (0.62, 0.85);
+/// Ratio of the owner's share to the quota that it grants from.
+const OWNER_TO_QUOTA_RATIO: f64 = 1.1;
+/// Fraction of the ceiling that the owner's share and the local shares hold together. The remainder covers
+/// grants that are still in transit between gatekeepers.
+const DIVIDED_FRACTION: f64 = 0.92;
+
+/// Parameters of a token bucket that holds a share of a ceiling. A plan without a ceiling has an unlimited
+/// share.
 #[derive(Clone, Copy)]
 pub(crate) struct LimitShare {
+    /// Units per second.
     rate: f64,
-    most: f64,
+    /// Maximum number of units in the bucket.
+    capacity: f64,
 }
 
-const ENDLESS: LimitShare = LimitShare { rate: f64::INFINITY, most: f64::INFINITY };
+const UNLIMITED: LimitShare = LimitShare { rate: f64::INFINITY, capacity: f64::INFINITY };
 
-fn owner_part(rate: f64, ceiling_rate: f64) -> f64 {
-    (ABOVE_QUOTA * rate / ceiling_rate).clamp(KEPT.0, KEPT.1)
+/// The owners' fraction of a ceiling, given the plan's quota and the ceiling in units per second.
+fn owner_fraction(rate: f64, ceiling_rate: f64) -> f64 {
+    (OWNER_TO_QUOTA_RATIO * rate / ceiling_rate).clamp(OWNER_FRACTION_RANGE.0, OWNER_FRACTION_RANGE.1)
 }
 
-/// The least part of a ceiling that the slices of a whole set hold together, for whoever says ahead what one of them may
-/// have held. Without a quota, without notes or with capped places they hold more, in a set too large for slices nothing.
+/// Fraction of a ceiling that the local shares of a whole set hold together, for callers that estimate in
+/// advance what one gatekeeper may have held. `rate` is the plan's quota and `ceiling_rate` its ceiling, both
+/// in units per second. The fraction is larger for plans without a quota, without peer messages or with a
+/// limit of requests in flight, and zero in sets too large for local shares.
 #[must_use]
 pub fn min_local_limit_share(rate: f64, ceiling_rate: f64) -> f64 {
-    if rate > 0.0 && ceiling_rate > 0.0 { DEALT - owner_part(rate, ceiling_rate) } else { 1.0 }
+    if rate > 0.0 && ceiling_rate > 0.0 { DIVIDED_FRACTION - owner_fraction(rate, ceiling_rate) } else { 1.0 }
 }
 
-/// How a tier deals its ceilings out.
+/// The policy by which the gatekeepers divide a plan's ceiling.
 #[derive(Clone, Copy)]
 pub(crate) struct LimitDivision {
-    /// Whether a keeper can be asked.
+    /// Whether gatekeepers can ask the quota owner, that is, exchange peer messages.
     pub can_ask_owner: bool,
-    /// Whether there is one gatekeeper alone, which is asked for everything.
+    /// Whether there is a single gatekeeper, which then owns every quota.
     pub is_single: bool,
-    /// The units of the largest request.
+    /// Units of the largest possible request.
     pub max_request_units: f64,
 }
 
 impl LimitDivision {
-    fn part(plan: &Plan, part: f64) -> LimitShare {
+    /// The share that holds a fraction of the plan's ceiling.
+    fn share_of_ceiling(plan: &Plan, fraction: f64) -> LimitShare {
         if plan.ceiling_rate <= 0.0 {
-            return ENDLESS;
+            return UNLIMITED;
+        }
+        LimitShare {
+            rate: plan.ceiling_rate * fraction,
+            capacity: (plan.ceiling_burst + plan.ceiling_slack) * fraction,
         }
-        LimitShare { rate: plan.ceiling_rate * part, most: (plan.ceiling_burst + plan.ceiling_slack) * part }
     }
 
-    /// Whether a plan's ceiling is held by slices alone: where nobody can be asked, where there is no quota that a keeper
-    /// grants from, and where places are capped, so that a request may wait long after its grant.
+    /// Whether local shares alone hold a plan's ceiling. This is so where gatekeepers cannot ask the owner,
+    /// where the plan has no quota for an owner to grant from, and where the plan limits the requests in
+    /// flight, so that a request may wait for long after its grant.
     pub fn is_local_only(self, plan: &Plan) -> bool {
         plan.ceiling_rate > 0.0 && !(self.can_ask_owner && plan.rate > 0.0 && plan.max_in_flight == 0)
     }
 
-    /// Whether a set is so large that a slice would never let the largest request out: then they are nothing, and the
-    /// keeper holds what they would have held.
+    /// Whether a set of `set` gatekeepers is so large that a local share could never hold the largest
+    /// request. The local shares are then zero, and the owner holds their part as well.
     pub fn owner_holds_all(self, plan: &Plan, set: f64) -> bool {
-        let most = (plan.ceiling_burst + plan.ceiling_slack) / set;
+        let capacity_per_gatekeeper = (plan.ceiling_burst + plan.ceiling_slack) / set;
         !self.is_single
             && !self.is_local_only(plan)
-            && most * (DEALT - owner_part(plan.rate, plan.ceiling_rate)) < self.max_request_units
+            && capacity_per_gatekeeper * (DIVIDED_FRACTION - owner_fraction(plan.rate, plan.ceiling_rate))
+                < self.max_request_units
     }
 
-    /// What one of so many keepers of a customer holds; where slices hold all, it holds nothing back either. `owner_holds_all`: as
-    /// [`LimitDivision::owner_holds_all`] says of the customer's set.
+    /// The share of one of `quota_owners` owners of a customer's quota; unlimited where local shares alone
+    /// hold the ceiling, since the owner then refuses nothing because of it. `owner_holds_all` is the result
+    /// of [`LimitDivision::owner_holds_all`] for the customer's set.
     pub fn owner_share(self, plan: &Plan, quota_owners: f64, owner_holds_all: bool) -> LimitShare {
         if self.is_local_only(plan) {
-            return ENDLESS;
+            return UNLIMITED;
         }
-        let part = match owner_holds_all {
+        let fraction = match owner_holds_all {
             _ if self.is_single => 1.0,
-            true => DEALT,
-            false => owner_part(plan.rate, plan.ceiling_rate),
+            true => DIVIDED_FRACTION,
+            false => owner_fraction(plan.rate, plan.ceiling_rate),
         };
-        LimitDivision::part(plan, part / quota_owners)
+        LimitDivision::share_of_ceiling(plan, fraction / quota_owners)
     }
 
-    /// What one of so many gatekeepers of a customer's set may send on without a fresh grant.
+    /// The share of one of the `set` gatekeepers of a customer's set, from which it sends requests without a
+    /// fresh grant.
     pub fn local_share(self, plan: &Plan, set: f64) -> LimitShare {
-        let part = match self.is_local_only(plan) {
+        let fraction = match self.is_local_only(plan) {
             true => 1.0,
             false if self.is_single || self.owner_holds_all(plan, set) => 0.0,
-            false => DEALT - owner_part(plan.rate, plan.ceiling_rate),
+            false => DIVIDED_FRACTION - owner_fraction(plan.rate, plan.ceiling_rate),
         };
-        LimitDivision::part(plan, part / set)
+        LimitDivision::share_of_ceiling(plan, fraction / set)
     }
 
-    /// Whether a request that the keeper granted is covered by the keeper's part.
+    /// Whether the owner's share covers a request. `granted` tells whether the owner has granted its units.
     pub fn is_covered_by_owner(self, plan: &Plan, granted: bool) -> bool {
         granted && !self.is_local_only(plan)
     }
 }
 
-/// The units at hand of a share.
+/// Token bucket with the units of a share that are available. The default is an empty bucket.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct TokenBucket(f64);
 
 impl TokenBucket {
-    pub fn new(level: f64) -> TokenBucket {
-        TokenBucket(level)
+    /// Creates a bucket that holds a number of tokens.
+    pub fn new(tokens: f64) -> TokenBucket {
+        TokenBucket(tokens)
     }
 
+    /// Adds the tokens of `ms` milliseconds, up to the share's capacity.
     pub fn refill(&mut self, share: LimitShare, ms: f64) {
-        self.0 = if share.most.is_finite() {
-            (self.0 + share.rate * ms / 1000.0).min(share.most)
+        self.0 = if share.capacity.is_finite() {
+            (self.0 + share.rate * ms / 1000.0).min(share.capacity)
         } else {
             f64::INFINITY
         };
     }
 
+    /// Whether the bucket holds at least so many units.
     pub fn has(&self, units: f64) -> bool {
         self.0 >= units
     }
 
+    /// Removes units without a check: the number of tokens may become negative.
     pub fn consume(&mut self, units: f64) {
         self.0 -= units;
     }
 
-    /// Gives back what was taken and not sent on.
+    /// Returns units that were consumed for a request that was not sent, up to the share's capacity.
     pub fn refund(&mut self, units: f64, share: LimitShare) {
-        self.0 = (self.0 + units).min(share.most);
+        self.0 = (self.0 + units).min(share.capacity);
     }
 
-    /// What it holds, for the record: nothing where there is no ceiling.
+    /// The number of tokens as it is persisted: 0 for an unlimited share.
     pub fn tokens(&self) -> f64 {
         if self.0.is_finite() { self.0 } else { 0.0 }
     }
--- a/src/random_draw.rs
+++ b/src/random_draw.rs
@@ -1,45 +1,48 @@
-//! Numbers drawn by lot, each once, as they are asked for: of few all are shuffled, of many no more are drawn than are
-//! used.
+//! Random numbers without repetition, drawn on demand. A small range is shuffled at once. From a large one
+//! only as many numbers are drawn as are used.
 
 use rand::Rng;
 use rand::seq::index::{IndexVec, sample};
 
-/// Draws from `0..len`, at most `most` of them.
+/// Draws distinct numbers from `0..len`, at most `max_draws` of them.
 pub(crate) enum RandomDraw {
-    /// All, in a random order.
-    All(IndexVec, usize),
-    /// One by one: those drawn so far, how many there are, and how many more may be drawn.
-    Some(Vec<usize>, usize, usize),
+    /// All numbers in random order, and the position of the next one.
+    Shuffled(IndexVec, usize),
+    /// The numbers drawn so far, the length of the range, and the maximum number of draws.
+    Sampled(Vec<usize>, usize, usize),
 }
 
 impl RandomDraw {
-    pub fn new(len: usize, most: usize, rng: &mut impl Rng) -> RandomDraw {
-        if len <= most {
-            RandomDraw::All(sample(rng, len, len), 0)
+    /// Prepares at most `max_draws` draws from `0..len`.
+    pub fn new(len: usize, max_draws: usize, rng: &mut impl Rng) -> RandomDraw {
+        if len <= max_draws {
+            RandomDraw::Shuffled(sample(rng, len, len), 0)
         } else {
-            RandomDraw::Some(Vec::new(), len, most)
+            RandomDraw::Sampled(Vec::new(), len, max_draws)
         }
     }
 
+    /// Draws the next number; `None` after the last.
     pub fn next(&mut self, rng: &mut impl Rng) -> Option<usize> {
         match self {
-            RandomDraw::All(all, next) => {
+            RandomDraw::Shuffled(all, next) => {
                 *next += 1;
                 (*next <= all.len()).then(|| all.index(*next - 1))
             }
-            RandomDraw::Some(drawn, len, most) => {
-                if drawn.len() >= *most {
+            RandomDraw::Sampled(drawn, len, max_draws) => {
+                if drawn.len() >= *max_draws {
                     return None;
                 }
-                // Fewer are drawn than there are, so this ends; with half drawn, after two on average.
-                let k = loop {
-                    let k = rng.random_range(0..*len);
-                    if !drawn.contains(&k) {
-                        break k;
+                // The loop ends because fewer numbers are drawn than the range has; with half of them drawn
+                // it takes two tries on average.
+                let candidate = loop {
+                    let candidate = rng.random_range(0..*len);
+                    if !drawn.contains(&candidate) {
+                        break candidate;
                     }
                 };
-                drawn.push(k);
-                Some(k)
+                drawn.push(candidate);
+                Some(candidate)
             }
         }
     }
--- a/src/recent_map.rs
+++ b/src/recent_map.rs
@@ -1,48 +1,52 @@
-//! What was said of late by what it was said about, so that a question that comes twice is answered once. Bounded in time and
-//! in number; nothing is decided here.
+//! Map of recent entries, bounded in age and number. It holds replies, so that a request that arrives twice
+//! gets the same reply again.
 
 use std::collections::{HashMap, VecDeque};
 use std::hash::Hash;
 
-/// Kept for this long: a note and its answer take a small part of it.
-const LIFE_MS: f64 = 2000.0;
-/// So many are kept at the most, the latest.
-const MOST: usize = 4096;
+/// How long an entry is kept. A message between gatekeepers and its reply take a small fraction of it.
+const ENTRY_TTL_MS: f64 = 2000.0;
+/// Maximum number of entries; the oldest are evicted first.
+const MAX_ENTRIES: usize = 4096;
 
-/// The table.
+/// Hash map that evicts its entries by age and number.
 pub(crate) struct RecentMap<K, V> {
-    known: HashMap<K, V>,
+    entries: HashMap<K, V>,
+    /// Keys with the time of their first insertion in ms, oldest first.
     order: VecDeque<(f64, K)>,
 }
 
 impl<K, V> Default for RecentMap<K, V> {
     fn default() -> Self {
-        RecentMap { known: HashMap::new(), order: VecDeque::new() }
+        RecentMap { entries: HashMap::new(), order: VecDeque::new() }
     }
 }
 
 impl<K: Copy + Eq + Hash, V: Copy> RecentMap<K, V> {
-    /// Forgets what is too old.
-    fn age(&mut self, now: f64) {
-        while self.order.front().is_some_and(|(at, _)| now - at > LIFE_MS) || self.order.len() > MOST {
+    /// Evicts the entries that are too old or too many.
+    fn evict_old(&mut self, now: f64) {
+        while self.order.front().is_some_and(|(at, _)| now - at > ENTRY_TTL_MS)
+            || self.order.len() > MAX_ENTRIES
+        {
             if let Some((_, key)) = self.order.pop_front() {
-                self.known.remove(&key);
+                self.entries.remove(&key);
             }
         }
     }
 
-    /// What was said of this, if that was of late.
+    /// Returns the value of a key that has not expired.
     pub fn get(&mut self, now: f64, key: K) -> Option<V> {
-        self.age(now);
-        self.known.get(&key).copied()
+        self.evict_old(now);
+        self.entries.get(&key).copied()
     }
 
-    /// Keeps what is said of this for the rest of its life, which begins with the first word on it.
-    pub fn insert(&mut self, now: f64, key: K, said: V) {
-        self.age(now);
-        if self.known.insert(key, said).is_none() {
+    /// Sets the value of a key. A later value of the same key does not prolong its lifetime, which begins
+    /// with the first.
+    pub fn insert(&mut self, now: f64, key: K, value: V) {
+        self.evict_old(now);
+        if self.entries.insert(key, value).is_none() {
             self.order.push_back((now, key));
-            self.age(now);
+            self.evict_old(now);
         }
     }
 }
--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -1,58 +1,63 @@
-//! The adapter, fed frames as a host would.
+//! Runs the drill adapter as a process and sends it batches of frames as its host does.
 
 use std::io::Write;
 use std::process::{Command, Stdio};
 
+/// Settings of the adapter, with a key that it does not know.
 const CONF: &str = r#"{"Balancers":1,"Me":0,"Classes":[{"Name":"r","Target":500.0,"Deadline":1000.0,"Effect":"repeatable","Worth":1.0}],"Plans":[{"Name":"p","UnitsPerS":10.0,"PeakUnits":20.0,"ValueFactor":1.0}],"Later":{"unknown":[1]}}"#;
 
-/// Runs the adapter on these lines: exit success, standard output, standard error.
-fn talk(lines: &[String]) -> (bool, String, String) {
+/// Runs the adapter with these lines as standard input. Returns whether it exited with success, its standard
+/// output and its standard error.
+fn run_adapter(lines: &[String]) -> (bool, String, String) {
     let mut child = Command::new(env!("CARGO_BIN_EXE_frostvale-drill"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
         .spawn()
-        .expect("the adapter starts");
-    let mut input = child.stdin.take().expect("piped");
-    // A complaint may end the adapter before all is read.
+        .expect("start the adapter");
+    let mut input = child.stdin.take().expect("standard input is piped");
+    // The adapter may exit with an error before it has read all of its input, so the write may fail.
     let _ = input.write_all((lines.join("\n") + "\n").as_bytes());
     drop(input);
-    let out = child.wait_with_output().expect("the adapter ends");
-    let text = |bytes: Vec<u8>| String::from_utf8(bytes).expect("text");
+    let out = child.wait_with_output().expect("wait for the adapter");
+    let text = |bytes: Vec<u8>| String::from_utf8(bytes).expect("UTF-8 output");
     (out.status.success(), text(out.stdout), text(out.stderr))
 }
 
-fn begin(n: u64) -> String {
+/// Begins batch `n` at the time of `100 * n` on the frame's clock.
+fn begin_batch(n: u64) -> String {
     format!(r#"{{"kind":"BeginBatch","Clock":{}.0,"n":{n}}}"#, 100 * n)
 }
 
-fn eob() -> String {
+fn end_of_batch() -> String {
     r#"{"kind":"Eob"}"#.into()
 }
 
-fn start(me: u32) -> Vec<String> {
+/// Frames that start a gatekeeper and give it its list of servers.
+fn start_gatekeeper(index: u32) -> Vec<String> {
     vec![
         r#"{"kind":"Directory","Sheet":0,"Records":[{"Worker":"worker.a","Share":1,"RegionPart":0,"Pod":0,"FamilyType":0,"Health":"up"}]}"#.into(),
-        format!(r#"{{"kind":"Hello","GatekeeperId":"gatekeeper_{me}","Prng":7,"Conf":{CONF}}}"#),
-        format!(r#"{{"kind":"DirectoryUpdate","GatekeeperId":"gatekeeper_{me}","Form":"disk","Version":1,"Sheet":0}}"#),
+        format!(r#"{{"kind":"Hello","GatekeeperId":"gatekeeper_{index}","Prng":7,"Conf":{CONF}}}"#),
+        format!(r#"{{"kind":"DirectoryUpdate","GatekeeperId":"gatekeeper_{index}","Form":"disk","Version":1,"Sheet":0}}"#),
     ]
 }
 
-fn incoming(me: u32, id: u64) -> String {
+/// A request that arrives at a gatekeeper.
+fn incoming_request(index: u32, id: u64) -> String {
     format!(
-        r#"{{"kind":"Incoming","GatekeeperId":"gatekeeper_{me}","RequestId":{id},"First":0,"GiveUpAt":2000.0,"Weight":1,"Band":0,"ClientId":"key:x","StateBits":0,"Tier":0,"Doors":1,"Novel":true}}"#
+        r#"{{"kind":"Incoming","GatekeeperId":"gatekeeper_{index}","RequestId":{id},"First":0,"GiveUpAt":2000.0,"Weight":1,"Band":0,"ClientId":"key:x","StateBits":0,"Tier":0,"Doors":1,"Novel":true}}"#
     )
 }
 
 #[test]
-fn a_conversation_is_answered_batch_by_batch() {
-    let mut lines = vec![begin(1), eob(), begin(2)];
-    lines.extend(start(0));
-    lines.extend([incoming(0, 41), eob(), begin(3)]);
+fn adapter_answers_each_batch() {
+    let mut lines = vec![begin_batch(1), end_of_batch(), begin_batch(2)];
+    lines.extend(start_gatekeeper(0));
+    lines.extend([incoming_request(0, 41), end_of_batch(), begin_batch(3)]);
     lines.push(r#"{"kind":"Done","GatekeeperId":"gatekeeper_0","RequestId":41,"Trial":0,"Worker":"worker.a","Ending":"OK","Latency":9.5,"Terminal":true}"#.into());
     lines.push(r#"{"kind":"Retire","GatekeeperId":"gatekeeper_0"}"#.into());
-    lines.push(eob());
-    let (ok, out, err) = talk(&lines);
+    lines.push(end_of_batch());
+    let (ok, out, err) = run_adapter(&lines);
     assert!(ok && err.is_empty(), "{err}");
     let replies: Vec<&str> = out.lines().collect();
     assert_eq!(replies.first(), Some(&r#"{"kind":"Ok","n":1}"#));
@@ -61,53 +66,53 @@
 }
 
 #[test]
-fn instances_live_apart() {
-    let mut lines = vec![begin(1)];
-    for me in 0..20 {
-        lines.extend(start(me));
+fn gatekeepers_of_one_process_are_independent() {
+    let mut lines = vec![begin_batch(1)];
+    for index in 0..20 {
+        lines.extend(start_gatekeeper(index));
     }
-    lines.extend((0..20).map(|me| incoming(me, u64::from(me))));
-    lines.push(eob());
-    let (ok, out, _) = talk(&lines);
+    lines.extend((0..20).map(|index| incoming_request(index, u64::from(index))));
+    lines.push(end_of_batch());
+    let (ok, out, _) = run_adapter(&lines);
     assert!(ok);
-    for me in 0..20 {
-        let own = format!(r#""GatekeeperId":"gatekeeper_{me}","RequestId":{me},"#);
+    for index in 0..20 {
+        let own = format!(r#""GatekeeperId":"gatekeeper_{index}","RequestId":{index},"#);
         assert_eq!(out.matches(&own).count(), 1, "{out}");
     }
 }
 
 #[test]
-fn bad_input_gets_one_plain_message() {
+fn malformed_input_is_rejected_with_one_line() {
     let cases: Vec<(&str, Vec<String>)> = vec![
-        ("not JSON", vec![begin(1), "nonsense".into()]),
+        ("not JSON", vec![begin_batch(1), "nonsense".into()]),
         ("no kind", vec![r#"{"Clock":1}"#.into()]),
-        ("a kind never heard of", vec![begin(1), r#"{"kind":"Sing"}"#.into()]),
-        ("a field missing", vec![r#"{"kind":"BeginBatch","n":1}"#.into()]),
+        ("an unknown kind", vec![begin_batch(1), r#"{"kind":"Sing"}"#.into()]),
+        ("a missing field", vec![r#"{"kind":"BeginBatch","n":1}"#.into()]),
         ("a wrong type", vec![r#"{"kind":"BeginBatch","Clock":"noon","n":1}"#.into()]),
-        ("an end without a beginning", vec![eob()]),
-        ("a batch in a batch", vec![begin(1), begin(2)]),
-        ("an instance never started", vec![begin(1), incoming(3, 1)]),
-        ("input ends inside a batch", vec![begin(1)]),
+        ("an end of batch outside a batch", vec![end_of_batch()]),
+        ("a batch inside a batch", vec![begin_batch(1), begin_batch(2)]),
+        ("an unknown gatekeeper", vec![begin_batch(1), incoming_request(3, 1)]),
+        ("end of input inside a batch", vec![begin_batch(1)]),
         (
             "settings without classes",
             vec![
-                begin(1),
+                begin_batch(1),
                 r#"{"kind":"Hello","GatekeeperId":"gatekeeper_0","Prng":1,"Conf":{"Balancers":1,"Classes":[]}}"#
                     .into(),
             ],
         ),
     ];
-    for (what, lines) in cases {
-        let (ok, out, err) = talk(&lines);
-        assert!(!ok, "{what} passes");
-        assert_eq!(err.lines().count(), 1, "{what}: {err}");
-        assert!(err.contains("line "), "{what}: {err}");
-        assert!(out.is_empty(), "{what}: {out}");
+    for (case, lines) in cases {
+        let (ok, out, err) = run_adapter(&lines);
+        assert!(!ok, "{case}: the adapter exited with success");
+        assert_eq!(err.lines().count(), 1, "{case}: {err}");
+        assert!(err.contains("line "), "{case}: {err}");
+        assert!(out.is_empty(), "{case}: {out}");
     }
 }
 
 #[test]
-fn the_end_of_input_is_a_clean_exit() {
-    let (ok, out, err) = talk(&[]);
+fn adapter_exits_with_success_at_end_of_input() {
+    let (ok, out, err) = run_adapter(&[]);
     assert!(ok && out.is_empty() && err.is_empty());
 }
