--- a/src/accept_window.rs
+++ b/src/accept_window.rs
@@ -7,6 +7,7 @@
 /// duration. With few requests, slots of a fixed duration would base the probability on a handful of
 /// requests, which is noise.
 const MIN_SLOT_MS: f64 = 300.0;
+/// Minimum number of requests in a slot that ends before its maximum duration.
 const MIN_SLOT_REQUESTS: u32 = 4;
 /// Maximum duration of a slot.
 const MAX_SLOT_MS: f64 = 3000.0;
--- a/src/aggregate_limit.rs
+++ b/src/aggregate_limit.rs
@@ -36,10 +36,10 @@
     (OWNER_TO_QUOTA_RATIO * rate / ceiling_rate).clamp(OWNER_FRACTION_RANGE.0, OWNER_FRACTION_RANGE.1)
 }
 
-/// Fraction of a ceiling that the local shares of a whole set hold together, for callers that estimate in
-/// advance what one gatekeeper may have held. `rate` is the plan's quota and `ceiling_rate` its ceiling, both
-/// in units per second. The fraction is larger for plans without a quota, without peer messages or with a
-/// limit of requests in flight, and zero in sets too large for local shares.
+/// Minimum fraction of a ceiling that the local shares of a whole set hold together, for callers that
+/// estimate in advance what one gatekeeper may have held. `rate` is the plan's quota and `ceiling_rate` its
+/// ceiling, both in units per second. The local shares hold more than this for plans without a quota, without
+/// peer messages or with a limit of requests in flight, and nothing in sets too large for local shares.
 #[must_use]
 pub fn min_local_limit_share(rate: f64, ceiling_rate: f64) -> f64 {
     if rate > 0.0 && ceiling_rate > 0.0 { DIVIDED_FRACTION - owner_fraction(rate, ceiling_rate) } else { 1.0 }
--- a/src/estimate.rs
+++ b/src/estimate.rs
@@ -76,16 +76,16 @@
         if s.started_at <= 0.0 || self.cfg.warm_up_ms <= 0.0 {
             return 1.0;
         }
-        let age = ((self.now - s.started_at) / self.cfg.warm_up_ms).clamp(0.0, 1.0);
-        self.cfg.cold_capacity_share + (1.0 - self.cfg.cold_capacity_share) * age
+        let progress = ((self.now - s.started_at) / self.cfg.warm_up_ms).clamp(0.0, 1.0);
+        self.cfg.cold_capacity_share + (1.0 - self.cfg.cold_capacity_share) * progress
     }
 
     /// Moving average of this gatekeeper's attempts in flight at all servers. The averaging time grows with
     /// the number of gatekeepers, since each of them then sees fewer requests.
     pub fn mean_in_flight(&self) -> f64 {
         let window_factor = (f64::from(self.cfg.gatekeepers) / 10.0).clamp(1.0, MAX_WINDOW_FACTOR);
-        let kept = (-(self.now - self.fleet.mean_updated_at) / (window_factor * DEMAND_DECAY_MS)).exp();
-        self.fleet.mean_in_flight * kept + self.fleet.in_flight as f64 * (1.0 - kept)
+        let decay = (-(self.now - self.fleet.mean_updated_at) / (window_factor * DEMAND_DECAY_MS)).exp();
+        self.fleet.mean_in_flight * decay + self.fleet.in_flight as f64 * (1.0 - decay)
     }
 
     /// The mean number of attempts in flight per server: of this gatekeeper, and of all its peers together.
@@ -110,15 +110,15 @@
     /// Mean of a reported load and an estimate. The weight of the report decays with its age.
     fn blend_report(&self, report: Option<(f64, f64)>, estimate: f64) -> f64 {
         report.map_or(estimate, |(at, reported)| {
-            let kept = (-(self.now - at) / REPORT_DECAY_MS).exp();
-            reported * kept + estimate * (1.0 - kept)
+            let decay = (-(self.now - at) / REPORT_DECAY_MS).exp();
+            reported * decay + estimate * (1.0 - decay)
         })
     }
 
     /// Estimated service time of an otherwise idle server for a request of average weight. The server's own
     /// measurement decays to the estimate for its kind.
     pub fn service_time_ms(&self, s: &ServerState) -> f64 {
-        let kind = self
+        let kind_time = self
             .fleet
             .kind_service_time_ms
             .get(&s.kind)
@@ -126,8 +126,12 @@
             .or(self.fleet.service_time_ms)
             .unwrap_or(0.0)
             / self.capacity_share(s);
-        s.service_time_ms.map_or(kind, |own| {
-            geometric_update(kind, own, (-(self.now - s.service_time_at) / SERVICE_TIME_DECAY_MS).exp())
+        s.service_time_ms.map_or(kind_time, |own_time| {
+            geometric_update(
+                kind_time,
+                own_time,
+                (-(self.now - s.service_time_at) / SERVICE_TIME_DECAY_MS).exp(),
+            )
         })
     }
 
@@ -138,9 +142,9 @@
             (class_time, Some(fleet_time)) if class_time > 0.0 && fleet_time > 0.0 => class_time / fleet_time,
             _ => 1.0,
         };
-        let oldest = s.in_flight.values().copied().fold(self.now, f64::min);
+        let oldest_sent_at = s.in_flight.values().copied().fold(self.now, f64::min);
         (weight * self.service_time_ms(s) * latency_factor(self.server_load(s, mean_loads)))
-            .max(0.5 * (self.now - oldest))
+            .max(0.5 * (self.now - oldest_sent_at))
     }
 
     /// The amount by which a server's recent failure rate exceeds that of the fleet; 0 where it does not.
@@ -204,24 +208,28 @@
         self.mean_latency_ms += SERVER_UPDATE_WEIGHT * (observation.latency - self.mean_latency_ms);
         self.answer_count += 1.0;
         let fleet_weight = FLEET_UPDATE_WEIGHT.max(1.0 / self.answer_count);
-        let fleet = self.service_time_ms.unwrap_or(service_time_ms);
-        let c = &mut self.class_service_time_ms[observation.class];
-        let weight = if *c > 0.0 { *c / fleet } else { 1.0 };
-        *c = if *c > 0.0 { geometric_update(*c, service_time_ms, fleet_weight) } else { service_time_ms };
-        let own =
+        let fleet_time = self.service_time_ms.unwrap_or(service_time_ms);
+        let class_time = &mut self.class_service_time_ms[observation.class];
+        let weight = if *class_time > 0.0 { *class_time / fleet_time } else { 1.0 };
+        *class_time = if *class_time > 0.0 {
+            geometric_update(*class_time, service_time_ms, fleet_weight)
+        } else {
+            service_time_ms
+        };
+        let own_time =
             if observation.service_time_ms > 0.0 { observation.service_time_ms } else { service_time_ms };
-        let is_too_slow = own * weight > observation.max_service_time_ms;
+        let is_too_slow = own_time * weight > observation.max_service_time_ms;
         s.service_time_ms = Some(geometric_update(
-            own,
+            own_time,
             service_time_ms / weight,
             if is_too_slow { SLOW_SERVER_UPDATE_WEIGHT } else { SERVER_UPDATE_WEIGHT },
         ));
         s.service_time_at = observation.now;
         if observation.capacity_share >= 1.0 {
-            let kind = self.kind_service_time_ms.entry(s.kind).or_insert(fleet);
-            *kind = geometric_update(*kind, service_time_ms / weight, fleet_weight);
+            let kind_time = self.kind_service_time_ms.entry(s.kind).or_insert(fleet_time);
+            *kind_time = geometric_update(*kind_time, service_time_ms / weight, fleet_weight);
         }
-        self.service_time_ms = Some(geometric_update(fleet, service_time_ms, fleet_weight));
+        self.service_time_ms = Some(geometric_update(fleet_time, service_time_ms, fleet_weight));
     }
 }
 
--- a/src/recent_map.rs
+++ b/src/recent_map.rs
@@ -1,5 +1,5 @@
-//! Map of recent entries, bounded in age and number. It holds replies, so that a request that arrives twice
-//! gets the same reply again.
+//! Map of recent entries, bounded in age and number. Callers recognise repeated messages by it, so that a
+//! request that arrives twice gets the same reply again.
 
 use std::collections::{HashMap, VecDeque};
 use std::hash::Hash;
