--- a/src/zones.rs
+++ b/src/zones.rs
@@ -1,321 +1,373 @@
-//! The seam for zones: which zones may take a request, by a guide that was decided in common, and what is seen of each zone.
+//! Zone routing: which zones may take a request, by a routing snapshot that all gatekeepers of a zone share,
+//! and per-zone counts of what this gatekeeper observes.
 //!
-//! Without a guide nothing here draws, counts or decides. One that is not renewed holds for its stated time and then fades:
-//! by lot, more and more requests are decided as without. What may go where is dealt by credits that this gatekeeper's own
-//! requests earn, so that shares hold whatever each gatekeeper's traffic is.
+//! Without a snapshot the module draws no random numbers, counts nothing unless asked to, and decides
+//! nothing. A snapshot that is not renewed holds for its stated time and then fades: a growing random share
+//! of requests is routed as without it. The shares of the zones are kept by credits that this gatekeeper's
+//! own requests earn, so they hold for any amount of traffic per gatekeeper. An operation costs O(number of
+//! zones of the snapshot).
 
 use crate::api::*;
 use rand::Rng;
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeMap;
 
-/// Credits that are saved up for a zone, and how far below nothing further attempts may take them.
-const CREDIT_MOST: f64 = 4.0;
-const CREDIT_LEAST: f64 = -8.0;
-/// How much one request moves what is known of the worth that is asked.
-const LEARN_TIERS: f64 = 0.01;
-/// An answer that took so many times what its class takes alone is late, where that is a good part of its aim.
-const LATE_TIMES: f64 = 5.0;
-const LATE_PART: f64 = 0.5;
-/// A server with this part of its strength is warm.
-const WARM: f64 = 0.95;
-/// How much one attempt moves what is known of failures at home, and over which time they are forgotten, in ms; above this
-/// part a decision that sends requests there is not held to by as much.
-const LEARN_FAILS: f64 = 0.1;
-const FORGET_FAILS_MS: f64 = 2000.0;
-const FAILS_LEAST: f64 = 0.2;
-/// Up to this part a zone is only tried: by first attempts alone, and not all gatekeepers at once.
-const TRIAL: f64 = 0.04;
-/// What a request of a class takes at a warm server is the lower tenth of what answers take: queues and busy hosts make
-/// answers late, and must not make a fault look as if more were needed than is. How far one answer moves it.
-const PACE_QUANTILE: f64 = 0.1;
-const LEARN_PACE: f64 = 0.03;
-/// Zones that are told apart in what was seen.
-const ZONES_MOST: usize = 64;
+/// Upper bound of a zone's credit.
+const MAX_CREDIT: f64 = 4.0;
+/// Lower bound of a zone's credit. Attempts that follow a failed one may use a zone down to it.
+const MIN_CREDIT: f64 = -8.0;
+/// Weight of one request in the moving averages of the tiers' shares of demand.
+const TIER_SHARE_GAIN: f64 = 0.01;
+/// An answer is late if it took this multiple of the latency that its class has without load, and also more
+/// than [`MIN_LATE_TARGET_SHARE`] of its target.
+const LATE_LATENCY_FACTOR: f64 = 5.0;
+/// See [`LATE_LATENCY_FACTOR`].
+const MIN_LATE_TARGET_SHARE: f64 = 0.5;
+/// Capacity share from which a server counts as warm.
+const MIN_WARM_CAPACITY_SHARE: f64 = 0.95;
+/// Weight of one attempt in the moving average of the failure rate in the local zone.
+const FAILURE_RATE_GAIN: f64 = 0.1;
+/// Time constant of the decay of that failure rate.
+const FAILURE_RATE_DECAY_MS: f64 = 2000.0;
+/// Above this failure rate a snapshot that keeps requests in the local zone is ignored for the same share of
+/// requests.
+const MIN_OVERRIDE_FAILURE_RATE: f64 = 0.2;
+/// A local share up to this only probes the zone: first attempts alone go there, and not those of all
+/// gatekeepers at once.
+const MAX_PROBE_SHARE: f64 = 0.04;
+/// The service time of a class at a warm server is estimated as this quantile of the answers' latencies.
+/// Queues and busy hosts delay answers; a higher quantile would make the required concurrency look larger
+/// than it is during a fault.
+const SERVICE_TIME_QUANTILE: f64 = 0.1;
+/// Step by which one answer moves the estimate of the service time, as an exponent.
+const SERVICE_TIME_GAIN: f64 = 0.03;
+/// Upper bound of the zones that a snapshot and the observation counts distinguish.
+const MAX_ZONES: usize = 64;
 
-/// A part of a gatekeeper's requests that moves from one value to another.
+/// A share of a gatekeeper's requests, from 0 to 1, that ramps linearly from one value to another.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct ZoneShare {
-    /// At first.
+    /// Value at the start of the ramp.
     pub start: f64,
-    /// At the end.
+    /// Value at the end of the ramp.
     pub end: f64,
 }
 
-/// What was decided for the gatekeepers of this one's zone.
+/// Routing decision for all gatekeepers of this one's zone.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct RoutingSnapshot {
-    /// What may stay in this gatekeeper's zone; 1 for all there is room for.
+    /// Share of requests that may stay in this gatekeeper's zone; with 1 the zone takes all that it has
+    /// capacity for.
     pub local: ZoneShare,
-    /// What may go to other zones.
+    /// Shares of requests that may go to other zones, by zone.
     pub spill: Vec<(u32, ZoneShare)>,
-    /// How long parts take from their first value to the last, and how much of that has passed, in ms.
+    /// Duration of the ramp from the shares' first value to their last, in ms.
     pub ramp_ms: f64,
-    /// See `ramp_ms`.
+    /// Part of the ramp that has passed when the snapshot is applied, in ms.
     pub age_ms: f64,
-    /// For how long it holds when it is not renewed, and then how long it takes to fade, in ms.
+    /// Time for which the snapshot holds when it is not renewed, in ms.
     pub hold_ms: f64,
-    /// See `hold_ms`.
+    /// Time over which the snapshot fades after `hold_ms`, in ms.
     pub fade_ms: f64,
 }
 
 impl RoutingSnapshot {
-    /// Whether it can be acted on.
+    /// Checks that the snapshot can be applied.
     ///
-    /// # Errors
-    /// With what can't.
+    /// # Errors If a share is not from 0 to 1, a time is not from 0 to 3,600,000 ms, a zone is listed twice,
+    /// or too many zones are listed.
     pub fn check(&self) -> Result<(), SettingsError> {
-        let bad = |what: &str| Err(SettingsError(what.to_string()));
-        let part = |p: &ZoneShare| [p.start, p.end].iter().all(|x| (0.0..=1.0).contains(x));
-        let time = |x: f64| x.is_finite() && (0.0..=3.6e6).contains(&x);
-        if !part(&self.local) || !self.spill.iter().all(|(_, p)| part(p)) {
-            return bad("a part of a guide is not from 0 to 1");
+        let invalid = |what: &str| Err(SettingsError(what.to_string()));
+        let is_share = |p: &ZoneShare| [p.start, p.end].iter().all(|x| (0.0..=1.0).contains(x));
+        let is_time = |x: f64| x.is_finite() && (0.0..=3.6e6).contains(&x);
+        if !is_share(&self.local) || !self.spill.iter().all(|(_, p)| is_share(p)) {
+            return invalid("invalid routing snapshot: a share is not from 0 to 1");
         }
-        if ![self.ramp_ms, self.age_ms, self.hold_ms, self.fade_ms].into_iter().all(time) {
-            return bad("a time of a guide is not from 0 to 3,600,000 ms");
+        if ![self.ramp_ms, self.age_ms, self.hold_ms, self.fade_ms].into_iter().all(is_time) {
+            return invalid("invalid routing snapshot: a time is not from 0 to 3,600,000 ms");
         }
         let mut zones: Vec<u32> = self.spill.iter().map(|(z, _)| *z).collect();
         zones.sort_unstable();
         zones.dedup();
-        if zones.len() < self.spill.len() || zones.len() >= ZONES_MOST {
-            return bad("a guide names a zone twice, or too many");
+        if zones.len() < self.spill.len() || zones.len() >= MAX_ZONES {
+            return invalid(
+                "invalid routing snapshot: a zone is listed twice, or 64 or more zones are listed",
+            );
         }
         Ok(())
     }
 }
 
-/// What was seen since the last look.
+/// What a gatekeeper has observed of the zones since the last observation was taken.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct ZoneObservation {
-    /// What requests needed, whether or not they were sent on: requests worked on at once, on average.
+    /// Concurrency that the requests required, whether or not they were sent on: requests in service at once,
+    /// on average.
     pub required_concurrency: f64,
-    /// By zone and class: attempts that ended, those that failed, those that came late.
+    /// By zone and class: attempts that ended, those that failed, and those that were answered late.
     pub attempt_counts: Vec<(u32, usize, [u32; 3])>,
-    /// By zone: servers that may be sent to, their size, and their size as warm as they are.
+    /// By zone: the number of servers that requests may be sent to, their total size, and their total size
+    /// weighted by each server's warm-up progress.
     pub capacity: Vec<(u32, u32, f64, f64)>,
 }
 
-struct Held {
-    guide: RoutingSnapshot,
-    /// When its ramp began and when it was last heard.
-    since: f64,
-    heard: f64,
-    /// What is saved up for each zone, near first.
-    credit: Vec<f64>,
-    /// Whether the first credit of a trial was drawn.
-    drawn: bool,
+struct ActiveSnapshot {
+    snapshot: RoutingSnapshot,
+    /// When the ramp started.
+    ramp_started_at: f64,
+    /// When the snapshot was last received.
+    renewed_at: f64,
+    /// Credit of each zone, the local zone first, then the others in the order of `spill`. A request adds
+    /// each zone's share to its credit, and an attempt at a zone costs 1.
+    credits: Vec<f64>,
+    /// Whether the initial credit of a probed local zone has been drawn at random.
+    has_drawn_probe_credit: bool,
 }
 
-impl Held {
+impl ActiveSnapshot {
+    /// Probability with which the snapshot applies to a request: 1 while it holds, then falling linearly to
+    /// 0.
     fn strength(&self, now: f64) -> f64 {
-        let over = now - self.heard - self.guide.hold_ms;
-        if over <= 0.0 { 1.0 } else { (1.0 - over / self.guide.fade_ms.max(1.0)).max(0.0) }
+        let expired_ms = now - self.renewed_at - self.snapshot.hold_ms;
+        if expired_ms <= 0.0 { 1.0 } else { (1.0 - expired_ms / self.snapshot.fade_ms.max(1.0)).max(0.0) }
     }
 
-    fn parts(&self, now: f64) -> impl Iterator<Item = f64> {
-        let gone = if self.guide.ramp_ms > 0.0 {
-            ((now - self.since) / self.guide.ramp_ms).clamp(0.0, 1.0)
+    /// Shares at this point of the ramp, in the order of `credits`.
+    fn current_shares(&self, now: f64) -> impl Iterator<Item = f64> {
+        let progress = if self.snapshot.ramp_ms > 0.0 {
+            ((now - self.ramp_started_at) / self.snapshot.ramp_ms).clamp(0.0, 1.0)
         } else {
             1.0
         };
-        let all = std::iter::once(&self.guide.local).chain(self.guide.spill.iter().map(|(_, p)| p));
-        all.map(move |p| p.start + (p.end - p.start) * gone)
+        let all = std::iter::once(&self.snapshot.local).chain(self.snapshot.spill.iter().map(|(_, p)| p));
+        all.map(move |p| p.start + (p.end - p.start) * progress)
     }
 }
 
-/// What one gatekeeper knows of zones.
+/// Zone routing state of one gatekeeper.
 #[derive(Default)]
 pub(crate) struct ZoneRouting {
-    home: u32,
-    watches: bool,
-    held: Option<Held>,
-    /// The worth that is asked, by tier.
-    tiers: Vec<f64>,
-    /// The part of attempts at home that failed of late, and as of when.
-    fails: (f64, f64),
-    seen: BTreeMap<(u32, usize), [u32; 3]>,
-    wanted: f64,
-    since: f64,
-    /// What a request takes, by class, as far as it was seen.
-    paces: Vec<f64>,
+    local_zone: u32,
+    is_observing: bool,
+    active: Option<ActiveSnapshot>,
+    /// Moving average of each priority tier's share of the requests.
+    tier_shares: Vec<f64>,
+    /// Recent failure rate of attempts in the local zone, and its time.
+    failure_rate: (f64, f64),
+    /// By zone and class: attempts that ended, failed, and were answered late, since `observing_since`.
+    counts: BTreeMap<(u32, usize), [u32; 3]>,
+    /// Total service time in ms that the requests since `observing_since` require.
+    required_ms: f64,
+    observing_since: f64,
+    /// Estimated service time of a request by class, in ms; 0 before the first answer.
+    service_times_ms: Vec<f64>,
 }
 
 impl ZoneRouting {
-    pub fn new(home: u32, tiers: usize) -> ZoneRouting {
-        ZoneRouting { home, tiers: vec![0.0; tiers], ..ZoneRouting::default() }
+    /// Creates the state of a gatekeeper in zone `local_zone`, with this number of priority tiers.
+    pub fn new(local_zone: u32, tiers: usize) -> ZoneRouting {
+        ZoneRouting { local_zone, tier_shares: vec![0.0; tiers], ..ZoneRouting::default() }
     }
 
-    /// Takes a guide in; one that can't be acted on changes nothing. The same one again renews it.
-    pub fn apply_snapshot(&mut self, now: f64, guide: RoutingSnapshot) {
-        if guide.check().is_err() || guide.spill.iter().any(|(zone, _)| *zone == self.home) {
+    /// Applies a routing snapshot, or renews the active one if it is the same but for its age. An invalid
+    /// snapshot, or one that lists the local zone in `spill`, changes nothing.
+    pub fn apply_snapshot(&mut self, now: f64, snapshot: RoutingSnapshot) {
+        if snapshot.check().is_err() || snapshot.spill.iter().any(|(zone, _)| *zone == self.local_zone) {
             return;
         }
-        let since = now - guide.age_ms;
-        match &mut self.held {
-            Some(held) if held.guide == (RoutingSnapshot { age_ms: held.guide.age_ms, ..guide.clone() }) => {
-                held.heard = now
+        let ramp_started_at = now - snapshot.age_ms;
+        match &mut self.active {
+            Some(active)
+                if active.snapshot
+                    == (RoutingSnapshot { age_ms: active.snapshot.age_ms, ..snapshot.clone() }) =>
+            {
+                active.renewed_at = now
             }
-            held => {
-                let credit = vec![1.0; guide.spill.len() + 1];
-                *held = Some(Held { guide, since, heard: now, credit, drawn: false });
+            active => {
+                let credits = vec![1.0; snapshot.spill.len() + 1];
+                *active = Some(ActiveSnapshot {
+                    snapshot,
+                    ramp_started_at,
+                    renewed_at: now,
+                    credits,
+                    has_drawn_probe_credit: false,
+                });
             }
         }
     }
 
-    /// A request wants a server. True if it is to be turned away, as all zones together can't bear what is asked and it is
-    /// among what is worth least.
+    /// Accounts for a request that needs a server: adds to the observed demand and to the zones' credits.
+    /// Returns true if the request is to be refused, because all zones together cannot take the demand and
+    /// its tier is among the lowest. `unloaded_ms` is the latency that its class has without load.
     pub fn should_refuse(
         &mut self,
         now: f64,
         (tier, class): (usize, usize),
-        alone: f64,
-        lots: &mut Pcg64Mcg,
+        unloaded_ms: f64,
+        rng: &mut Pcg64Mcg,
     ) -> bool {
-        if self.watches {
-            self.wanted += self.paces.get(class).copied().filter(|p| *p > 0.0).unwrap_or(alone);
+        if self.is_observing {
+            self.required_ms +=
+                self.service_times_ms.get(class).copied().filter(|p| *p > 0.0).unwrap_or(unloaded_ms);
         }
-        let Some(held) = &mut self.held else { return false };
-        let strength = held.strength(now);
+        let Some(active) = &mut self.active else { return false };
+        let strength = active.strength(now);
         if strength <= 0.0 {
-            self.held = None;
+            self.active = None;
             return false;
         }
-        let parts: Vec<f64> = held.parts(now).collect();
-        if !held.drawn {
-            held.drawn = true;
-            // Hundreds of gatekeepers that hear at once that a zone is out don't all try it with their next request.
-            if parts[0] <= TRIAL {
-                held.credit[0] = lots.random();
+        let current_shares: Vec<f64> = active.current_shares(now).collect();
+        if !active.has_drawn_probe_credit {
+            active.has_drawn_probe_credit = true;
+            // Hundreds of gatekeepers receive at once that a zone is out; a random credit keeps them from
+            // probing it all with their next request.
+            if current_shares[0] <= MAX_PROBE_SHARE {
+                active.credits[0] = rng.random();
             }
         }
-        for (credit, part) in held.credit.iter_mut().zip(&parts) {
-            *credit = (*credit + part).min(CREDIT_MOST);
+        for (credit, share) in active.credits.iter_mut().zip(&current_shares) {
+            *credit = (*credit + share).min(MAX_CREDIT);
         }
-        self.tiers.iter_mut().for_each(|t| *t *= 1.0 - LEARN_TIERS);
-        self.tiers[tier] += LEARN_TIERS;
-        let passes = parts.iter().sum::<f64>();
-        if passes >= 0.999 {
+        self.tier_shares.iter_mut().for_each(|t| *t *= 1.0 - TIER_SHARE_GAIN);
+        self.tier_shares[tier] += TIER_SHARE_GAIN;
+        let accepted_share = current_shares.iter().sum::<f64>();
+        if accepted_share >= 0.999 {
             return false;
         }
-        // What is worth more goes first; this tier has what is left of it.
-        let better: f64 = self.tiers[..tier].iter().sum();
-        let all: f64 = self.tiers.iter().sum();
-        let chance = ((passes * all - better) / self.tiers[tier].max(1e-9)).clamp(0.0, 1.0);
-        lots.random::<f64>() >= 1.0 - strength * (1.0 - chance)
+        // Higher tiers are accepted first; this tier gets what remains of the accepted share.
+        let higher_tiers: f64 = self.tier_shares[..tier].iter().sum();
+        let all: f64 = self.tier_shares.iter().sum();
+        let accept_probability =
+            ((accepted_share * all - higher_tiers) / self.tier_shares[tier].max(1e-9)).clamp(0.0, 1.0);
+        rng.random::<f64>() >= 1.0 - strength * (1.0 - accept_probability)
     }
 
-    /// The zones that may take a request, in the order in which they are to be tried; none where nothing was decided. After
-    /// an attempt that failed in a zone the others come first.
-    pub fn candidate_zones(
-        &mut self,
-        now: f64,
-        failed: Option<u32>,
-        lots: &mut Pcg64Mcg,
-    ) -> Option<Vec<u32>> {
-        let held = self.held.as_ref()?;
-        let strength = held.strength(now);
-        if strength <= 0.0 || strength < 1.0 && lots.random::<f64>() >= strength {
+    /// Zones that may take a request, in the order in which they are to be tried; `None` where no snapshot
+    /// applies to it. After an attempt that failed in the zone `failed`, that zone comes last.
+    pub fn candidate_zones(&mut self, now: f64, failed: Option<u32>, rng: &mut Pcg64Mcg) -> Option<Vec<u32>> {
+        let active = self.active.as_ref()?;
+        let strength = active.strength(now);
+        if strength <= 0.0 || strength < 1.0 && rng.random::<f64>() >= strength {
             return None;
         }
-        let parts: Vec<f64> = held.parts(now).collect();
-        // A decision may be older than what this gatekeeper sees: it goes by its own eyes then, as without.
-        let fails = self.fails.0 * (-(now - self.fails.1) / FORGET_FAILS_MS).exp();
-        if parts[0] > TRIAL && fails > FAILS_LEAST && lots.random::<f64>() < fails {
+        let current_shares: Vec<f64> = active.current_shares(now).collect();
+        // The snapshot may be older than this gatekeeper's own observations: where the local zone fails, some
+        // requests are routed as without a snapshot.
+        let failure_rate = self.failure_rate.0 * (-(now - self.failure_rate.1) / FAILURE_RATE_DECAY_MS).exp();
+        if current_shares[0] > MAX_PROBE_SHARE
+            && failure_rate > MIN_OVERRIDE_FAILURE_RATE
+            && rng.random::<f64>() < failure_rate
+        {
             return None;
         }
-        let least = if failed.is_some() { CREDIT_LEAST } else { 1.0 };
-        let zone = |k: usize| if k == 0 { self.home } else { held.guide.spill[k - 1].0 };
-        let near = match parts[0] {
-            // One that is only tried is no place for what failed elsewhere.
-            part if part <= TRIAL => part > 0.0 && failed.is_none() && held.credit[0] >= 1.0,
-            part => part >= 0.999 || held.credit[0] >= least,
+        let min_credit = if failed.is_some() { MIN_CREDIT } else { 1.0 };
+        let zone = |k: usize| if k == 0 { self.local_zone } else { active.snapshot.spill[k - 1].0 };
+        let is_local_allowed = match current_shares[0] {
+            // A request that failed elsewhere is not used to probe the zone.
+            share if share <= MAX_PROBE_SHARE => share > 0.0 && failed.is_none() && active.credits[0] >= 1.0,
+            share => share >= 0.999 || active.credits[0] >= min_credit,
         };
-        let mut far: Vec<(f64, u32)> = (1..parts.len())
-            .filter(|k| parts[*k] > 0.0 && held.credit[*k] >= least)
-            // By weight: the least of these comes first.
-            .map(|k| (-(1.0 - lots.random::<f64>()).ln() / parts[k], zone(k)))
+        let mut remote: Vec<(f64, u32)> = (1..current_shares.len())
+            .filter(|k| current_shares[*k] > 0.0 && active.credits[*k] >= min_credit)
+            // Weighted random order: each zone draws an exponential variate with its share as rate; the least
+            // comes first.
+            .map(|k| (-(1.0 - rng.random::<f64>()).ln() / current_shares[k], zone(k)))
+            .collect();
+        remote.sort_by(|a, b| a.0.total_cmp(&b.0));
+        let mut all: Vec<u32> = is_local_allowed
+            .then_some(self.local_zone)
+            .into_iter()
+            .chain(remote.into_iter().map(|f| f.1))
             .collect();
-        far.sort_by(|a, b| a.0.total_cmp(&b.0));
-        let mut all: Vec<u32> =
-            near.then_some(self.home).into_iter().chain(far.into_iter().map(|f| f.1)).collect();
         if let Some(failed) = failed {
             all.sort_by_key(|z| *z == failed);
         }
         Some(all)
     }
 
-    /// An attempt goes to a zone.
+    /// Charges an attempt that is sent to a zone against its credit.
     pub fn record_sent(&mut self, zone: u32) {
-        let Some(held) = &mut self.held else { return };
-        let at = if zone == self.home {
+        let Some(active) = &mut self.active else { return };
+        let index = if zone == self.local_zone {
             Some(0)
         } else {
-            held.guide.spill.iter().position(|(z, _)| *z == zone).map(|k| k + 1)
+            active.snapshot.spill.iter().position(|(z, _)| *z == zone).map(|k| k + 1)
         };
-        if let Some(credit) = at.and_then(|k| held.credit.get_mut(k)) {
-            *credit = (*credit - 1.0).max(CREDIT_LEAST);
+        if let Some(credit) = index.and_then(|k| active.credits.get_mut(k)) {
+            *credit = (*credit - 1.0).max(MIN_CREDIT);
         }
     }
 
-    /// An attempt at a server of a zone, as warm as it is, has ended; `alone` is what its class takes with nothing else to do.
+    /// Records the end of an attempt at a server of this zone, with the server's capacity share while it
+    /// warms up. `unloaded_ms` is the latency that the class has without load, `target_ms` its target.
     pub fn record_result(
         &mut self,
         now: f64,
         (zone, class, capacity_share): (u32, usize, f64),
-        o: &AttemptResult,
-        (alone, aim): (f64, f64),
+        result: &AttemptResult,
+        (unloaded_ms, target_ms): (f64, f64),
     ) {
-        if matches!(o.outcome, AttemptOutcome::Cancelled | AttemptOutcome::Moot)
-            || self.held.is_none() && !self.watches
+        if matches!(result.outcome, AttemptOutcome::Cancelled | AttemptOutcome::Moot)
+            || self.active.is_none() && !self.is_observing
         {
             return;
         }
-        if self.seen.len() >= ZONES_MOST * 64 && !self.seen.contains_key(&(zone, class)) {
+        if self.counts.len() >= MAX_ZONES * 64 && !self.counts.contains_key(&(zone, class)) {
             return;
         }
-        // A cold one takes its time and is not ill.
-        let long = o.latency > LATE_TIMES * alone / capacity_share.max(0.01);
-        let bad = match o.outcome {
-            AttemptOutcome::Timeout => capacity_share >= WARM || long,
+        // A server that is warming up is slower without being faulty.
+        let is_slow = result.latency > LATE_LATENCY_FACTOR * unloaded_ms / capacity_share.max(0.01);
+        let is_failure = match result.outcome {
+            AttemptOutcome::Timeout => capacity_share >= MIN_WARM_CAPACITY_SHARE || is_slow,
             outcome => {
                 matches!(outcome, AttemptOutcome::Error | AttemptOutcome::Unreachable | AttemptOutcome::Reset)
             }
         };
-        let late = o.outcome == AttemptOutcome::Ok && alone > 0.0 && long && o.latency > LATE_PART * aim;
-        if zone == self.home {
-            let known = self.fails.0 * (-(now - self.fails.1).max(0.0) / FORGET_FAILS_MS).exp();
-            self.fails = (known + LEARN_FAILS * (f64::from(u8::from(bad)) - known), now);
+        let is_late = result.outcome == AttemptOutcome::Ok
+            && unloaded_ms > 0.0
+            && is_slow
+            && result.latency > MIN_LATE_TARGET_SHARE * target_ms;
+        if zone == self.local_zone {
+            let rate =
+                self.failure_rate.0 * (-(now - self.failure_rate.1).max(0.0) / FAILURE_RATE_DECAY_MS).exp();
+            self.failure_rate = (rate + FAILURE_RATE_GAIN * (f64::from(u8::from(is_failure)) - rate), now);
         }
-        if !self.watches {
+        if !self.is_observing {
             return;
         }
-        if o.outcome == AttemptOutcome::Ok && capacity_share >= WARM && o.latency > 0.0 {
-            if self.paces.len() <= class {
-                self.paces.resize(class + 1, 0.0);
+        if result.outcome == AttemptOutcome::Ok
+            && capacity_share >= MIN_WARM_CAPACITY_SHARE
+            && result.latency > 0.0
+        {
+            if self.service_times_ms.len() <= class {
+                self.service_times_ms.resize(class + 1, 0.0);
             }
-            let pace = &mut self.paces[class];
-            let below = f64::from(u8::from(o.latency < *pace));
-            *pace =
-                if *pace > 0.0 { *pace * (LEARN_PACE * (PACE_QUANTILE - below)).exp() } else { o.latency };
+            let service_time_ms = &mut self.service_times_ms[class];
+            let below = f64::from(u8::from(result.latency < *service_time_ms));
+            *service_time_ms = if *service_time_ms > 0.0 {
+                *service_time_ms * (SERVICE_TIME_GAIN * (SERVICE_TIME_QUANTILE - below)).exp()
+            } else {
+                result.latency
+            };
         }
-        let seen = self.seen.entry((zone, class)).or_default();
-        for (sum, one) in seen.iter_mut().zip([true, bad, late]) {
+        let counts = self.counts.entry((zone, class)).or_default();
+        for (sum, one) in counts.iter_mut().zip([true, is_failure, is_late]) {
             *sum = sum.saturating_add(u32::from(one));
         }
     }
 
-    /// From now on what is seen is counted, or not any more.
-    pub fn set_observing(&mut self, now: f64, on: bool) {
-        (self.watches, self.since, self.wanted) = (on, now, 0.0);
-        self.seen.clear();
+    /// Starts or stops the counting of observations; either way the counts are reset.
+    pub fn set_observing(&mut self, now: f64, is_observing: bool) {
+        (self.is_observing, self.observing_since, self.required_ms) = (is_observing, now, 0.0);
+        self.counts.clear();
     }
 
-    /// What was seen since the last look.
+    /// Returns the observation since the last call and resets the counts. The caller fills in `capacity`.
     pub fn take_observation(&mut self, now: f64) -> ZoneObservation {
-        let ms = (now - self.since).max(1.0);
-        let required_concurrency = std::mem::take(&mut self.wanted) / ms;
-        self.since = now;
-        let attempt_counts = std::mem::take(&mut self.seen)
+        let ms = (now - self.observing_since).max(1.0);
+        let required_concurrency = std::mem::take(&mut self.required_ms) / ms;
+        self.observing_since = now;
+        let attempt_counts = std::mem::take(&mut self.counts)
             .into_iter()
             .map(|((zone, class), sums)| (zone, class, sums))
             .collect();
--- a/src/zones/tests.rs
+++ b/src/zones/tests.rs
@@ -1,33 +1,33 @@
 use super::*;
 use rand::SeedableRng;
 
-fn part(start: f64, end: f64) -> ZoneShare {
+fn share(start: f64, end: f64) -> ZoneShare {
     ZoneShare { start, end }
 }
 
-fn guide(near: f64, spill: &[(u32, f64)]) -> RoutingSnapshot {
+fn snapshot(local: f64, spill: &[(u32, f64)]) -> RoutingSnapshot {
     RoutingSnapshot {
-        local: part(near, near),
-        spill: spill.iter().map(|(z, p)| (*z, part(*p, *p))).collect(),
+        local: share(local, local),
+        spill: spill.iter().map(|(z, p)| (*z, share(*p, *p))).collect(),
         hold_ms: 1000.0,
         fade_ms: 1000.0,
         ..RoutingSnapshot::default()
     }
 }
 
-fn lots() -> Pcg64Mcg {
+fn rng() -> Pcg64Mcg {
     Pcg64Mcg::seed_from_u64(3)
 }
 
 #[test]
-fn shares_are_kept_by_credits_whatever_the_lots() {
-    let (mut zones, mut lots) = (ZoneRouting::new(0, 1), lots());
-    zones.apply_snapshot(0.0, guide(0.5, &[(1, 0.3), (2, 0.2)]));
+fn attempts_follow_the_zone_shares() {
+    let (mut zones, mut rng) = (ZoneRouting::new(0, 1), rng());
+    zones.apply_snapshot(0.0, snapshot(0.5, &[(1, 0.3), (2, 0.2)]));
     let mut sent = [0_u32; 3];
     for k in 0..1000 {
         let now = f64::from(k) * 0.1;
-        assert!(!zones.should_refuse(now, (0, 0), 1.0, &mut lots));
-        let first = zones.candidate_zones(now, None, &mut lots).expect("guided")[0];
+        assert!(!zones.should_refuse(now, (0, 0), 1.0, &mut rng));
+        let first = zones.candidate_zones(now, None, &mut rng).expect("a snapshot applies")[0];
         zones.record_sent(first);
         sent[first as usize] += 1;
     }
@@ -38,37 +38,39 @@
 }
 
 #[test]
-fn what_all_zones_cannot_bear_is_turned_away_by_worth() {
-    let (mut zones, mut lots) = (ZoneRouting::new(0, 2), lots());
-    zones.apply_snapshot(0.0, guide(0.6, &[]));
-    let mut away = [0_u32, 0];
+fn requests_beyond_all_zones_capacity_are_refused_by_tier() {
+    let (mut zones, mut rng) = (ZoneRouting::new(0, 2), rng());
+    zones.apply_snapshot(0.0, snapshot(0.6, &[]));
+    let mut refused = [0_u32, 0];
     for k in 0..4000 {
         let tier = k % 2;
-        away[tier] += u32::from(zones.should_refuse(1.0, (tier, 0), 1.0, &mut lots));
+        refused[tier] += u32::from(zones.should_refuse(1.0, (tier, 0), 1.0, &mut rng));
     }
-    // Of two alike tiers and six in ten that pass, the better one passes whole and a fifth of the other.
-    assert!(away[0] < 40 && away[1].abs_diff(1600) < 80, "{away:?}");
+    // Two tiers have the same demand and six in ten requests are accepted: all of the higher tier, a fifth of
+    // the lower.
+    assert!(refused[0] < 40 && refused[1].abs_diff(1600) < 80, "{refused:?}");
 }
 
 #[test]
-fn one_that_is_not_renewed_holds_and_then_fades_away() {
-    let (mut zones, mut lots) = (ZoneRouting::new(0, 1), lots());
-    zones.apply_snapshot(0.0, guide(0.0, &[(1, 1.0)]));
-    let mut guided = |zones: &mut ZoneRouting, now: f64| {
-        (0..200).filter(|_| zones.candidate_zones(now, None, &mut lots).is_some()).count()
+fn snapshot_holds_and_then_fades_when_not_renewed() {
+    let (mut zones, mut rng) = (ZoneRouting::new(0, 1), rng());
+    zones.apply_snapshot(0.0, snapshot(0.0, &[(1, 1.0)]));
+    let mut count_routed = |zones: &mut ZoneRouting, now: f64| {
+        (0..200).filter(|_| zones.candidate_zones(now, None, &mut rng).is_some()).count()
     };
-    assert_eq!(guided(&mut zones, 1000.0), 200);
-    assert!(guided(&mut zones, 1500.0).abs_diff(100) < 30);
-    zones.apply_snapshot(1500.0, guide(0.0, &[(1, 1.0)]));
-    assert_eq!(guided(&mut zones, 2400.0), 200, "renewed");
-    assert_eq!(guided(&mut zones, 3501.0), 0);
+    assert_eq!(count_routed(&mut zones, 1000.0), 200);
+    assert!(count_routed(&mut zones, 1500.0).abs_diff(100) < 30);
+    zones.apply_snapshot(1500.0, snapshot(0.0, &[(1, 1.0)]));
+    assert_eq!(count_routed(&mut zones, 2400.0), 200, "renewed");
+    assert_eq!(count_routed(&mut zones, 3501.0), 0);
 }
 
-/// Its agent died with the zone, so nobody tells it: it goes by its own eyes long before the decision has faded.
+/// The zone's agent failed together with the zone, so no new snapshot arrives. The gatekeeper has to act on
+/// the failures that it observes itself, long before the snapshot has faded.
 #[test]
-fn where_home_fails_a_decision_to_stay_there_is_not_held_to() {
-    let (mut zones, mut lots) = (ZoneRouting::new(0, 1), lots());
-    zones.apply_snapshot(0.0, guide(1.0, &[(1, 0.3)]));
+fn snapshot_is_overridden_when_the_local_zone_fails() {
+    let (mut zones, mut rng) = (ZoneRouting::new(0, 1), rng());
+    zones.apply_snapshot(0.0, snapshot(1.0, &[(1, 0.3)]));
     let result = |outcome| AttemptResult {
         id: 1,
         attempt: 0,
@@ -80,53 +82,53 @@
         units: None,
         load_report: None,
     };
-    let mut held_to = |zones: &mut ZoneRouting, now: f64| {
-        (0..200).filter(|_| zones.candidate_zones(now, None, &mut lots).is_some()).count()
+    let mut count_routed = |zones: &mut ZoneRouting, now: f64| {
+        (0..200).filter(|_| zones.candidate_zones(now, None, &mut rng).is_some()).count()
     };
-    assert_eq!(held_to(&mut zones, 0.0), 200);
+    assert_eq!(count_routed(&mut zones, 0.0), 200);
     for _ in 0..30 {
         zones.record_result(10.0, (1, 0, 1.0), &result(AttemptOutcome::Unreachable), (50.0, 400.0));
     }
-    assert_eq!(held_to(&mut zones, 10.0), 200, "another zone's failures are no reason");
+    assert_eq!(count_routed(&mut zones, 10.0), 200, "failures of another zone do not count");
     for _ in 0..30 {
         zones.record_result(10.0, (0, 0, 1.0), &result(AttemptOutcome::Unreachable), (50.0, 400.0));
     }
-    assert!(held_to(&mut zones, 10.0) < 40);
+    assert!(count_routed(&mut zones, 10.0) < 40);
 }
 
-/// 300 gatekeepers hear at once that their zone is out: what tries it is spread over their next requests, and what failed
-/// elsewhere is not sent there.
+/// 300 gatekeepers receive at once that their zone is out. The attempts that probe it have to be spread over
+/// their next requests, and attempts that follow a failure in another zone are not sent there.
 #[test]
-fn a_zone_that_is_out_is_tried_by_a_few_first_attempts_and_not_by_all_at_once() {
-    let mut lots = lots();
-    let mut tries = [0_u32; 50];
+fn failed_zone_is_probed_by_few_first_attempts_spread_over_time() {
+    let mut rng = rng();
+    let mut probes = [0_u32; 50];
     for _ in 0..300 {
         let mut zones = ZoneRouting::new(0, 1);
-        zones.apply_snapshot(0.0, RoutingSnapshot { hold_ms: 1e6, ..guide(0.02, &[(1, 1.0)]) });
-        for (k, tries) in tries.iter_mut().enumerate() {
+        zones.apply_snapshot(0.0, RoutingSnapshot { hold_ms: 1e6, ..snapshot(0.02, &[(1, 1.0)]) });
+        for (k, probes) in probes.iter_mut().enumerate() {
             let now = k as f64;
-            zones.should_refuse(now, (0, 0), 1.0, &mut lots);
-            let after = zones.candidate_zones(now, Some(1), &mut lots).expect("guided");
+            zones.should_refuse(now, (0, 0), 1.0, &mut rng);
+            let after = zones.candidate_zones(now, Some(1), &mut rng).expect("a snapshot applies");
             assert!(!after.contains(&0), "{after:?}");
-            let first = zones.candidate_zones(now, None, &mut lots).expect("guided")[0];
+            let first = zones.candidate_zones(now, None, &mut rng).expect("a snapshot applies")[0];
             zones.record_sent(first);
-            *tries += u32::from(first == 0);
+            *probes += u32::from(first == 0);
         }
     }
-    let all: u32 = tries.iter().sum();
-    assert!(all.abs_diff(300) < 20 && tries.iter().all(|t| *t < 30), "{tries:?}");
+    let all: u32 = probes.iter().sum();
+    assert!(all.abs_diff(300) < 20 && probes.iter().all(|t| *t < 30), "{probes:?}");
 }
 
-/// Before it was so, a host that was short of time said at a loss that it needed 2.6 times what it did, and two thirds of
-/// its requests were refused for want of room.
+/// Waiting times that count as demand make a host short of CPU time report, when a zone is lost, 2.6 times
+/// the concurrency that it requires; two thirds of its requests were then refused for lack of capacity.
 #[test]
-fn what_is_needed_goes_by_what_requests_take_and_not_by_how_long_they_waited() {
-    let (mut zones, mut lots) = (ZoneRouting::new(0, 1), lots());
+fn required_concurrency_excludes_waiting_time() {
+    let (mut zones, mut rng) = (ZoneRouting::new(0, 1), rng());
     zones.set_observing(0.0, true);
-    let ended = |zones: &mut ZoneRouting, k: u32, latency: f64| {
+    let record_ok = |zones: &mut ZoneRouting, k: u32, latency: f64| {
         let (server, outcome) = ("s".into(), AttemptOutcome::Ok);
         let (metered, units, load_report) = (None, None, None);
-        let o = AttemptResult {
+        let result = AttemptResult {
             id: 1,
             attempt: 0,
             server,
@@ -137,58 +139,62 @@
             units,
             load_report,
         };
-        zones.record_result(f64::from(k), (0, 0, 1.0), &o, (100.0, 400.0));
+        zones.record_result(f64::from(k), (0, 0, 1.0), &result, (100.0, 400.0));
     };
-    // Half of the answers wait, for two to ten times what they take.
+    // Half of the answers include a wait, and take 2 to 10 times the service time.
     for k in 0..400 {
-        ended(&mut zones, k, if k % 2 == 0 { 20.0 + f64::from(k % 3) } else { 40.0 + f64::from(k % 160) });
+        record_ok(
+            &mut zones,
+            k,
+            if k % 2 == 0 { 20.0 + f64::from(k % 3) } else { 40.0 + f64::from(k % 160) },
+        );
     }
     zones.take_observation(400.0);
     for k in 0..100 {
-        zones.should_refuse(400.0 + f64::from(k) * 10.0, (0, 0), 100.0, &mut lots);
+        zones.should_refuse(400.0 + f64::from(k) * 10.0, (0, 0), 100.0, &mut rng);
     }
-    let need = zones.take_observation(1400.0).required_concurrency;
-    // 100 a second of 20 to 22 ms.
-    assert!((1.9..3.0).contains(&need), "{need}");
+    let required = zones.take_observation(1400.0).required_concurrency;
+    // 100 requests in a second of 20 to 22 ms each.
+    assert!((1.9..3.0).contains(&required), "{required}");
 }
 
 #[test]
-fn a_ramp_runs_from_when_it_was_decided() {
-    let (mut zones, mut lots) = (ZoneRouting::new(0, 1), lots());
+fn ramp_starts_when_the_snapshot_was_decided() {
+    let (mut zones, mut rng) = (ZoneRouting::new(0, 1), rng());
     let ramp = RoutingSnapshot {
-        local: part(0.0, 1.0),
+        local: share(0.0, 1.0),
         ramp_ms: 1000.0,
         age_ms: 900.0,
         hold_ms: 1e6,
-        ..guide(0.0, &[(1, 1.0)])
+        ..snapshot(0.0, &[(1, 1.0)])
     };
     zones.apply_snapshot(5000.0, ramp.clone());
-    // Renewed with a later age it is the same.
+    // The same snapshot with a later age renews it; the ramp does not start again.
     zones.apply_snapshot(5050.0, RoutingSnapshot { age_ms: 950.0, ..ramp });
     for _ in 0..20 {
-        zones.should_refuse(5050.0, (0, 0), 1.0, &mut lots);
+        zones.should_refuse(5050.0, (0, 0), 1.0, &mut rng);
     }
-    assert_eq!(zones.candidate_zones(5050.0, None, &mut lots).expect("guided")[0], 0);
+    assert_eq!(zones.candidate_zones(5050.0, None, &mut rng).expect("a snapshot applies")[0], 0);
     assert_eq!(
-        zones.candidate_zones(5101.0, Some(0), &mut lots).expect("guided"),
+        zones.candidate_zones(5101.0, Some(0), &mut rng).expect("a snapshot applies"),
         [1, 0],
-        "where it failed comes last"
+        "the zone where it failed comes last"
     );
 }
 
 #[test]
-fn bad_guides_change_nothing() {
+fn invalid_snapshots_change_nothing() {
     let mut zones = ZoneRouting::new(0, 1);
-    let sound = guide(1.0, &[(1, 0.3)]);
-    for bad in [
-        RoutingSnapshot { local: part(f64::NAN, 1.0), ..sound.clone() },
-        RoutingSnapshot { local: part(0.0, 1.1), ..sound.clone() },
-        RoutingSnapshot { ramp_ms: -1.0, ..sound.clone() },
-        RoutingSnapshot { fade_ms: f64::INFINITY, ..sound.clone() },
-        guide(1.0, &[(1, 0.3), (1, 0.2)]),
-        guide(1.0, &[(0, 0.3)]),
+    let valid = snapshot(1.0, &[(1, 0.3)]);
+    for invalid in [
+        RoutingSnapshot { local: share(f64::NAN, 1.0), ..valid.clone() },
+        RoutingSnapshot { local: share(0.0, 1.1), ..valid.clone() },
+        RoutingSnapshot { ramp_ms: -1.0, ..valid.clone() },
+        RoutingSnapshot { fade_ms: f64::INFINITY, ..valid.clone() },
+        snapshot(1.0, &[(1, 0.3), (1, 0.2)]),
+        snapshot(1.0, &[(0, 0.3)]),
     ] {
-        zones.apply_snapshot(0.0, bad);
-        assert!(zones.held.is_none());
+        zones.apply_snapshot(0.0, invalid);
+        assert!(zones.active.is_none());
     }
 }
