--- a/src/quota_requests.rs
+++ b/src/quota_requests.rs
@@ -1,78 +1,85 @@
-//! Questions to keepers: their numbers, which of them may be put once more, and what was said of each, so that one that comes
-//! twice is charged once and answered alike. Whether and when one is put is decided elsewhere.
+//! Bookkeeping of quota requests: their numbers, the budget for resends, and the replies given to each.
+//!
+//! As sender, a gatekeeper numbers its requests and recognizes the second reply to a request that it has
+//! resent. As quota owner it keeps its recent replies, so that a request that arrives twice is charged once
+//! and gets the same reply. The caller decides whether and when a request is sent. Replies and the
+//! numbers of resent requests are kept in a [`RecentMap`], which is bounded in time and size.
 
 use crate::recent_map::RecentMap;
 use crate::state::QuotaReply;
 
-/// Questions put once more that each question earns, and the most saved up: where notes are lost as the intakes are full,
-/// twice as many would lose all the more.
-const AGAIN_PART: f64 = 0.2;
-const AGAIN_MOST: f64 = 5.0;
+/// Resends that each request adds to the budget. Where messages are lost because receivers' intakes are full,
+/// resending every request would double the load and lose more of them.
+const RESENDS_PER_REQUEST: f64 = 0.2;
+/// Upper bound, and initial value, of the resend budget.
+const MAX_RESEND_BUDGET: f64 = 5.0;
 
-/// A question at its keeper: the customer's key, who asks, and the asker's number for it.
+/// Identifies a request at its quota owner: the customer's key, the index of the sender, and the sender's
+/// request number.
 pub(crate) type RequestKey = (u64, u32, u64);
 
-/// One gatekeeper's questions, and those it was asked.
+/// Quota requests that one gatekeeper has sent, and its replies to those it has received.
 pub(crate) struct QuotaRequests {
-    last: u64,
-    budget: f64,
-    /// Those put once more, and whether the word that ends one has been heard.
-    twice: RecentMap<u64, bool>,
-    /// As a keeper: the word on each, and the units granted.
-    said: RecentMap<RequestKey, (QuotaReply, f64)>,
+    last_number: u64,
+    /// Requests that may be resent now.
+    resend_budget: f64,
+    /// Numbers of resent requests, and whether a final reply (any but `Wait`) has arrived.
+    resent: RecentMap<u64, bool>,
+    /// As quota owner: the last reply to each request, and the units granted.
+    replies: RecentMap<RequestKey, (QuotaReply, f64)>,
 }
 
 impl QuotaRequests {
-    /// Numbers begin at a point of the life's own: a life that follows soon must not be taken for the one before it, whose
-    /// answers may still be on their way.
+    /// Starts the numbers at the low 16 bits of `seed`. The seed has to differ between restarts, since
+    /// replies to the former process may still arrive and must not match requests of the new one.
     pub fn new(seed: u64) -> QuotaRequests {
         QuotaRequests {
-            last: seed & 0xffff,
-            budget: AGAIN_MOST,
-            twice: RecentMap::default(),
-            said: RecentMap::default(),
+            last_number: seed & 0xffff,
+            resend_budget: MAX_RESEND_BUDGET,
+            resent: RecentMap::default(),
+            replies: RecentMap::default(),
         }
     }
 
-    /// The number of the next one.
+    /// Returns the number for the next request.
     pub fn next_number(&mut self) -> u64 {
-        self.last += 1;
-        self.last
+        self.last_number += 1;
+        self.last_number
     }
 
-    /// One has been put for the first time.
+    /// Records that a request was sent for the first time, which adds to the resend budget.
     pub fn record_sent(&mut self) {
-        self.budget = (self.budget + AGAIN_PART).min(AGAIN_MOST);
+        self.resend_budget = (self.resend_budget + RESENDS_PER_REQUEST).min(MAX_RESEND_BUDGET);
     }
 
-    /// Whether one may be put once more, which then counts.
+    /// Whether the request may be resent; if so, takes it from the budget.
     pub fn try_resend(&mut self, now: f64, number: u64) -> bool {
-        let may = self.budget >= 1.0;
-        if may {
-            self.budget -= 1.0;
-            self.twice.insert(now, number, false);
+        let allowed = self.resend_budget >= 1.0;
+        if allowed {
+            self.resend_budget -= 1.0;
+            self.resent.insert(now, number, false);
         }
-        may
+        allowed
     }
 
-    /// Whether a word on one is news. Of one put twice the second answer says the same as the first, but for the word that
-    /// ends a wait.
-    pub fn is_new_reply(&mut self, now: f64, number: u64, word: QuotaReply) -> bool {
-        let heard = self.twice.get(now, number);
-        if heard == Some(false) && word != QuotaReply::Wait {
-            self.twice.insert(now, number, true);
+    /// Whether a reply to a request is to be handled. A resent request gets two equal replies, the second of
+    /// which is ignored, unless the first was `Wait` and this is the reply that ends the wait.
+    pub fn is_new_reply(&mut self, now: f64, number: u64, reply: QuotaReply) -> bool {
+        let has_final_reply = self.resent.get(now, number);
+        if has_final_reply == Some(false) && reply != QuotaReply::Wait {
+            self.resent.insert(now, number, true);
         }
-        heard != Some(true)
+        has_final_reply != Some(true)
     }
 
-    /// As a keeper: what was last said of this one.
-    pub fn recorded_reply(&mut self, now: f64, asked: RequestKey) -> Option<(QuotaReply, f64)> {
-        self.said.get(now, asked)
+    /// As quota owner: the last recorded reply to this request, and the units granted.
+    pub fn recorded_reply(&mut self, now: f64, key: RequestKey) -> Option<(QuotaReply, f64)> {
+        self.replies.get(now, key)
     }
 
-    /// As a keeper: this is said of one.
-    pub fn record_reply(&mut self, now: f64, asked: RequestKey, word: QuotaReply, units: f64) {
-        self.said.insert(now, asked, (word, units));
+    /// As quota owner: records the reply to a request.
+    pub fn record_reply(&mut self, now: f64, key: RequestKey, reply: QuotaReply, units: f64) {
+        self.replies.insert(now, key, (reply, units));
     }
 }
 
--- a/src/quota_requests/tests.rs
+++ b/src/quota_requests/tests.rs
@@ -2,36 +2,37 @@
 use proptest::prelude::*;
 
 #[test]
-fn of_two_answers_the_first_is_news_and_the_end_of_a_wait_is() {
-    let mut q = QuotaRequests::new(0);
-    let words = |q: &mut QuotaRequests, number, all: &[QuotaReply]| -> Vec<bool> {
-        all.iter().map(|word| q.is_new_reply(100.0, number, *word)).collect()
+fn second_reply_to_resent_request_is_ignored_unless_it_ends_a_wait() {
+    let mut quota_requests = QuotaRequests::new(0);
+    let are_new = |quota_requests: &mut QuotaRequests, number, replies: &[QuotaReply]| -> Vec<bool> {
+        replies.iter().map(|reply| quota_requests.is_new_reply(100.0, number, *reply)).collect()
     };
-    let number = q.next_number();
-    assert!(q.try_resend(80.0, number));
-    assert_eq!(words(&mut q, number, &[QuotaReply::Grant, QuotaReply::Grant]), [true, false]);
-    let number = q.next_number();
-    assert!(q.try_resend(80.0, number));
-    // The copy of "wait" comes after the grant that ends it.
-    let all = [QuotaReply::Wait, QuotaReply::Grant, QuotaReply::Wait, QuotaReply::Grant];
-    assert_eq!(words(&mut q, number, &all), [true, true, false, false]);
-    // One put once is none of its business.
-    let number = q.next_number();
-    assert_eq!(words(&mut q, number, &[QuotaReply::Deny, QuotaReply::Grant]), [true, true]);
+    let number = quota_requests.next_number();
+    assert!(quota_requests.try_resend(80.0, number));
+    assert_eq!(are_new(&mut quota_requests, number, &[QuotaReply::Grant, QuotaReply::Grant]), [true, false]);
+    let number = quota_requests.next_number();
+    assert!(quota_requests.try_resend(80.0, number));
+    // The second `Wait` arrives after the grant that ends the wait.
+    let replies = [QuotaReply::Wait, QuotaReply::Grant, QuotaReply::Wait, QuotaReply::Grant];
+    assert_eq!(are_new(&mut quota_requests, number, &replies), [true, true, false, false]);
+    // Replies to a request that was not resent are all handled.
+    let number = quota_requests.next_number();
+    assert_eq!(are_new(&mut quota_requests, number, &[QuotaReply::Deny, QuotaReply::Grant]), [true, true]);
 }
 
 proptest! {
-    /// In any stretch no more go again than a part of those put, and what was saved up.
+    /// At any time the resends are at most the maximum budget plus the share that the sent requests have
+    /// earned.
     #[test]
-    fn again_stays_within_its_part(seed: u64, tries in prop::collection::vec(any::<bool>(), 1..300)) {
-        let mut q = QuotaRequests::new(seed);
-        let (mut put, mut again) = (0.0, 0.0);
-        for (k, silent) in tries.into_iter().enumerate() {
-            let number = q.next_number();
-            q.record_sent();
-            put += 1.0;
-            again += f64::from(u8::from(silent && q.try_resend(k as f64 * 10.0, number)));
-            prop_assert!(again <= AGAIN_MOST + AGAIN_PART * put + 1e-6);
+    fn resends_stay_within_the_budget(seed: u64, tries in prop::collection::vec(any::<bool>(), 1..300)) {
+        let mut quota_requests = QuotaRequests::new(seed);
+        let (mut sent, mut resent) = (0.0, 0.0);
+        for (k, unanswered) in tries.into_iter().enumerate() {
+            let number = quota_requests.next_number();
+            quota_requests.record_sent();
+            sent += 1.0;
+            resent += f64::from(u8::from(unanswered && quota_requests.try_resend(k as f64 * 10.0, number)));
+            prop_assert!(resent <= MAX_RESEND_BUDGET + RESENDS_PER_REQUEST * sent + 1e-6);
         }
     }
 }
