--- a/src/bin/frostvale-drill/wire.rs
+++ b/src/bin/frostvale-drill/wire.rs
@@ -1,34 +1,37 @@
-//! The wire's words, and nothing but their translation to and from the library's.
+//! Messages of the simulator's protocol, and their translation to the events and from the actions of the
+//! library. The names of the messages' variants, fields and values are part of the protocol.
 
 use frostvale::*;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, HashMap};
 
+/// A line of input: a batch delimiter, a server list, or an event for one gatekeeper.
 #[derive(Deserialize)]
 #[serde(tag = "kind")]
 enum Frame {
+    /// Starts a batch of events at the time `Clock`, in ms.
     BeginBatch {
         #[serde(rename = "Clock")]
         clock: f64,
+        /// Number of the batch, repeated at the end of its reply.
         n: u64,
     },
+    /// Ends the batch; the collected actions are written.
     Eob,
+    /// Defines a server list that later directory updates refer to by its number.
     Directory {
         #[serde(rename = "Sheet")]
         sheet: u32,
         #[serde(rename = "Records")]
         records: Vec<Entry>,
     },
+    /// Starts a gatekeeper with the given settings and random seed.
     #[serde(rename_all = "PascalCase")]
-    Hello {
-        gatekeeper_id: Name,
-        prng: u64,
-        conf: Box<RawSettings>,
-    },
+    Hello { gatekeeper_id: Name, prng: u64, conf: Box<RawSettings> },
+    /// Stops a gatekeeper.
     #[serde(rename_all = "PascalCase")]
-    Retire {
-        gatekeeper_id: Name,
-    },
+    Retire { gatekeeper_id: Name },
+    /// The gatekeeper receives a server list.
     #[serde(rename_all = "PascalCase")]
     DirectoryUpdate {
         gatekeeper_id: Name,
@@ -36,30 +39,39 @@
         #[serde(default)]
         sheet: u32,
     },
+    /// The gatekeeper receives a client's request.
     #[serde(rename_all = "PascalCase")]
     Incoming {
         gatekeeper_id: Name,
         request_id: u64,
+        /// Index of the first gatekeeper of the customer's set.
         #[serde(default)]
         first: f64,
+        /// Deadline of the request, in ms.
         give_up_at: f64,
+        /// Units of the request.
         #[serde(default)]
         weight: f64,
+        /// Class of the request.
         #[serde(default)]
         band: usize,
+        /// Name of the customer.
         #[serde(default)]
         client_id: Option<Name>,
+        /// The bit of value 2 marks a retry.
         #[serde(default)]
         state_bits: u64,
+        /// Plan of the customer.
         #[serde(default)]
         tier: usize,
+        /// Number of gatekeepers in the customer's set.
         #[serde(default)]
         doors: f64,
     },
+    /// Ignored, but for the check that the gatekeeper exists.
     #[serde(rename_all = "PascalCase")]
-    Accepted {
-        gatekeeper_id: Name,
-    },
+    Accepted { gatekeeper_id: Name },
+    /// Result of a probe.
     #[serde(rename_all = "PascalCase")]
     StatusBack {
         gatekeeper_id: Name,
@@ -68,30 +80,34 @@
         #[serde(default)]
         usage: Option<Usage>,
     },
+    /// Result of an attempt.
     #[serde(rename_all = "PascalCase")]
     Done {
         gatekeeper_id: Name,
         request_id: u64,
+        /// Number of the attempt.
         #[serde(default)]
         trial: u32,
         worker: Name,
         ending: Code,
         #[serde(default)]
         latency: f64,
+        /// Whether the request has ended, too.
         #[serde(default)]
         terminal: bool,
+        /// The customer's metered use as a percentage of its rate or open cap, plus 1; 0 where it is unknown.
         #[serde(default)]
         seen_use: u32,
+        /// True units, where the request's were an estimate; 0 for none.
         #[serde(default)]
         actual: f64,
         #[serde(default)]
         usage: Option<Usage>,
     },
+    /// The client of a request has disconnected.
     #[serde(rename_all = "PascalCase")]
-    Lapsed {
-        gatekeeper_id: Name,
-        request_id: u64,
-    },
+    Lapsed { gatekeeper_id: Name, request_id: u64 },
+    /// A message from another gatekeeper.
     #[serde(rename_all = "PascalCase")]
     FromPeer {
         gatekeeper_id: Name,
@@ -100,10 +116,10 @@
         #[serde(default)]
         content: String,
     },
+    /// Ignored, but for the check that the gatekeeper exists.
     #[serde(rename_all = "PascalCase")]
-    TallyBack {
-        gatekeeper_id: Name,
-    },
+    TallyBack { gatekeeper_id: Name },
+    /// A timer of the gatekeeper has expired.
     #[serde(rename_all = "PascalCase")]
     Fired {
         gatekeeper_id: Name,
@@ -112,6 +128,8 @@
     },
 }
 
+/// Content of a directory update: the changed servers, the complete list (also from disk), or an error of
+/// discovery.
 #[derive(Deserialize)]
 #[serde(rename_all = "lowercase")]
 enum Form {
@@ -121,23 +139,30 @@
     Error,
 }
 
+/// A server in a list.
 #[derive(Deserialize, Clone)]
 #[serde(rename_all = "PascalCase")]
 struct Entry {
     worker: Name,
+    /// Size of the server.
     #[serde(default)]
     share: f64,
+    /// Zone.
     #[serde(default)]
     region_part: u32,
+    /// Cell.
     #[serde(default)]
     pod: u32,
+    /// Kind of the server.
     #[serde(default)]
     family_type: u32,
     health: State,
+    /// When the server started, in ms.
     #[serde(default)]
     since: f64,
 }
 
+/// Health of a server.
 #[derive(Deserialize, Clone, Copy)]
 #[serde(rename_all = "lowercase")]
 enum State {
@@ -146,6 +171,7 @@
     Removed,
 }
 
+/// Outcome of an attempt or a probe.
 #[derive(Deserialize, Clone, Copy)]
 #[serde(rename_all = "SCREAMING_SNAKE_CASE")]
 enum Code {
@@ -159,6 +185,7 @@
     TooLate,
 }
 
+/// Load that a server reports: requests in flight, CPU utilization, requests per second.
 #[derive(Deserialize)]
 struct Usage {
     outstanding: Option<f64>,
@@ -166,6 +193,7 @@
     throughput: Option<f64>,
 }
 
+/// A line of output: an action of a gatekeeper.
 #[derive(Serialize)]
 #[serde(tag = "kind", rename_all_fields = "PascalCase")]
 enum Reply<'a> {
@@ -179,33 +207,39 @@
     Record { gatekeeper_id: &'a str, msg: &'a str },
 }
 
-/// All instances of this process, and the batch being read.
+/// All gatekeepers of this process, and the batch that is being read.
 #[derive(Default)]
 pub struct Host {
     gatekeepers: HashMap<Name, Control>,
-    sheets: BTreeMap<u32, Vec<Entry>>,
+    server_lists: BTreeMap<u32, Vec<Entry>>,
+    /// Time and number of the batch that is being read.
     batch: Option<(f64, u64)>,
+    /// Actions of that batch, as lines of JSON.
     reply: Vec<u8>,
 }
 
 impl Host {
-    /// Whether the last batch begun has been answered.
-    pub fn between_batches(&self) -> bool {
+    /// Whether no batch is being read: the reply to the last one has been returned.
+    pub fn is_between_batches(&self) -> bool {
         self.batch.is_none()
     }
 
-    /// Takes one line; at the end of a batch gives the whole reply.
-    pub fn line(&mut self, text: &str) -> Result<Option<String>, String> {
+    /// Handles one line of input. Returns the reply to the whole batch at its end, otherwise `None`.
+    ///
+    /// # Errors
+    /// If the line is malformed, is not allowed at this point of a batch, refers to an unknown gatekeeper or
+    /// server list, or carries settings that a gatekeeper cannot use.
+    pub fn handle_line(&mut self, text: &str) -> Result<Option<String>, String> {
         let frame: Frame = serde_json::from_str(text).map_err(|e| e.to_string())?;
         if let Frame::BeginBatch { clock, n } = frame {
             if self.batch.is_some() {
-                return Err("a batch begins inside a batch".into());
+                return Err("cannot begin a batch: the last one has not ended".into());
             }
             self.batch = Some((clock, n));
             return Ok(None);
         }
-        let (now, n) = self.batch.ok_or("an event outside a batch")?;
-        let (who, event) = match frame {
+        let (now, n) = self.batch.ok_or("cannot handle an event: no batch has begun")?;
+        let (name, event) = match frame {
             Frame::BeginBatch { .. } => return Ok(None),
             Frame::Eob => {
                 self.batch = None;
@@ -215,7 +249,7 @@
                 return Ok(Some(reply));
             }
             Frame::Directory { sheet, records } => {
-                self.sheets.insert(sheet, records);
+                self.server_lists.insert(sheet, records);
                 return Ok(None);
             }
             Frame::Hello { gatekeeper_id, prng, conf } => {
@@ -229,11 +263,14 @@
             }
             Frame::DirectoryUpdate { gatekeeper_id, form, sheet } => {
                 let kind = match form {
-                    Form::Error => return self.known(&gatekeeper_id).map(|()| None),
+                    Form::Error => return self.check_gatekeeper(&gatekeeper_id).map(|()| None),
                     Form::Diff => EndpointUpdateKind::Changes,
                     Form::Snapshot | Form::Disk => EndpointUpdateKind::Complete,
                 };
-                let entries = self.sheets.get(&sheet).ok_or(format!("no list has the number {sheet}"))?;
+                let entries = self
+                    .server_lists
+                    .get(&sheet)
+                    .ok_or(format!("cannot apply a directory update: no list has the number {sheet}"))?;
                 (gatekeeper_id, Event::EndpointUpdate { kind, servers: entries.iter().map(server).collect() })
             }
             Frame::Incoming {
@@ -262,7 +299,7 @@
                 (gatekeeper_id, Event::Request(request))
             }
             Frame::Accepted { gatekeeper_id } | Frame::TallyBack { gatekeeper_id } => {
-                return self.known(&gatekeeper_id).map(|()| None);
+                return self.check_gatekeeper(&gatekeeper_id).map(|()| None);
             }
             Frame::StatusBack { gatekeeper_id, worker, ending, usage } => {
                 let ok = matches!(ending, Code::Ok);
@@ -310,49 +347,50 @@
             }
             Frame::Fired { gatekeeper_id, nonce } => (gatekeeper_id, Event::Timer { token: nonce }),
         };
-        let gatekeeper = self.gatekeepers.get_mut(&who).ok_or_else(|| unknown(&who))?;
+        let gatekeeper = self.gatekeepers.get_mut(&name).ok_or_else(|| unknown_gatekeeper(&name))?;
         for action in gatekeeper.handle(now, event) {
-            let Some(reply) = spoken(&who, &action) else { continue };
+            let Some(reply) = to_reply(&name, &action) else { continue };
             serde_json::to_writer(&mut self.reply, &reply).map_err(|e| e.to_string())?;
             self.reply.push(b'\n');
         }
         Ok(None)
     }
 
-    fn known(&self, who: &Name) -> Result<(), String> {
-        if self.gatekeepers.contains_key(who) { Ok(()) } else { Err(unknown(who)) }
+    /// Fails unless a gatekeeper of this name has been started.
+    fn check_gatekeeper(&self, name: &Name) -> Result<(), String> {
+        if self.gatekeepers.contains_key(name) { Ok(()) } else { Err(unknown_gatekeeper(name)) }
     }
 }
 
-fn unknown(who: &str) -> String {
-    format!("an event for {who}, which has not been started")
+fn unknown_gatekeeper(name: &str) -> String {
+    format!("cannot handle an event for gatekeeper {name}: it has not been started")
 }
 
-/// An action on the wire, where it has words for it.
-fn spoken<'a>(who: &'a str, action: &'a Action) -> Option<Reply<'a>> {
+/// Translates an action into a line of output; `None` for actions that the protocol does not have.
+fn to_reply<'a>(name: &'a str, action: &'a Action) -> Option<Reply<'a>> {
     Some(match action {
         Action::Send { id, server, deadline, .. } => {
-            Reply::Deliver { gatekeeper_id: who, request_id: *id, worker: server, not_past: *deadline }
+            Reply::Deliver { gatekeeper_id: name, request_id: *id, worker: server, not_past: *deadline }
         }
         Action::Refuse { id, retry_after_ms, .. } => {
-            Reply::Busy { gatekeeper_id: who, request_id: *id, pause: *retry_after_ms }
+            Reply::Busy { gatekeeper_id: name, request_id: *id, pause: *retry_after_ms }
         }
-        Action::Fail { id } => Reply::Lose { gatekeeper_id: who, request_id: *id },
+        Action::Fail { id } => Reply::Lose { gatekeeper_id: name, request_id: *id },
         Action::Cancel { id, attempt } => {
-            Reply::Recall { gatekeeper_id: who, request_id: *id, trial: *attempt }
+            Reply::Recall { gatekeeper_id: name, request_id: *id, trial: *attempt }
         }
-        Action::Probe { server } => Reply::Test { gatekeeper_id: who, worker: server },
+        Action::Probe { server } => Reply::Test { gatekeeper_id: name, worker: server },
         Action::SendPeerMessage { to, text } => {
-            Reply::Signal { gatekeeper_id: who, neighbour_id: i64::from(*to), content: text }
+            Reply::Signal { gatekeeper_id: name, neighbour_id: i64::from(*to), content: text }
         }
         Action::BroadcastPeerMessage { text } => {
-            Reply::Signal { gatekeeper_id: who, neighbour_id: -1, content: text }
+            Reply::Signal { gatekeeper_id: name, neighbour_id: -1, content: text }
         }
         Action::SetTimer { token, after } => {
-            Reply::SetTimer { gatekeeper_id: who, nonce: *token, after: *after }
+            Reply::SetTimer { gatekeeper_id: name, nonce: *token, after: *after }
         }
-        Action::Log { text } => Reply::Record { gatekeeper_id: who, msg: text },
-        // The simulator asks for no checks.
+        Action::Log { text } => Reply::Record { gatekeeper_id: name, msg: text },
+        // The simulator sends no checks.
         Action::CheckDecision { .. } => return None,
     })
 }
--- a/src/zones.rs
+++ b/src/zones.rs
@@ -29,8 +29,8 @@
 const FAILURE_RATE_GAIN: f64 = 0.1;
 /// Time constant of the decay of that failure rate.
 const FAILURE_RATE_DECAY_MS: f64 = 2000.0;
-/// Above this failure rate a snapshot that keeps requests in the local zone is ignored for the same share of
-/// requests.
+/// Above this failure rate a snapshot that sends requests to the local zone is ignored for a share of the
+/// requests that equals the failure rate.
 const MIN_OVERRIDE_FAILURE_RATE: f64 = 0.2;
 /// A local share up to this only probes the zone: first attempts alone go there, and not those of all
 /// gatekeepers at once.
@@ -74,8 +74,9 @@
 impl RoutingSnapshot {
     /// Checks that the snapshot can be applied.
     ///
-    /// # Errors If a share is not from 0 to 1, a time is not from 0 to 3,600,000 ms, a zone is listed twice,
-    /// or too many zones are listed.
+    /// # Errors
+    /// If a share is not from 0 to 1, a time is not from 0 to 3,600,000 ms, a zone is listed twice, or 64 or
+    /// more zones are listed.
     pub fn check(&self) -> Result<(), SettingsError> {
         let invalid = |what: &str| Err(SettingsError(what.to_string()));
         let is_share = |p: &ZoneShare| [p.start, p.end].iter().all(|x| (0.0..=1.0).contains(x));
@@ -111,6 +112,7 @@
     pub capacity: Vec<(u32, u32, f64, f64)>,
 }
 
+/// The snapshot in effect, with the credits of its zones.
 struct ActiveSnapshot {
     snapshot: RoutingSnapshot,
     /// When the ramp started.
@@ -125,8 +127,7 @@
 }
 
 impl ActiveSnapshot {
-    /// Probability with which the snapshot applies to a request: 1 while it holds, then falling linearly to
-    /// 0.
+    /// Probability that the snapshot applies to a request: 1 while it holds, then falling linearly to 0.
     fn strength(&self, now: f64) -> f64 {
         let expired_ms = now - self.renewed_at - self.snapshot.hold_ms;
         if expired_ms <= 0.0 { 1.0 } else { (1.0 - expired_ms / self.snapshot.fade_ms.max(1.0)).max(0.0) }
--- a/src/zones/tests.rs
+++ b/src/zones/tests.rs
@@ -119,8 +119,8 @@
     assert!(all.abs_diff(300) < 20 && probes.iter().all(|t| *t < 30), "{probes:?}");
 }
 
-/// Waiting times that count as demand make a host short of CPU time report, when a zone is lost, 2.6 times
-/// the concurrency that it requires; two thirds of its requests were then refused for lack of capacity.
+/// When waiting times counted as demand, a host short of CPU time reported, on the loss of a zone, 2.6 times
+/// the concurrency that it required, and two thirds of its requests were refused for lack of capacity.
 #[test]
 fn required_concurrency_excludes_waiting_time() {
     let (mut zones, mut rng) = (ZoneRouting::new(0, 1), rng());
