--- a/src/control.rs
+++ b/src/control.rs
@@ -51,8 +51,8 @@
 /// Timeout of a quota request as a share of the class's target: an owner silent for longer is stalled or
 /// gone.
 const OWNER_TIMEOUT_SHARE: f64 = 0.3;
-/// The same with many gatekeepers, where the request is sent again after half of it: these hear of most
-/// customers only from the owner, and message loss either way affects one quota request in seven.
+/// The same with many gatekeepers, where the request is sent again after half of it: for most customers their
+/// only data come from the owner, and message loss either way affects one quota request in seven.
 const OWNER_TIMEOUT_SHARE_MANY: f64 = 0.4;
 /// Maximum age of an owner's report with many gatekeepers, where each sees a customer seldom. With no newer
 /// report and a silent owner a request is refused: each local share of a large set is too small for one
@@ -92,7 +92,7 @@
 const GOSSIP_TIMER: u64 = 0;
 const OUTBOX_TIMER: u64 = 1;
 
-/// Decision state of one gatekeeper. The host feeds it events and carries out the returned actions.
+/// Decision state of one gatekeeper. The host passes it events and carries out the returned actions.
 pub struct Control {
     cfg: Settings,
     rng: Pcg64Mcg,
@@ -1058,8 +1058,8 @@
         if let Some(after) = self.failure_gossip.next_wakeup_ms(self.now) {
             self.actions.push(Action::SetTimer { token: GOSSIP_TIMER, after });
         }
-        // Few gatekeepers may all write to one peer. The messages of many spread over many peers, and replies
-        // that wait for a sender's own rate come too late while no peer's intake is full.
+        // With few gatekeepers all may send to one peer. The messages of many spread over many peers, and
+        // replies held back by the sender's own limit come too late while no peer's intake is full.
         let rate_factor = (f64::from(self.cfg.gatekeepers) / f64::from(MANY_GATEKEEPERS)).max(1.0);
         let rate = MESSAGE_INTAKE_SHARE * self.cfg.peer_intake_per_second.max(1.0) * rate_factor;
         while let Some((to, text)) = self.outbox.next_message(self.now, rate) {
--- a/src/in_flight/tests.rs
+++ b/src/in_flight/tests.rs
@@ -34,23 +34,28 @@
     for (number, id, key) in [(1, 10, 5), (2, 20, 6), (3, 30, 5)] {
         pending.insert(request_state(number, id, key));
     }
-    let of = |w: &PendingRequests, key| w.of_customer(key).map(|j| j.number).collect::<Vec<_>>();
-    assert_eq!((of(&pending, 5), of(&pending, 6), of(&pending, 7)), (vec![1, 3], vec![2], vec![]));
-    assert_eq!(pending.remove_id(10).map(|j| j.number), Some(1));
+    let numbers_of = |pending: &PendingRequests, key| {
+        pending.of_customer(key).map(|state| state.number).collect::<Vec<_>>()
+    };
+    assert_eq!(
+        (numbers_of(&pending, 5), numbers_of(&pending, 6), numbers_of(&pending, 7)),
+        (vec![1, 3], vec![2], vec![])
+    );
+    assert_eq!(pending.remove_id(10).map(|state| state.number), Some(1));
     assert_eq!(
-        (of(&pending, 5), pending.remove_id(10).is_none(), pending.get(1).is_none()),
+        (numbers_of(&pending, 5), pending.remove_id(10).is_none(), pending.get(1).is_none()),
         (vec![3], true, true)
     );
     // Inserted again, as when it starts to wait for a permit.
     let moved = pending.remove(3).expect("there");
     pending.insert(moved);
-    assert_eq!(of(&pending, 5), [3]);
+    assert_eq!(numbers_of(&pending, 5), [3]);
 }
 
 #[test]
 fn in_flight_requests_are_found_by_id_and_number_until_removed() {
     let mut in_flight = InFlightRequests::default();
-    let held = |state| InFlightRequest {
+    let in_flight_request = |state| InFlightRequest {
         state,
         attempts: 0,
         client_gone: false,
@@ -59,7 +64,7 @@
         load_when_sent: 0.0,
         may_have_run: None,
     };
-    in_flight.insert(held(request_state(7, 70, 1)));
+    in_flight.insert(in_flight_request(request_state(7, 70, 1)));
     assert_eq!(in_flight.by_number(7).map(|h| h.state.request.id), Some(70));
     assert!(
         in_flight.remove(70).is_some() && in_flight.by_number(7).is_none() && in_flight.get(70).is_none()
--- a/src/server_index.rs
+++ b/src/server_index.rs
@@ -36,7 +36,7 @@
     by_name: HashMap<Name, u32>,
     servers: Vec<Option<ServerState>>,
     /// Numbers of removed servers, to be used again.
-    free: Vec<u32>,
+    free_numbers: Vec<u32>,
     /// Servers that may be sent to: all of them, by zone and by cell.
     all: IndexedSet,
     zones: BTreeMap<u32, IndexedSet>,
@@ -73,7 +73,7 @@
     /// The server with this name and its number; created by `make` if it is not known.
     pub fn entry(&mut self, name: &Name, make: impl FnOnce() -> ServerState) -> (u32, &mut ServerState) {
         let number = self.number(name).unwrap_or_else(|| {
-            let number = self.free.pop().unwrap_or_else(|| {
+            let number = self.free_numbers.pop().unwrap_or_else(|| {
                 self.servers.push(None);
                 self.servers.len() as u32 - 1
             });
@@ -93,7 +93,7 @@
         self.mark_down(number);
         if let Some(s) = self.servers.get_mut(number as usize).and_then(Option::take) {
             self.by_name.remove(&s.name);
-            self.free.push(number);
+            self.free_numbers.push(number);
         }
     }
 
--- a/tests/fair.rs
+++ b/tests/fair.rs
@@ -62,13 +62,13 @@
 ) -> Passed {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let gatekeepers = 3;
-    let mut all: Vec<Control> = (0..gatekeepers)
+    let mut controls: Vec<Control> = (0..gatekeepers)
         .map(|own_index| {
             Control::new(settings(gatekeepers, own_index), seed + u64::from(own_index))
                 .expect("valid settings")
         })
         .collect();
-    for g in &mut all {
+    for control in &mut controls {
         let server = |k: u32| Server {
             name: format!("s{k}").as_str().into(),
             zone: 0,
@@ -78,7 +78,7 @@
             health: Health::Up,
             started_at: 0.0,
         };
-        g.handle(
+        control.handle(
             0.0,
             Event::EndpointUpdate {
                 kind: EndpointUpdateKind::Complete,
@@ -87,32 +87,32 @@
         );
     }
     let rate = settings(gatekeepers, 0).plans[plan].rate;
-    let end = seconds * 1000.0;
+    let end_ms = seconds * 1000.0;
     let mut queue: BTreeMap<(u64, u64), Scheduled> = BTreeMap::new();
-    let mut number = 0;
-    let mut at = |queue: &mut BTreeMap<(u64, u64), Scheduled>, ms: f64, scheduled: Scheduled| {
-        number += 1;
-        queue.insert(((ms * 1000.0) as u64, number), scheduled);
+    let mut sequence = 0;
+    let mut schedule = |queue: &mut BTreeMap<(u64, u64), Scheduled>, ms: f64, scheduled: Scheduled| {
+        sequence += 1;
+        queue.insert(((ms * 1000.0) as u64, sequence), scheduled);
     };
     for check in [false, true] {
         let mut ms = 0.0;
-        while ms < end {
+        while ms < end_ms {
             // Poisson arrivals.
             ms += -(1.0 - rng.random::<f64>()).ln() * 1000.0 / (demand_factor * rate / 2.0);
-            at(&mut queue, ms, if check { Scheduled::Check } else { Scheduled::Request });
+            schedule(&mut queue, ms, if check { Scheduled::Check } else { Scheduled::Request });
         }
     }
     let quota_owner = quota_owner_of(SHOP, 0, spread, gatekeepers);
     let (mut offered, mut passed) = ([0.0f64; 2], Passed::default());
     let (mut checks, mut sent) = (HashSet::new(), HashSet::new());
-    let (mut next, mut check_count) = (0, 0u32);
+    let (mut last_id, mut check_count) = (0, 0u32);
     while let Some(((micros, _), scheduled)) = queue.pop_first() {
         let now = micros as f64 / 1000.0;
-        let is_counted = now > end / 4.0;
+        let is_counted = now > end_ms / 4.0;
         let mut request = |deadline: f64| {
-            next += 1;
+            last_id += 1;
             Request {
-                id: next,
+                id: last_id,
                 customer: SHOP.into(),
                 class: 0,
                 plan,
@@ -131,8 +131,8 @@
             Scheduled::Check => {
                 offered[1] += f64::from(u8::from(is_counted));
                 check_count += 1;
-                let round = check_count % spread;
-                let gatekeeper = if plan == 2 || owner_unreachable { round } else { quota_owner };
+                let in_turn = check_count % spread;
+                let gatekeeper = if plan == 2 || owner_unreachable { in_turn } else { quota_owner };
                 // An agent that has no link to the quota owner asks another gatekeeper of the set.
                 let gatekeeper = if owner_unreachable && gatekeeper == quota_owner && spread > 1 {
                     (gatekeeper + 1) % spread
@@ -160,24 +160,24 @@
                 (gatekeeper, Event::AttemptEnded(result))
             }
         };
-        for action in all[gatekeeper].handle(now, event) {
+        for action in controls[gatekeeper].handle(now, event) {
             match action {
                 Action::SendPeerMessage { to, text } => {
                     let from = u32::try_from(gatekeeper).expect("small index");
-                    at(
+                    schedule(
                         &mut queue,
                         now + MESSAGE_DELAY_MS,
                         Scheduled::PeerMessage { to: to as usize, from, text },
                     );
                 }
                 Action::SetTimer { token, after } => {
-                    at(&mut queue, now + after, Scheduled::Timer { gatekeeper, token })
+                    schedule(&mut queue, now + after, Scheduled::Timer { gatekeeper, token })
                 }
                 Action::Send { id, server, .. } => {
                     assert!(sent.insert(id), "sent twice");
                     passed.requests += f64::from(u8::from(is_counted));
                     passed.units += 1.0;
-                    at(
+                    schedule(
                         &mut queue,
                         now + SERVER_LATENCY_MS,
                         Scheduled::Answer { gatekeeper, id, server: server.to_string() },
