--- a/src/bin/frostvale/endpoint_update.rs
+++ b/src/bin/frostvale/endpoint_update.rs
@@ -21,7 +21,7 @@
 impl fmt::Display for UpdateError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            UpdateError::Malformed(error) => write!(f, "not an endpoint list: {error}"),
+            UpdateError::Malformed(error) => write!(f, "cannot parse endpoint list: {error}"),
         }
     }
 }
@@ -51,7 +51,7 @@
     }
 
     /// Whether it names all servers there are: one that it does not name is gone.
-    pub fn whole(&self) -> bool {
+    pub fn is_full(&self) -> bool {
         self.all.unwrap_or(false)
     }
 }
@@ -88,26 +88,26 @@
     /// Decodes a line; none where it can't be read.
     pub fn read(line: &'a RawValue, conf: &RawSettings) -> Option<EndpointLine<'a>> {
         let fields: Fields = serde_json::from_str(line.get()).ok()?;
-        let number = |names: &[String], name: Option<Cow<str>>| {
+        let index_of = |names: &[String], name: Option<Cow<str>>| {
             let name = name.unwrap_or_default();
             names.iter().position(|n| *n == name).unwrap_or(names.len()).try_into().unwrap_or(u32::MAX)
         };
-        let health = match fields.state.text()?.as_ref() {
+        let health = match fields.state.into_text()?.as_ref() {
             "ready" => Health::Up,
             "draining" => Health::Draining,
             "gone" => Health::Gone,
             _ => return None,
         };
         let state = EndpointState {
-            address: fields.endpoint.text()?.parse().ok()?,
-            zone: number(&conf.areas, fields.zone.text()),
-            kind: number(&conf.kinds, fields.model.text()),
-            cell: fields.cell.whole().and_then(|n| u32::try_from(n).ok())?,
+            address: fields.endpoint.into_text()?.parse().ok()?,
+            zone: index_of(&conf.areas, fields.zone.into_text()),
+            kind: index_of(&conf.kinds, fields.model.into_text()),
+            cell: fields.cell.as_u64().and_then(|n| u32::try_from(n).ok())?,
             health,
-            size: fields.size.figure().unwrap_or(1.0),
-            boot_ms: fields.boot_ms.figure().unwrap_or(0.0),
+            size: fields.size.non_negative().unwrap_or(1.0),
+            boot_ms: fields.boot_ms.non_negative().unwrap_or(0.0),
         };
-        let uid = fields.uid.text().filter(|uid| !uid.is_empty())?;
+        let uid = fields.uid.into_text().filter(|uid| !uid.is_empty())?;
         Some(EndpointLine { uid, state })
     }
 }
@@ -164,26 +164,26 @@
 #[derive(Default)]
 enum Scalar<'a> {
     Text(Cow<'a, str>),
-    Whole(u64),
-    Number(f64),
+    Unsigned(u64),
+    Float(f64),
     #[default]
     None,
 }
 
 impl<'a> Scalar<'a> {
-    fn text(self) -> Option<Cow<'a, str>> {
+    fn into_text(self) -> Option<Cow<'a, str>> {
         if let Scalar::Text(text) = self { Some(text) } else { None }
     }
 
-    fn whole(&self) -> Option<u64> {
-        if let Scalar::Whole(number) = self { Some(*number) } else { None }
+    fn as_u64(&self) -> Option<u64> {
+        if let Scalar::Unsigned(number) = self { Some(*number) } else { None }
     }
 
     /// A finite number that is not negative.
-    fn figure(&self) -> Option<f64> {
+    fn non_negative(&self) -> Option<f64> {
         let number = match self {
-            Scalar::Whole(number) => *number as f64,
-            Scalar::Number(number) => *number,
+            Scalar::Unsigned(number) => *number as f64,
+            Scalar::Float(number) => *number,
             _ => return None,
         };
         (number.is_finite() && number >= 0.0).then_some(number)
@@ -214,15 +214,15 @@
     }
 
     fn visit_u64<E>(self, number: u64) -> Result<Scalar<'de>, E> {
-        Ok(Scalar::Whole(number))
+        Ok(Scalar::Unsigned(number))
     }
 
     fn visit_i64<E>(self, number: i64) -> Result<Scalar<'de>, E> {
-        Ok(Scalar::Number(number as f64))
+        Ok(Scalar::Float(number as f64))
     }
 
     fn visit_f64<E>(self, number: f64) -> Result<Scalar<'de>, E> {
-        Ok(Scalar::Number(number))
+        Ok(Scalar::Float(number))
     }
 
     fn visit_bool<E>(self, _: bool) -> Result<Scalar<'de>, E> {
--- a/src/bin/frostvale/gatekeeper/endpoints.rs
+++ b/src/bin/frostvale/gatekeeper/endpoints.rs
@@ -32,7 +32,7 @@
 impl<'a> PendingUpdate<'a> {
     fn new(outline: &'a Outline<'a>) -> Self {
         PendingUpdate {
-            whole: outline.whole(),
+            whole: outline.is_full(),
             lines: outline.lines.iter(),
             named: HashSet::with_capacity(outline.lines.len()),
             changes: Vec::new(),
@@ -41,7 +41,7 @@
     }
 
     /// Compares the next lines with what is known. False once there are none left.
-    fn step(&mut self, gatekeeper: &Gatekeeper) -> bool {
+    fn compare_step(&mut self, gatekeeper: &Gatekeeper) -> bool {
         let Some(first) = self.lines.next() else { return false };
         let step: Vec<&'a RawValue> =
             std::iter::once(*first).chain(self.lines.by_ref().take(STEP_LINES - 1).copied()).collect();
@@ -50,7 +50,7 @@
                 self.refused_lines += 1;
                 continue;
             };
-            let differs = gatekeeper.workers.differs(&uid, &state);
+            let differs = gatekeeper.workers.would_change(&uid, &state);
             // Of a server that is named twice the last line holds, also where it says what was known before.
             if differs || self.named.contains(&uid) {
                 self.changes.push(EndpointChange { name: uid.as_ref().into(), state });
@@ -67,11 +67,11 @@
 /// # Errors
 /// When the text is no update; nothing has changed then.
 pub async fn apply_update(gatekeeper: &Shared, text: &[u8]) -> Result<u64, UpdateError> {
-    let turns = gatekeeper.borrow().update_turns.clone();
-    let _turn = turns.lock().await;
+    let update_lock = gatekeeper.borrow().update_lock.clone();
+    let _turn = update_lock.lock().await;
     let digester = gatekeeper.borrow().last_list.digester();
     let digest = digester.digest(text).await;
-    if let Some(version) = gatekeeper.borrow_mut().recognise_list(digest) {
+    if let Some(version) = gatekeeper.borrow_mut().version_if_unchanged(digest) {
         return Ok(version);
     }
     let mut longest_step = Duration::ZERO;
@@ -79,9 +79,9 @@
     let outline = read_outline(gatekeeper, text)?;
     let mut update = PendingUpdate::new(&outline);
     loop {
-        let more = update.step(&gatekeeper.borrow());
+        let has_more = update.compare_step(&gatekeeper.borrow());
         longest_step = longest_step.max(began.elapsed());
-        if !more {
+        if !has_more {
             break;
         }
         yield_now().await;
@@ -90,7 +90,7 @@
     began = Instant::now();
     let mut applied = gatekeeper.borrow_mut().apply(update);
     applied.longest_step = longest_step.max(began.elapsed());
-    gatekeeper.borrow_mut().list_applied(&applied, &outline, digest, text.len());
+    gatekeeper.borrow_mut().finish_update(&applied, &outline, digest, text.len());
     Ok(outline.version)
 }
 
@@ -101,11 +101,11 @@
 pub fn apply_known(gatekeeper: &Shared, text: &[u8]) -> Result<(), UpdateError> {
     let outline = read_outline(gatekeeper, text)?;
     let mut update = PendingUpdate::new(&outline);
-    while update.step(&gatekeeper.borrow()) {}
+    while update.compare_step(&gatekeeper.borrow()) {}
     let mut gatekeeper = gatekeeper.borrow_mut();
     let applied = gatekeeper.apply(update);
-    let digest = gatekeeper.last_list.digester().digest_at_once(text);
-    gatekeeper.remember_list(&applied, outline.version, digest);
+    let digest = gatekeeper.last_list.digester().digest_blocking(text);
+    gatekeeper.record_applied_list(&applied, outline.version, digest);
     applied.log(outline.version, text.len());
     Ok(())
 }
@@ -116,7 +116,7 @@
 
 impl Gatekeeper {
     /// The version of a list that is in effect already, which nothing is to be done for.
-    fn recognise_list(&mut self, digest: Option<Digest>) -> Option<u64> {
+    fn version_if_unchanged(&mut self, digest: Option<Digest>) -> Option<u64> {
         let version = self.last_list.version_of(digest)?;
         tracing::debug!(version, "this whole endpoint list is in effect already");
         self.metrics.list_unchanged();
@@ -125,22 +125,22 @@
     }
 
     /// Remembers a whole list, until something else changes.
-    fn remember_list(&mut self, applied: &ListApplied, version: u64, digest: Option<Digest>) {
+    fn record_applied_list(&mut self, applied: &ListApplied, version: u64, digest: Option<Digest>) {
         if applied.whole {
-            self.last_list.whole(digest, version);
+            self.last_list.set_full_list(digest, version);
         } else if applied.changed > 0 {
-            self.last_list.changed();
+            self.last_list.clear();
         }
     }
 
-    fn list_applied(
+    fn finish_update(
         &mut self,
         applied: &ListApplied,
         outline: &Outline,
         digest: Option<Digest>,
         bytes: usize,
     ) {
-        self.remember_list(applied, outline.version, digest);
+        self.record_applied_list(applied, outline.version, digest);
         applied.log(outline.version, bytes);
         self.metrics.list_applied(applied);
         self.first_list.notify_one();
@@ -167,9 +167,9 @@
             }
         };
         let mut servers: Vec<Server> = changes.iter().map(server).collect();
-        servers.extend(absent.iter().chain(&effect.replaced).map(gone));
+        servers.extend(absent.iter().chain(&effect.replaced).map(removed_server));
         if !servers.is_empty() {
-            self.event(Event::EndpointUpdate { kind: EndpointUpdateKind::Changes, servers });
+            self.dispatch(Event::EndpointUpdate { kind: EndpointUpdateKind::Changes, servers });
         }
         self.reset_attempts_at(&effect.restarted);
         ListApplied { whole, changed, refused_lines, longest_step: Duration::ZERO }
@@ -182,14 +182,15 @@
             return;
         }
         let requests = self.requests.iter();
-        let lost: Vec<u64> = requests.filter(|(_, r)| r.lives_in(restarted)).map(|(id, _)| *id).collect();
+        let lost: Vec<u64> =
+            requests.filter(|(_, r)| r.has_attempt_at(restarted)).map(|(id, _)| *id).collect();
         for id in lost {
-            self.give_up(id, AttemptOutcome::Reset);
+            self.abort_attempt(id, AttemptOutcome::Reset);
         }
     }
 }
 
 /// The line of a server that is not listed any more.
-fn gone(name: &Name) -> Server {
+fn removed_server(name: &Name) -> Server {
     Server { name: name.clone(), zone: 0, cell: 0, kind: 0, size: 1.0, health: Health::Gone, started_at: 0.0 }
 }
--- a/src/bin/frostvale/gatekeeper/in_flight.rs
+++ b/src/bin/frostvale/gatekeeper/in_flight.rs
@@ -32,17 +32,17 @@
 
 /// A request in flight: until its final answer, and after that while an attempt is still out.
 pub(super) struct InFlight {
-    pub(super) ask: ClientRequest,
+    pub(super) client_request: ClientRequest,
     /// Who is owed the answer; none once it is given or the client has left.
     pub(super) client: Option<Rc<dyn ResponseSink>>,
     /// The module has not heard of it yet: it waits for the first list, or an outside service is asked first.
     pub(super) pending: Option<Request>,
     /// When the client's time is over, in ms of the clock.
-    pub(super) due: f64,
+    pub(super) client_deadline: f64,
     pub(super) attempts: u32,
     pub(super) attempt: Option<Attempt>,
     /// Whether an attempt has come whole to a worker: from then on its units are used.
-    pub(super) passed: bool,
+    pub(super) is_delivered: bool,
 }
 
 /// The one attempt that may be out.
@@ -59,14 +59,14 @@
 
 impl Attempt {
     /// Whether its last byte is still ours to write: then it has surely not begun.
-    pub(super) fn unsent(&self) -> bool {
-        self.conn.as_ref().is_none_or(|conn| !conn.written.get())
+    pub(super) fn is_unsent(&self) -> bool {
+        self.conn.as_ref().is_none_or(|conn| !conn.is_written.get())
     }
 }
 
 impl InFlight {
     /// Whether it has an attempt out at one of these workers.
-    pub(super) fn lives_in(&self, workers: &HashSet<Name>) -> bool {
+    pub(super) fn has_attempt_at(&self, workers: &HashSet<Name>) -> bool {
         self.attempt.as_ref().is_some_and(|a| a.conn.is_some() && workers.contains(&a.server))
     }
 }
--- a/src/bin/frostvale/gatekeeper/interfaces.rs
+++ b/src/bin/frostvale/gatekeeper/interfaces.rs
@@ -24,7 +24,7 @@
     /// Whether one is here that asks an outside service.
     fn has_outside_agent(&self) -> bool;
     /// Has it asked. False if it can't be.
-    fn ask_outside(&self, call: u64, request: &Request, within: f64) -> bool;
+    fn ask_outside(&self, call: u64, request: &Request, timeout_ms: f64) -> bool;
     /// The breaker has changed.
     fn breaker_changed(&self, state: BreakerState, counts: CallCounts);
 }
--- a/src/bin/frostvale/gatekeeper/last_list.rs
+++ b/src/bin/frostvale/gatekeeper/last_list.rs
@@ -8,7 +8,7 @@
 /// So much of a text is digested in one step.
 const STEP_BYTES: usize = 64 * 1024;
 /// A shorter text is as soon decoded.
-const TEXT_LEAST_BYTES: usize = 16 * 1024;
+const MIN_DIGESTED_BYTES: usize = 16 * 1024;
 
 /// A text's length, and a hash with a key that this process drew by lot.
 #[derive(Clone, Copy, PartialEq, Eq)]
@@ -37,12 +37,12 @@
     }
 
     /// A whole list has been applied.
-    pub fn whole(&mut self, digest: Option<Digest>, version: u64) {
+    pub fn set_full_list(&mut self, digest: Option<Digest>, version: u64) {
         self.applied = digest.map(|digest| (digest, version));
     }
 
     /// Something else has been applied.
-    pub fn changed(&mut self) {
+    pub fn clear(&mut self) {
         self.applied = None;
     }
 }
@@ -53,7 +53,7 @@
 impl Digester {
     /// A text's digest, made in steps between which the event loop does what else is due; none for a short text.
     pub async fn digest(&self, text: &[u8]) -> Option<Digest> {
-        if text.len() < TEXT_LEAST_BYTES {
+        if text.len() < MIN_DIGESTED_BYTES {
             return None;
         }
         let mut hasher = self.0.build_hasher();
@@ -65,8 +65,8 @@
     }
 
     /// The same in one step, before anybody is served.
-    pub fn digest_at_once(&self, text: &[u8]) -> Option<Digest> {
-        if text.len() < TEXT_LEAST_BYTES {
+    pub fn digest_blocking(&self, text: &[u8]) -> Option<Digest> {
+        if text.len() < MIN_DIGESTED_BYTES {
             return None;
         }
         let mut hasher = self.0.build_hasher();
--- a/src/bin/frostvale/gatekeeper/outside.rs
+++ b/src/bin/frostvale/gatekeeper/outside.rs
@@ -1,6 +1,6 @@
 //! An outside rate limit service, asked before the module. What comes of it, `frostvale_outside::OutsidePolicy` decides.
 
-use super::{AgentLinks, Due, Gatekeeper};
+use super::{AgentLinks, Gatekeeper, TimerKind};
 use frostvale::{Event, Request};
 use frostvale_outside::{BreakerState, CallCounts, OutsideDecision, OutsidePolicy, Verdict};
 use std::rc::Rc;
@@ -17,35 +17,35 @@
         self.agents = Some(agents);
     }
 
-    pub(super) fn consult(&mut self, request: Request) {
+    pub(super) fn consult_outside(&mut self, request: Request) {
         let (now, id) = (self.now(), request.id);
         let (Some(outside), Some(agents)) = (&mut self.outside, self.agents.clone()) else { return };
-        let aim = self.settings.classes[request.class].target_ms;
-        let times = (aim, request.deadline - now);
-        let before = outside.breaker();
-        let step = outside.ask(
+        let target_ms = self.settings.classes[request.class].target_ms;
+        let time_limits = (target_ms, request.deadline - now);
+        let previous_state = outside.breaker();
+        let decision = outside.ask(
             now,
             id,
             &request.customer,
             request.plan,
             request.units,
-            times,
+            time_limits,
             agents.has_outside_agent(),
         );
-        let OutsideDecision::Ask { call, within } = step else {
-            self.report_breaker(before);
+        let OutsideDecision::Ask { call, within } = decision else {
+            self.report_breaker(previous_state);
             if let Some(r) = self.requests.get_mut(&id) {
                 r.pending = Some(request);
             }
-            return self.consulted(id, step);
+            return self.apply_outside_decision(id, decision);
         };
-        let asked = agents.ask_outside(call, &request, within);
+        let is_asked = agents.ask_outside(call, &request, within);
         if let Some(r) = self.requests.get_mut(&id) {
             r.pending = Some(request);
         }
-        self.report_breaker(before);
-        if asked {
-            self.at(now + within, Due::Consult(call));
+        self.report_breaker(previous_state);
+        if is_asked {
+            self.schedule(now + within, TimerKind::OutsideCall(call));
         } else {
             self.outside_verdict(call, Verdict::Failed);
         }
@@ -55,44 +55,47 @@
     pub fn outside_verdict(&mut self, call: u64, verdict: Verdict) {
         let now = self.now();
         let Some(outside) = &mut self.outside else { return };
-        let before = outside.breaker();
-        let step = outside.record_verdict(now, call, verdict);
-        self.report_breaker(before);
-        if let Some((id, step)) = step {
-            self.consulted(id, step);
+        let previous_state = outside.breaker();
+        let decided = outside.record_verdict(now, call, verdict);
+        self.report_breaker(previous_state);
+        if let Some((id, decision)) = decided {
+            self.apply_outside_decision(id, decision);
         }
     }
 
     /// Nobody is left who would carry the outside service's answers.
     pub fn link_lost(&mut self) {
         let Some(outside) = &mut self.outside else { return };
-        for (id, step) in outside.link_lost() {
-            self.consulted(id, step);
+        for (id, decision) in outside.link_lost() {
+            self.apply_outside_decision(id, decision);
         }
     }
 
     /// A request goes on to the module or is refused, unless its client has left meanwhile.
-    pub(super) fn consulted(&mut self, id: u64, step: OutsideDecision) {
+    pub(super) fn apply_outside_decision(&mut self, id: u64, decision: OutsideDecision) {
         let Some(request) = self.requests.get_mut(&id).and_then(|r| r.pending.take()) else { return };
-        match step {
-            OutsideDecision::Pass | OutsideDecision::Ask { .. } => self.event(Event::Request(request)),
+        match decision {
+            OutsideDecision::Pass | OutsideDecision::Ask { .. } => self.dispatch(Event::Request(request)),
             OutsideDecision::Deny { pause } => self.refuse(id, pause),
         }
     }
 
-    pub(super) fn report_breaker(&self, before: BreakerState) {
+    pub(super) fn report_breaker(&self, previous_state: BreakerState) {
         let (Some(outside), Some(agents)) = (&self.outside, &self.agents) else { return };
-        let (now, counts) = (outside.breaker(), outside.counts());
-        if now != before {
-            agents.breaker_changed(now, counts);
-            let word = match now {
-                BreakerState::Closed => "answers again: requests of its plans ask it as before",
+        let (state, counts) = (outside.breaker(), outside.counts());
+        if state != previous_state {
+            agents.breaker_changed(state, counts);
+            let change = match state {
+                BreakerState::Closed => "closed, requests of its plans are checked again",
                 BreakerState::Open => {
-                    "fails: requests of its plans go by their failure mode until it is tried again"
+                    "open, requests of its plans follow their failure mode until the next trial call"
                 }
-                BreakerState::HalfOpen => "is tried again by one request at a time",
+                BreakerState::HalfOpen => "half-open, one trial call at a time",
             };
-            tracing::info!("the outside rate limit service {word} ({} calls failed so far)", counts.failed);
+            tracing::info!(
+                "outside rate limit service: circuit breaker {change} ({} failed calls so far)",
+                counts.failed
+            );
         }
     }
 
--- a/src/bin/frostvale/gatekeeper/record.rs
+++ b/src/bin/frostvale/gatekeeper/record.rs
@@ -6,8 +6,8 @@
 
 impl Gatekeeper {
     /// Begins to count use.
-    pub fn enable_usage(&mut self, ahead: i64) {
-        let now = (self.now().max(0.0) as u64).saturating_add_signed(ahead);
+    pub fn enable_usage(&mut self, clock_offset_ms: i64) {
+        let now = (self.now().max(0.0) as u64).saturating_add_signed(clock_offset_ms);
         self.usage = Some(Usage::new(now));
     }
 
@@ -18,50 +18,56 @@
 
     /// Counts the units of a check that were granted, or not.
     pub fn count_check(&mut self, request: &Request, granted: bool) {
-        let what = if granted { UsageKind::Passed } else { UsageKind::Refused };
+        let kind = if granted { UsageKind::Passed } else { UsageKind::Refused };
         if let Some(usage) = &mut self.usage {
-            usage.count(&request.customer, request.plan, request.class, request.units, what);
+            usage.count(&request.customer, request.plan, request.class, request.units, kind);
         }
     }
 
-    pub(super) fn count(&mut self, id: u64, what: UsageKind) {
+    pub(super) fn count_usage(&mut self, id: u64, kind: UsageKind) {
         let (Some(usage), Some(r)) = (&mut self.usage, self.requests.get(&id)) else { return };
-        usage.count(&r.ask.customer, r.ask.plan, r.ask.class, r.ask.units, what);
+        usage.count(
+            &r.client_request.customer,
+            r.client_request.plan,
+            r.client_request.class,
+            r.client_request.units,
+            kind,
+        );
     }
 
     /// A command has come whole to a worker.
-    pub(super) fn passed(&mut self, id: u64) {
+    pub(super) fn command_delivered(&mut self, id: u64) {
         if self.usage.is_none() {
             return;
         }
         if let Some(r) = self.requests.get_mut(&id)
-            && !std::mem::replace(&mut r.passed, true)
+            && !std::mem::replace(&mut r.is_delivered, true)
         {
-            self.count(id, UsageKind::Passed);
+            self.count_usage(id, UsageKind::Passed);
         }
     }
 
     /// The plans' figures have changed. An error says why they are not taken.
     pub fn set_plans(&mut self, plans: Vec<Plan>) -> Result<(), String> {
-        let fresh = Settings { plans: plans.clone(), ..self.settings.clone() };
-        fresh.check().map_err(|e| e.to_string())?;
-        self.settings = fresh;
-        self.event(Event::Plans(plans));
+        let updated = Settings { plans: plans.clone(), ..self.settings.clone() };
+        updated.check().map_err(|e| e.to_string())?;
+        self.settings = updated;
+        self.dispatch(Event::Plans(plans));
         Ok(())
     }
 
     /// What stores held in a former life.
     pub fn restore(&mut self, levels: Vec<BucketSnapshot>) {
-        self.event(Event::Restore(levels));
+        self.dispatch(Event::Restore(levels));
     }
 
     /// What stores hold, some parts of the customers at a time.
-    pub fn levels(&self, part: usize, most: usize) -> (Vec<BucketSnapshot>, Option<usize>) {
-        self.control.bucket_snapshots(part, most)
+    pub fn levels(&self, first_chunk: usize, max_chunks: usize) -> (Vec<BucketSnapshot>, Option<usize>) {
+        self.control.bucket_snapshots(first_chunk, max_chunks)
     }
 
     /// What a granted check took was not used.
     pub fn refund_check(&mut self, request: Request) {
-        self.event(Event::Unused(request));
+        self.dispatch(Event::Unused(request));
     }
 }
--- a/src/bin/frostvale/gatekeeper/trace.rs
+++ b/src/bin/frostvale/gatekeeper/trace.rs
@@ -6,10 +6,10 @@
 use frostvale::{AttemptOutcome, RefusalReason};
 
 /// An attempt has ended; a further one may follow.
-pub(super) fn attempt_ended(wire: u64, attempt: &Attempt, outcome: AttemptOutcome, now: f64) {
+pub(super) fn attempt_ended(client_id: u64, attempt: &Attempt, outcome: AttemptOutcome, now: f64) {
     tracing::debug!(
         target: "frostvale::request",
-        id = format_args!("{wire:016x}"),
+        id = format_args!("{client_id:016x}"),
         attempt = attempt.number,
         server = %attempt.server,
         ending = ?outcome,
@@ -23,21 +23,22 @@
     pub(super) fn trace_refusal(&mut self, id: u64, reason: RefusalReason) {
         self.metrics.refused(reason);
         let Some(r) = self.requests.get(&id) else { return };
-        let (wire, attempts) = (r.ask.client_id, r.attempts);
-        tracing::debug!(target: "frostvale::request", id = format_args!("{wire:016x}"), attempts, ?reason, "refused");
+        let (client_id, attempts) = (r.client_request.client_id, r.attempts);
+        tracing::debug!(target: "frostvale::request", id = format_args!("{client_id:016x}"), attempts, ?reason, "refused");
     }
 
     /// A client was given its final answer.
     pub(super) fn trace_answer(&mut self, id: u64, answer: &[u8]) {
         let now = self.now();
         let Some(r) = self.requests.get(&id) else { return };
-        let (wire, attempts, late_ms) = (r.ask.client_id, r.attempts, now - r.due);
+        let (client_id, attempts, late_ms) =
+            (r.client_request.client_id, r.attempts, now - r.client_deadline);
         let answer = String::from_utf8_lossy(answer.trim_ascii_end());
-        tracing::debug!(target: "frostvale::request", id = format_args!("{wire:016x}"), attempts, %answer, "answered");
+        tracing::debug!(target: "frostvale::request", id = format_args!("{client_id:016x}"), attempts, %answer, "answered");
         if late_ms > 0.0 {
             self.metrics.answer_late(late_ms);
             tracing::warn!(
-                id = format_args!("{wire:016x}"),
+                id = format_args!("{client_id:016x}"),
                 attempts,
                 %answer,
                 late_ms = late_ms as u64,
@@ -49,11 +50,12 @@
     /// The module's own limit on a request has passed without a final answer.
     pub(super) fn trace_unsettled(&mut self, id: u64) {
         let Some(r) = self.requests.get(&id) else { return };
-        let out = r.attempt.as_ref().map_or("none", |a| if a.unsent() { "not sent" } else { "sent" });
+        let attempt_state =
+            r.attempt.as_ref().map_or("none", |a| if a.is_unsent() { "not sent" } else { "sent" });
         tracing::warn!(
-            id = format_args!("{:016x}", r.ask.client_id),
+            id = format_args!("{:016x}", r.client_request.client_id),
             attempts = r.attempts,
-            attempt_out = out,
+            attempt_out = attempt_state,
             "a request was not settled in time"
         );
     }
--- a/src/bin/frostvale/gatekeeper/zones.rs
+++ b/src/bin/frostvale/gatekeeper/zones.rs
@@ -5,13 +5,13 @@
 
 impl Gatekeeper {
     /// Who is shut out, as it was decided for the fleet.
-    pub fn apply_fenced_off(&mut self, shut: frostvale::FenceOffDecision) {
-        self.event(Event::FenceOff(shut));
+    pub fn apply_fenced_off(&mut self, decision: frostvale::FenceOffDecision) {
+        self.dispatch(Event::FenceOff(decision));
     }
 
     /// From now on what is seen of zones is counted, or not any more.
-    pub fn watch_zones(&mut self, on: bool) {
-        self.control.watch_zones(on);
+    pub fn watch_zones(&mut self, is_enabled: bool) {
+        self.control.watch_zones(is_enabled);
     }
 
     /// What was seen since the last look.
@@ -21,7 +21,7 @@
     }
 
     /// What was decided for this gatekeeper's zone, or that it still stands.
-    pub fn guide(&mut self, guide: RoutingSnapshot) {
-        self.event(Event::RoutingSnapshot(guide));
+    pub fn guide(&mut self, snapshot: RoutingSnapshot) {
+        self.dispatch(Event::RoutingSnapshot(snapshot));
     }
 }
--- a/src/bin/frostvale/workers.rs
+++ b/src/bin/frostvale/workers.rs
@@ -18,16 +18,16 @@
 use tokio::task::AbortHandle;
 
 /// A whole answer: a value, and a little for the report and the figures on use.
-const ANSWER_MOST: usize = MAX_VALUE_BYTES + 4096;
+const MAX_REPLY_BYTES: usize = MAX_VALUE_BYTES + 4096;
 /// Room that a connection keeps between answers.
-const KEPT: usize = 8 * 1024;
+const RETAINED_BUFFER_BYTES: usize = 8 * 1024;
 
 /// Who hears what comes on the connections.
 pub trait ReplyHandler {
     /// A worker answered. `clean`: with nothing behind it.
     fn reply_received(&self, conn: &Rc<Conn>, reply: Reply, bytes: &[u8], clean: bool);
     /// A connection has ended, perhaps over bytes that are no answer.
-    fn connection_closed(&self, conn: &Rc<Conn>, spoilt: Option<&'static str>);
+    fn connection_closed(&self, conn: &Rc<Conn>, read_error: Option<&'static str>);
 }
 
 /// A connection to a worker.
@@ -37,24 +37,24 @@
     /// The life of the worker it was made in.
     pub incarnation: u64,
     /// The request whose attempt it carries.
-    pub busy: Cell<Option<u64>>,
+    pub current_request: Cell<Option<u64>>,
     /// Whether the attempt's last byte is written: before that it surely never ran.
-    pub written: Cell<bool>,
+    pub is_written: Cell<bool>,
     pub idle_since: Cell<f64>,
     /// Its place among the connections at rest, as long as it is one of them.
-    rest_key: Cell<RestKey>,
+    idle_key: Cell<IdleKey>,
     task: OnceCell<AbortHandle>,
-    reading: MemoryShare,
-    _place: ConnectionPermit,
+    read_memory: MemoryShare,
+    _permit: ConnectionPermit,
 }
 
 /// The order of connections at rest: since when, in microseconds, and a number of its own. Never used twice.
 #[derive(Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
-struct RestKey(u64, u64);
+struct IdleKey(u64, u64);
 
-impl RestKey {
-    fn new(since_ms: f64, number: u64) -> RestKey {
-        RestKey((since_ms * 1000.0).max(0.0) as u64, number)
+impl IdleKey {
+    fn new(since_ms: f64, number: u64) -> IdleKey {
+        IdleKey((since_ms * 1000.0).max(0.0) as u64, number)
     }
 }
 
@@ -72,8 +72,8 @@
         stream: TcpStream,
         worker: Name,
         incarnation: u64,
-        place: ConnectionPermit,
-        reading: MemoryShare,
+        permit: ConnectionPermit,
+        read_memory: MemoryShare,
     ) -> Rc<Conn> {
         // Without it small commands wait for acknowledgements; a socket that fails here fails again soon.
         let _ = stream.set_nodelay(true);
@@ -81,13 +81,13 @@
             stream,
             worker,
             incarnation,
-            busy: Cell::new(None),
-            written: Cell::new(false),
+            current_request: Cell::new(None),
+            is_written: Cell::new(false),
             idle_since: Cell::new(0.0),
-            rest_key: Cell::default(),
+            idle_key: Cell::default(),
             task: OnceCell::new(),
-            reading,
-            _place: place,
+            read_memory,
+            _permit: permit,
         })
     }
 
@@ -114,17 +114,17 @@
     }
 
     /// Reads answers until the connection ends.
-    pub fn listen(self: &Rc<Conn>, ear: Rc<dyn ReplyHandler>) {
+    pub fn spawn_reader(self: &Rc<Conn>, handler: Rc<dyn ReplyHandler>) {
         let conn = self.clone();
         let task = tokio::task::spawn_local(async move {
-            let ended = conn.read(&*ear).await;
-            ear.connection_closed(&conn, ended);
+            let read_error = conn.read_replies(&*handler).await;
+            handler.connection_closed(&conn, read_error);
         });
         let _ = self.task.set(task.abort_handle());
     }
 
     /// Gives what was wrong with the bytes, if that is why it ended.
-    async fn read(self: &Rc<Conn>, ear: &dyn ReplyHandler) -> Option<&'static str> {
+    async fn read_replies(self: &Rc<Conn>, handler: &dyn ReplyHandler) -> Option<&'static str> {
         let mut bytes: Vec<u8> = Vec::new();
         loop {
             self.stream.readable().await.ok()?;
@@ -135,27 +135,27 @@
                 Err(e) if e.kind() == ErrorKind::WouldBlock => continue,
                 Err(_) => return None,
             }
-            self.busy.get()?;
-            if !self.reading.update(bytes.capacity(), KEPT) {
-                return Some("no room for so long an answer now");
+            self.current_request.get()?;
+            if !self.read_memory.update(bytes.capacity(), RETAINED_BUFFER_BYTES) {
+                return Some("reply does not fit into the memory left for unfinished replies");
             }
             match resp::reply(&bytes) {
-                Ok(None) if bytes.len() > ANSWER_MOST => return Some("an answer is too long"),
+                Ok(None) if bytes.len() > MAX_REPLY_BYTES => return Some("reply exceeds the size limit"),
                 Ok(None) => {}
                 Ok(Some((reply, len))) => {
                     // What follows belongs to no request: the next one must not be given it.
                     let clean = len == bytes.len();
-                    ear.reply_received(self, reply, &bytes, clean);
+                    handler.reply_received(self, reply, &bytes, clean);
                     if !clean {
                         return None;
                     }
                     bytes.clear();
-                    if bytes.capacity() > KEPT {
+                    if bytes.capacity() > RETAINED_BUFFER_BYTES {
                         bytes = Vec::new();
-                        self.reading.update(0, 0);
+                        self.read_memory.update(0, 0);
                     }
                 }
-                Err(broken) => return Some(broken.0),
+                Err(error) => return Some(error.0),
             }
         }
     }
@@ -186,7 +186,7 @@
 
 impl Worker {
     /// Where it listens, if it takes requests.
-    pub fn open_at(&self) -> Option<SocketAddr> {
+    pub fn serving_address(&self) -> Option<SocketAddr> {
         (self.state.health == Health::Up).then_some(self.state.address)
     }
 }
@@ -211,45 +211,45 @@
 /// Finding a worker or its connection, and a change of one worker, cost O(1); room for a connection O(log c) with c of them
 /// at rest.
 pub struct Workers {
-    all: HashMap<Name, Worker>,
+    by_name: HashMap<Name, Worker>,
     by_address: HashMap<SocketAddr, Vec<Name>>,
     /// Connections at rest, the one that has rested for the longest first.
-    resting: BTreeMap<RestKey, Rc<Conn>>,
-    rests: u64,
-    lives: u64,
-    open: Rc<Cell<usize>>,
-    most: usize,
-    reading: MemoryBudget,
+    idle_by_age: BTreeMap<IdleKey, Rc<Conn>>,
+    last_idle_number: u64,
+    last_incarnation: u64,
+    open_connections: Rc<Cell<usize>>,
+    max_connections: usize,
+    read_budget: MemoryBudget,
 }
 
 impl Workers {
     /// `most` bounds the connections to all of them together, `memory` what has been read on them of answers
     /// that are not whole yet.
-    pub fn new(most: usize, memory: usize) -> Workers {
+    pub fn new(max_connections: usize, max_read_bytes: usize) -> Workers {
         Workers {
-            all: HashMap::new(),
+            by_name: HashMap::new(),
             by_address: HashMap::new(),
-            resting: BTreeMap::new(),
-            rests: 0,
-            lives: 0,
-            open: Rc::default(),
-            most,
-            reading: MemoryBudget::new(memory),
+            idle_by_age: BTreeMap::new(),
+            last_idle_number: 0,
+            last_incarnation: 0,
+            open_connections: Rc::default(),
+            max_connections,
+            read_budget: MemoryBudget::new(max_read_bytes),
         }
     }
 
     /// A new connection's share of the memory.
     pub fn read_share(&self) -> MemoryShare {
-        self.reading.new_share()
+        self.read_budget.new_share()
     }
 
     pub fn get(&self, name: &str) -> Option<&Worker> {
-        self.all.get(name)
+        self.by_name.get(name)
     }
 
     /// Whether this says anything new of a worker. A start earlier than the one known is nothing new.
-    pub fn differs(&self, name: &str, state: &EndpointState) -> bool {
-        let known = self.all.get(name).map(|worker| &worker.state);
+    pub fn would_change(&self, name: &str, state: &EndpointState) -> bool {
+        let known = self.by_name.get(name).map(|worker| &worker.state);
         known.is_none_or(|known| {
             *known != EndpointState { boot_ms: state.boot_ms.max(known.boot_ms), ..*state }
         })
@@ -257,7 +257,7 @@
 
     /// Workers that are not among these. O(n) of all workers.
     pub fn absent_from(&self, named: &HashSet<Cow<str>>) -> Vec<Name> {
-        self.all.keys().filter(|name| !named.contains(name.as_ref())).cloned().collect()
+        self.by_name.keys().filter(|name| !named.contains(name.as_ref())).cloned().collect()
     }
 
     /// Takes changes into effect, and workers that are not listed any more. O(k) with k of them.
@@ -266,10 +266,10 @@
         for name in absent {
             self.remove(name);
         }
-        let mut moved_in = Vec::new();
+        let mut newly_placed = Vec::new();
         for change in changes {
             if change.state.health == Health::Gone {
-                let known = self.all.get(&change.name);
+                let known = self.by_name.get(&change.name);
                 if known.is_some_and(|worker| change.state.boot_ms > worker.state.boot_ms) {
                     effect.restarted.insert(change.name.clone());
                 }
@@ -277,11 +277,11 @@
                 continue;
             }
             if self.apply_one(change, &mut effect) && change.state.health == Health::Up {
-                moved_in.push(&change.name);
+                newly_placed.push(&change.name);
             }
         }
         // Of two that say nothing of their age the one told last has the address.
-        for name in moved_in.into_iter().rev() {
+        for name in newly_placed.into_iter().rev() {
             self.replace_others_at_address_of(name, &mut effect);
         }
         effect
@@ -290,10 +290,10 @@
     /// Gives whether it is at an address where it was not before.
     fn apply_one(&mut self, change: &EndpointChange, effect: &mut UpdateEffect) -> bool {
         let EndpointChange { name, state } = change;
-        self.lives += 1;
-        let incarnation = self.lives;
-        let Some(worker) = self.all.get_mut(name) else {
-            self.all.insert(name.clone(), Worker { state: *state, incarnation, idle: Vec::new() });
+        self.last_incarnation += 1;
+        let incarnation = self.last_incarnation;
+        let Some(worker) = self.by_name.get_mut(name) else {
+            self.by_name.insert(name.clone(), Worker { state: *state, incarnation, idle: Vec::new() });
             self.by_address.entry(state.address).or_default().push(name.clone());
             return true;
         };
@@ -305,14 +305,14 @@
             worker.incarnation = incarnation;
         }
         if moved || restarted || state.health != Health::Up {
-            self.close_resting(name);
+            self.close_idle_connections(name);
         }
         // At a new address alone the old process may still answer what it has.
         if restarted {
             effect.restarted.insert(name.clone());
         }
         if moved {
-            self.leave_address(name, before.address);
+            self.remove_from_address(name, before.address);
             self.by_address.entry(state.address).or_default().push(name.clone());
         }
         moved
@@ -320,13 +320,13 @@
 
     /// A worker that takes requests has its address for itself, but for one that started later.
     fn replace_others_at_address_of(&mut self, name: &Name, effect: &mut UpdateEffect) {
-        let Some(owner) = self.all.get(name).filter(|w| w.state.health == Health::Up) else { return };
+        let Some(owner) = self.by_name.get(name).filter(|w| w.state.health == Health::Up) else { return };
         let EndpointState { address, boot_ms, .. } = owner.state;
-        let at_address = self.by_address.get(&address).into_iter().flatten();
+        let names_at_address = self.by_address.get(&address).into_iter().flatten();
         let older = |other: &&Name| {
-            *other != name && self.all.get(*other).is_some_and(|w| w.state.boot_ms <= boot_ms)
+            *other != name && self.by_name.get(*other).is_some_and(|w| w.state.boot_ms <= boot_ms)
         };
-        let replaced: Vec<Name> = at_address.filter(older).cloned().collect();
+        let replaced: Vec<Name> = names_at_address.filter(older).cloned().collect();
         for name in replaced {
             self.remove(&name);
             effect.replaced.insert(name);
@@ -334,13 +334,13 @@
     }
 
     fn remove(&mut self, name: &Name) {
-        self.close_resting(name);
-        if let Some(worker) = self.all.remove(name) {
-            self.leave_address(name, worker.state.address);
+        self.close_idle_connections(name);
+        if let Some(worker) = self.by_name.remove(name) {
+            self.remove_from_address(name, worker.state.address);
         }
     }
 
-    fn leave_address(&mut self, name: &Name, address: SocketAddr) {
+    fn remove_from_address(&mut self, name: &Name, address: SocketAddr) {
         let Some(names) = self.by_address.get_mut(&address) else { return };
         names.retain(|other| other != name);
         if names.is_empty() {
@@ -349,21 +349,21 @@
     }
 
     /// Closes a worker's connections at rest.
-    fn close_resting(&mut self, name: &Name) {
-        let Some(worker) = self.all.get_mut(name) else { return };
+    fn close_idle_connections(&mut self, name: &Name) {
+        let Some(worker) = self.by_name.get_mut(name) else { return };
         for conn in worker.idle.drain(..) {
-            self.resting.remove(&conn.rest_key.get());
+            self.idle_by_age.remove(&conn.idle_key.get());
             conn.close();
         }
     }
 
     /// A pooled connection that is still good and has rested since before this time: of these the one used
     /// last, so that the others can grow old.
-    pub fn take(&mut self, name: &str, rested: f64) -> Option<Rc<Conn>> {
-        let idle = &mut self.all.get_mut(name)?.idle;
-        while let Some(at) = idle.iter().rposition(|conn| conn.idle_since.get() <= rested) {
+    pub fn take_idle(&mut self, name: &str, idle_before: f64) -> Option<Rc<Conn>> {
+        let idle = &mut self.by_name.get_mut(name)?.idle;
+        while let Some(at) = idle.iter().rposition(|conn| conn.idle_since.get() <= idle_before) {
             let conn = idle.remove(at);
-            self.resting.remove(&conn.rest_key.get());
+            self.idle_by_age.remove(&conn.idle_key.get());
             if !conn.is_stale() {
                 return Some(conn);
             }
@@ -373,14 +373,14 @@
     }
 
     /// Keeps a connection for later, unless its worker is to get nothing more or has restarted.
-    pub fn keep(&mut self, conn: &Rc<Conn>, now: f64) {
-        conn.busy.set(None);
+    pub fn release(&mut self, conn: &Rc<Conn>, now: f64) {
+        conn.current_request.set(None);
         conn.idle_since.set(now);
-        match self.all.get_mut(&conn.worker) {
+        match self.by_name.get_mut(&conn.worker) {
             Some(w) if w.state.health == Health::Up && w.incarnation == conn.incarnation => {
-                self.rests += 1;
-                conn.rest_key.set(RestKey::new(now, self.rests));
-                self.resting.insert(conn.rest_key.get(), conn.clone());
+                self.last_idle_number += 1;
+                conn.idle_key.set(IdleKey::new(now, self.last_idle_number));
+                self.idle_by_age.insert(conn.idle_key.get(), conn.clone());
                 w.idle.push(conn.clone());
             }
             _ => conn.close(),
@@ -389,36 +389,37 @@
 
     /// A place for one more connection. At the limit the longest idle one of any worker makes room.
     pub fn acquire_permit(&mut self) -> Option<ConnectionPermit> {
-        if self.open.get() >= self.most {
-            let (_, oldest) = self.resting.pop_first()?;
-            self.forget(&oldest);
+        if self.open_connections.get() >= self.max_connections {
+            let (_, oldest) = self.idle_by_age.pop_first()?;
+            self.remove_connection(&oldest);
             oldest.close();
         }
-        self.open.set(self.open.get() + 1);
-        Some(ConnectionPermit(self.open.clone()))
+        self.open_connections.set(self.open_connections.get() + 1);
+        Some(ConnectionPermit(self.open_connections.clone()))
     }
 
     /// Forgets a connection that has ended.
-    pub fn forget(&mut self, conn: &Rc<Conn>) {
-        self.resting.remove(&conn.rest_key.get());
-        if let Some(worker) = self.all.get_mut(&conn.worker) {
+    pub fn remove_connection(&mut self, conn: &Rc<Conn>) {
+        self.idle_by_age.remove(&conn.idle_key.get());
+        if let Some(worker) = self.by_name.get_mut(&conn.worker) {
             worker.idle.retain(|c| !Rc::ptr_eq(c, conn));
         }
     }
 
     /// Closes what has stood idle since before this time: a worker closes it too, and a request that
     /// crosses that is a reset.
-    pub fn sweep(&mut self, before: f64) {
-        while let Some(oldest) = self.resting.first_entry().filter(|e| e.get().idle_since.get() < before) {
+    pub fn close_idle_since_before(&mut self, before: f64) {
+        while let Some(oldest) = self.idle_by_age.first_entry().filter(|e| e.get().idle_since.get() < before)
+        {
             let conn = oldest.remove();
-            self.forget(&conn);
+            self.remove_connection(&conn);
             conn.close();
         }
     }
 }
 
 /// What an error line says.
-pub enum Refusal {
+pub enum ErrorReply {
     /// Turned away unseen: only this exact word, with a report or none, means that it never ran.
     Busy(Option<LoadReport>),
     /// A failure in the worker's own words.
@@ -428,29 +429,29 @@
 }
 
 /// Reads an error line, without its sign and end.
-pub fn refusal(line: &[u8]) -> Refusal {
+pub fn parse_error_line(line: &[u8]) -> ErrorReply {
     let mut words = line.split(|b| *b == b' ');
     let first = words.next().unwrap_or_default();
     let last = words.next_back();
-    match (first, last.map(report), words.next().is_some()) {
-        (b"BUSY", None, _) => Refusal::Busy(None),
-        (b"BUSY", Some(Some(report)), false) => Refusal::Busy(Some(report)),
-        (b"ERR", report, _) => Refusal::Failed(report.flatten()),
-        _ => Refusal::Other,
+    match (first, last.map(parse_load_report), words.next().is_some()) {
+        (b"BUSY", None, _) => ErrorReply::Busy(None),
+        (b"BUSY", Some(Some(report)), false) => ErrorReply::Busy(Some(report)),
+        (b"ERR", report, _) => ErrorReply::Failed(report.flatten()),
+        _ => ErrorReply::Other,
     }
 }
 
 /// A load report: names, as the settings' `LoadReport.Columns` has them or in the protocol's short form, and figures.
 /// What can't be read is passed over.
-pub fn report(text: &[u8]) -> Option<LoadReport> {
+pub fn parse_load_report(text: &[u8]) -> Option<LoadReport> {
     let mut report = LoadReport::default();
     for pair in std::str::from_utf8(text).ok()?.split(',') {
-        let Some((name, figure)) = pair.split_once('=') else { continue };
-        let figure = figure.parse().ok().filter(|x: &f64| x.is_finite() && *x >= 0.0);
+        let Some((name, value)) = pair.split_once('=') else { continue };
+        let value = value.parse().ok().filter(|x: &f64| x.is_finite() && *x >= 0.0);
         match name {
-            "outstanding" | "inflight" => report.in_flight = figure,
-            "utilization" | "util" => report.cpu_utilization = figure,
-            "throughput" | "qps" => report.requests_per_second = figure,
+            "outstanding" | "inflight" => report.in_flight = value,
+            "utilization" | "util" => report.cpu_utilization = value,
+            "throughput" | "qps" => report.requests_per_second = value,
             _ => {}
         }
     }
--- a/src/bin/frostvale/workers/tests.rs
+++ b/src/bin/frostvale/workers/tests.rs
@@ -4,13 +4,13 @@
 /// The settings name the columns in full, and answers use these names: read by the short ones alone, no report of a
 /// server was ever heard.
 #[test]
-fn a_report_is_read_by_either_form_of_its_names() {
-    let told =
+fn load_report_accepts_long_and_short_column_names() {
+    let expected =
         LoadReport { in_flight: Some(7.0), cpu_utilization: Some(0.45), requests_per_second: Some(2.5) };
-    assert_eq!(report(b"outstanding=7,utilization=0.45,throughput=2.5"), Some(told));
-    assert_eq!(report(b"inflight=7,util=0.45,qps=2.5"), Some(told));
-    let spoilt = report(b"utilization=NaN,throughput=-1,outstanding=9e999,x,=,utilization");
-    assert_eq!(spoilt, None, "what can't be read is no report");
+    assert_eq!(parse_load_report(b"outstanding=7,utilization=0.45,throughput=2.5"), Some(expected));
+    assert_eq!(parse_load_report(b"inflight=7,util=0.45,qps=2.5"), Some(expected));
+    let malformed = parse_load_report(b"utilization=NaN,throughput=-1,outstanding=9e999,x,=,utilization");
+    assert_eq!(malformed, None, "a report without a readable value");
 }
 
 fn state(port: u16, health: Health, boot_ms: u32) -> EndpointState {
@@ -27,7 +27,7 @@
         if whole {
             self.0.retain(|name, _| lines.iter().any(|(named, _)| named == name));
         }
-        let mut moved_in = Vec::new();
+        let mut newly_placed = Vec::new();
         for (name, line) in lines {
             let before = self.0.get(name).copied();
             if line.health == Health::Gone {
@@ -37,14 +37,14 @@
             let boot_ms = before.map_or(line.boot_ms, |known| known.boot_ms.max(line.boot_ms));
             self.0.insert(name.clone(), EndpointState { boot_ms, ..*line });
             if line.health == Health::Up && before.is_none_or(|known| known.address != line.address) {
-                moved_in.push(name.clone());
+                newly_placed.push(name.clone());
             }
         }
-        for name in moved_in.iter().rev() {
+        for name in newly_placed.iter().rev() {
             let Some(owner) = self.0.get(name).copied().filter(|s| s.health == Health::Up) else { continue };
-            let stays =
+            let is_kept =
                 |other: &EndpointState| other.address != owner.address || other.boot_ms > owner.boot_ms;
-            self.0.retain(|other, state| other == name || stays(state));
+            self.0.retain(|other, state| other == name || is_kept(state));
         }
     }
 }
@@ -52,7 +52,7 @@
 proptest! {
     /// Only lines that differ are applied, by index; all of them, by a look at each, come to the same.
     #[test]
-    fn lists_applied_by_their_differences_leave_what_whole_ones_would(
+    fn applying_only_changed_lines_matches_applying_all_lines(
         updates in prop::collection::vec(
             (any::<bool>(), prop::collection::vec((0u8..12, 1u16..9, 0u8..8, 0u32..3), 0..12)),
             1..20,
@@ -72,16 +72,16 @@
             let mut seen = HashSet::new();
             let changes: Vec<EndpointChange> = lines
                 .iter()
-                .filter(|(name, state)| !seen.insert(name) || workers.differs(name, state))
+                .filter(|(name, state)| !seen.insert(name) || workers.would_change(name, state))
                 .map(|(name, state)| EndpointChange { name: name.as_str().into(), state: *state })
                 .collect();
             workers.apply(&changes, &absent);
             model.apply(whole, &lines);
             let known: BTreeMap<String, EndpointState> =
-                workers.all.iter().map(|(name, worker)| (name.to_string(), worker.state)).collect();
+                workers.by_name.iter().map(|(name, worker)| (name.to_string(), worker.state)).collect();
             prop_assert_eq!(&known, &model.0);
-            let placed: usize = workers.by_address.values().map(Vec::len).sum();
-            prop_assert_eq!(placed, known.len());
+            let address_entries: usize = workers.by_address.values().map(Vec::len).sum();
+            prop_assert_eq!(address_entries, known.len());
             for (name, state) in &known {
                 prop_assert!(workers.by_address[&state.address].iter().any(|at| **at == **name));
             }
