--- a/src/bin/frostvale/endpoint_update.rs
+++ b/src/bin/frostvale/endpoint_update.rs
@@ -1,8 +1,9 @@
-//! Endpoint updates in discovery's form: the list of all servers, or what changed in it.
+//! Endpoint updates in discovery's format: a full list of the servers, or the changes to it.
 //!
-//! An update is read in two stages, so that a long one does not hold up the event loop: [`Outline::read`] finds the lines in
-//! one pass over the text, and [`EndpointLine::read`] decodes one line at a time, straight into types. Both are linear in the
-//! length of their text. A line that can't be read is passed over and costs no other line.
+//! An update is read in two stages, so that a long one does not block the event loop: [`Outline::read`] finds
+//! the lines in one pass over the text, and [`EndpointLine::read`] decodes one line at a time. Both are
+//! linear in the length of their text. A line that cannot be decoded is skipped and does not affect the
+//! others.
 
 use frostvale::{Health, RawSettings};
 use serde::de::{Deserialize, Deserializer, IgnoredAny, MapAccess, SeqAccess, Visitor};
@@ -11,10 +12,10 @@
 use std::fmt;
 use std::net::SocketAddr;
 
-/// Why an update as a whole is refused; the list in effect stays.
+/// Why a whole update is rejected; the list in effect stays.
 #[derive(Debug)]
 pub enum UpdateError {
-    /// It is no JSON, or has no version or no lines.
+    /// It is not JSON, or has no version or no list of lines.
     Malformed(serde_json::Error),
 }
 
@@ -28,15 +29,15 @@
 
 impl std::error::Error for UpdateError {}
 
-/// An update with its lines found and none of them decoded.
+/// An update whose lines have been found but not decoded.
 #[derive(serde::Deserialize)]
 pub struct Outline<'a> {
-    /// The version that is in effect once it is applied.
+    /// The version of the list that results from applying it.
     #[serde(rename = "rev")]
     pub version: u64,
     #[serde(default)]
     all: Option<bool>,
-    /// Its lines, as they stand in the text.
+    /// Its lines, as JSON text.
     #[serde(borrow, rename = "targets")]
     pub lines: Vec<&'a RawValue>,
 }
@@ -45,47 +46,47 @@
     /// Finds the lines of an update.
     ///
     /// # Errors
-    /// When the text is no update.
+    /// When the text is not a valid update.
     pub fn read(text: &[u8]) -> Result<Outline<'_>, UpdateError> {
         serde_json::from_slice(text).map_err(UpdateError::Malformed)
     }
 
-    /// Whether it names all servers there are: one that it does not name is gone.
+    /// Whether it lists all servers, so that a server it does not name is gone.
     pub fn is_full(&self) -> bool {
         self.all.unwrap_or(false)
     }
 }
 
-/// What discovery says of one server, but its name.
+/// State of one server according to discovery.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EndpointState {
-    /// Where it listens.
+    /// The address on which it listens.
     pub address: SocketAddr,
-    /// Its zone's number in the settings.
+    /// Index of its zone in the settings' `Areas`, or their number if the zone is not listed there.
     pub zone: u32,
-    /// Its machine type's number in the settings.
+    /// Index of its machine type in the settings' `Kinds`, or their number if it is not listed there.
     pub kind: u32,
-    /// Its cell.
+    /// Number of its cell (`pod_group`).
     pub cell: u32,
-    /// Whether it takes requests.
+    /// Whether it accepts requests.
     pub health: Health,
-    /// Its registered size.
+    /// Its registered size (`capacity_hint`); 1 if that is missing.
     pub size: f64,
-    /// When it last started, in ms of Unix time; 0 for long ago.
+    /// When it last started, in ms of Unix time; 0 if unknown, which counts as long ago.
     pub boot_ms: f64,
 }
 
-/// One line of an update.
+/// One decoded line of an update.
 #[derive(Debug)]
 pub struct EndpointLine<'a> {
     /// The server's name.
     pub uid: Cow<'a, str>,
-    /// What the line says of it.
+    /// The state that the line gives it.
     pub state: EndpointState,
 }
 
 impl<'a> EndpointLine<'a> {
-    /// Decodes a line; none where it can't be read.
+    /// Decodes a line; returns `None` if a required field is missing or invalid.
     pub fn read(line: &'a RawValue, conf: &RawSettings) -> Option<EndpointLine<'a>> {
         let fields: Fields = serde_json::from_str(line.get()).ok()?;
         let index_of = |names: &[String], name: Option<Cow<str>>| {
@@ -112,7 +113,7 @@
     }
 }
 
-/// The fields of a line, whatever stands in them.
+/// The fields of a line, with values of any type.
 #[derive(Default)]
 struct Fields<'a> {
     uid: Scalar<'a>,
@@ -160,7 +161,7 @@
     }
 }
 
-/// A value of a field. What is neither text nor number is as if it were not there.
+/// Value of a field. Values that are neither text nor number count as missing.
 #[derive(Default)]
 enum Scalar<'a> {
     Text(Cow<'a, str>),
@@ -179,7 +180,7 @@
         if let Scalar::Unsigned(number) = self { Some(*number) } else { None }
     }
 
-    /// A finite number that is not negative.
+    /// The value, if it is a finite number that is not negative.
     fn non_negative(&self) -> Option<f64> {
         let number = match self {
             Scalar::Unsigned(number) => *number as f64,
--- a/src/bin/frostvale/gatekeeper.rs
+++ b/src/bin/frostvale/gatekeeper.rs
@@ -1,5 +1,8 @@
-//! The host of the module: events go in, its actions are carried out. Owns the requests in hand, their
-//! attempts and one queue of timers for all of them. It decides nothing: `frostvale::Control` does.
+//! The event loop's shared state: passes events to `frostvale::Control` and carries out the actions it
+//! returns.
+//!
+//! Owns the requests in flight, their attempts, the connections to workers and one timer queue. All decisions
+//! about requests are made by `frostvale::Control`. Scheduling a timer costs O(log t) with t timers queued.
 
 mod endpoints;
 mod in_flight;
@@ -34,10 +37,10 @@
 use tokio::sync::{Mutex, Notify};
 use tokio::time::{sleep_until, timeout};
 
-/// The one owner of all state; every task borrows it for the length of one call.
+/// Shared handle to the gatekeeper. Each task borrows it only for the duration of one call.
 pub type Shared = Rc<RefCell<Gatekeeper>>;
 
-/// What answers and ends of connections to workers call back.
+/// Passes replies and closed connections of workers to the gatekeeper, unless that has been dropped.
 struct GatekeeperReplyHandler(Weak<RefCell<Gatekeeper>>);
 
 impl ReplyHandler for GatekeeperReplyHandler {
@@ -54,79 +57,102 @@
     }
 }
 
-/// A client's time runs from when it sent: the answer's way back, and ours through a busy core, need some.
+/// Time reserved out of the client's wait, which starts when the client sends: the answer's way back and the
+/// delay on a busy core use it up.
 const RETURN_MARGIN_MS: f64 = 6.0;
-/// A request without an answer this long after the module's own limit is failed: no client goes without.
+/// A request that `Control` has not answered this long after its deadline is failed, so that every client
+/// gets an answer.
 const ANSWER_GRACE_MS: f64 = 3.0;
-/// Pooled connections are closed after this part of the time at which workers close them.
+/// Idle connections are closed after this share of the idle time after which workers close them.
 const IDLE_TIMEOUT_SHARE: f64 = 0.5;
-/// A connection rests this long after an answer: what an answer brings too much may come a moment later, and
-/// must not be taken for the next one.
+/// Minimum time between a reply and the reuse of its connection. Surplus bytes of a reply may arrive a moment
+/// later and must not be taken for the next reply.
 const MIN_IDLE_MS: f64 = 5.0;
-/// A connection that is not up after this part of the time that is left is given up, so that time for
-/// another worker remains.
+/// Share of an attempt's remaining time that may be spent on connecting, so that time for another worker
+/// remains.
 const CONNECT_TIME_SHARE: f64 = 0.25;
+/// Lower bound of the share computed from [`CONNECT_TIME_SHARE`].
 const MIN_CONNECT_TIMEOUT_MS: f64 = 50.0;
-/// Timers that are void may stand in the queue up to this many, or as many as mean something.
+/// The timer queue is first compacted at this length. After that it is compacted when it reaches twice the
+/// number of timers that were still pending, but not below this length.
 const MIN_TIMER_COMPACTION_LEN: usize = 1024;
 
+/// What happens when a timer expires.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 enum TimerKind {
+    /// A timer that `Control` has set, with its token.
     Control(u64),
+    /// An attempt, by request id and attempt number, has reached its deadline.
     AttemptDeadline(u64, u32),
+    /// A request has had no final answer by [`ANSWER_GRACE_MS`] after its deadline.
     AnswerDeadline(u64),
+    /// A call to the outside rate limit service, by its number, has timed out.
     OutsideCall(u64),
+    /// A request held at startup has waited for its maximum time.
     StartupHold(u64),
+    /// [`Gatekeeper::run_maintenance`] is due.
     Maintenance,
 }
 
+/// State of the gatekeeper process: the decision module and everything that it acts on.
 pub struct Gatekeeper {
     weak_self: Weak<RefCell<Gatekeeper>>,
     control: Control,
     clock: Clock,
+    /// The settings file as read.
     pub conf: RawSettings,
+    /// The checked settings that `Control` uses.
     pub settings: Settings,
     requests: HashMap<u64, InFlight>,
     last_id: u64,
+    /// Total size of the commands of `requests`.
     held_bytes: usize,
     max_held_bytes: usize,
-    /// The clients' ids of the requests in hand.
+    /// The ids that clients gave to the requests in flight.
     open_client_ids: HashSet<u64>,
     workers: Workers,
-    /// What waits for the first list; none once that is there.
+    /// Requests and answers held until the gatekeeper serves; `None` from then on.
     startup_queue: Option<starting::StartupQueue>,
-    /// Endpoint updates are applied one at a time.
+    /// Serializes endpoint updates.
     update_lock: Rc<Mutex<()>>,
     last_list: LastList,
     reply_handler: Rc<dyn ReplyHandler>,
-    /// Checks that wait for their verdict, with their askers' tags.
+    /// Checks without a decision yet, by id, with the tag and the client to answer.
     checks: HashMap<u64, (u64, Rc<dyn CheckClient>)>,
     agents: Option<Rc<dyn AgentLinks>>,
     outside: Option<OutsidePolicy>,
     usage: Option<Usage>,
     peers: Option<Peers>,
+    /// Events that wait until the one being dispatched is done.
     events: VecDeque<Event>,
     is_dispatching: bool,
-    /// What is due when, in microseconds of the clock.
+    /// Timers by expiry time, in microseconds of the clock.
     timers: BinaryHeap<Reverse<(u64, TimerKind)>>,
     timer_compaction_len: usize,
+    /// Notified when a timer is set that expires before `next_wakeup_us`.
     timers_changed: Rc<Notify>,
+    /// When the timer task wakes up next; `u64::MAX` when no timer is pending.
     next_wakeup_us: u64,
-    /// Told when discovery has given its first list.
+    /// Notified when an endpoint list is in effect.
     pub first_list: Rc<Notify>,
+    /// Reused for serializing commands.
     write_buffer: Vec<u8>,
-    /// How many answers could not be read since the last line on it in the log, and the last of them.
+    /// Number of unreadable replies since they were last logged, and a description of the latest one.
     unreadable_replies: Option<(u32, String)>,
-    /// Words of notes to all that meant nothing here, as of the last sweep.
+    /// Value of `Control::gossip_entries_dropped` that was last logged.
     logged_gossip_drops: u64,
-    /// Counts of what is rare, for the log.
+    /// Counts of rare events, for the log.
     pub metrics: Metrics,
 }
 
 impl Gatekeeper {
+    /// Creates the gatekeeper. `connections` is the maximum number of connections to workers.
+    ///
+    /// # Errors
+    /// When the settings are invalid.
     pub fn new(config: Config, peers: Option<Peers>, connections: usize) -> Result<Shared, SettingsError> {
         let control = Control::new(config.settings.clone(), config.seed)?;
-        let memory = config.memory_part();
+        let memory_bytes = config.memory_part();
         let gatekeeper = Rc::new_cyclic(|weak_self| {
             RefCell::new(Gatekeeper {
                 weak_self: weak_self.clone(),
@@ -137,9 +163,9 @@
                 requests: HashMap::new(),
                 last_id: 0,
                 held_bytes: 0,
-                max_held_bytes: memory,
+                max_held_bytes: memory_bytes,
                 open_client_ids: HashSet::new(),
-                workers: Workers::new(connections, memory),
+                workers: Workers::new(connections, memory_bytes),
                 startup_queue: Some(starting::StartupQueue::default()),
                 update_lock: Rc::default(),
                 last_list: LastList::default(),
@@ -166,41 +192,44 @@
         Ok(gatekeeper)
     }
 
+    /// The current time in ms of Unix time; see [`Clock`].
     pub fn now(&self) -> f64 {
         self.clock.now()
     }
 
-    /// Whether nobody is owed an answer.
+    /// Whether no client waits for an answer.
     pub fn is_settled(&self) -> bool {
         self.requests.values().all(|r| r.client.is_none())
     }
 
-    // ---- what happens outside ----
+    // ---- requests and peer messages ----
 
-    /// A note from another gatekeeper.
+    /// Passes on a message from another gatekeeper. `from` is the sender's number.
     pub fn receive_peer_message(&mut self, from: u32, text: &str) {
         self.dispatch(Event::PeerMessage { from, text: text.into() });
     }
 
-    /// A number for a request, never used twice. The wire's ids are the clients': they may come again.
+    /// Returns a new request id. Unlike the ids on the wire, which clients choose and may repeat, it is never
+    /// reused.
     pub fn next_id(&mut self) -> u64 {
         self.last_id += 1;
         self.last_id
     }
 
-    /// Whether a request with this id of the client's is in hand, or an attempt of it is still out: a second
-    /// one would reach a worker as a copy of the first.
+    /// Whether a request with this client-chosen id is in flight or still has an attempt outstanding. A
+    /// worker would take a second one for a duplicate of the first.
     pub fn is_open(&self, client_id: u64) -> bool {
         self.open_client_ids.contains(&client_id)
     }
 
-    /// Whether one more request of this size can be held. Past it requests are turned away unseen, as the
-    /// settings' most open requests demand and the memory does.
+    /// Whether one more request of this size can be held. Requests beyond the settings' `max_open` or the
+    /// memory limit are rejected without being processed.
     pub fn has_room(&self, bytes: usize) -> bool {
         self.requests.len() < self.conf.bounds.max_open && self.held_bytes + bytes <= self.max_held_bytes
     }
 
-    /// A request came in whole.
+    /// Accepts a completely received request and starts processing it, or holds it until the gatekeeper
+    /// serves.
     pub fn handle_request(&mut self, id: u64, client_request: ClientRequest, client: Rc<dyn ResponseSink>) {
         let deadline = self.now() + client_request.wait_ms - RETURN_MARGIN_MS;
         let request = Request {
@@ -229,7 +258,7 @@
                 client_deadline: deadline + RETURN_MARGIN_MS,
                 attempts: 0,
                 attempt: None,
-                is_delivered: false,
+                is_sent: false,
             },
         );
         self.schedule(deadline + ANSWER_GRACE_MS, TimerKind::AnswerDeadline(id));
@@ -240,7 +269,7 @@
         }
     }
 
-    /// A request goes on to the module, or an outside service is asked first.
+    /// Passes a request to `Control`, after asking the outside rate limit service if its plan requires that.
     fn begin_request(&mut self, request: Request) {
         if self.outside.as_ref().is_some_and(|o| o.consults_plan(request.plan)) {
             return self.consult_outside(request);
@@ -250,7 +279,8 @@
 
     // ---- checks ----
 
-    /// Somebody asks for units. `request` is as the asker wrote it; its id and limit are set here.
+    /// Starts a check of whether a customer may use units and returns its id. The id and the deadline of
+    /// `request` are set here. `client` receives the decision together with `tag`.
     pub fn check(&mut self, request: Request, timeout_ms: f64, tag: u64, client: Rc<dyn CheckClient>) -> u64 {
         let id = self.next_id();
         let deadline = self.now() + timeout_ms;
@@ -259,7 +289,7 @@
         id
     }
 
-    /// Nobody waits for these checks any more. What they were granted stays charged.
+    /// Cancels checks whose client no longer waits. Units already granted to them stay charged.
     pub fn cancel_checks(&mut self, checks: impl IntoIterator<Item = u64>) {
         for id in checks {
             if self.checks.remove(&id).is_some() {
@@ -268,7 +298,7 @@
         }
     }
 
-    /// A client went away with this request open. Nothing more goes out for it.
+    /// Handles the disconnect of the client of an open request: nothing more is sent to workers for it.
     pub fn client_disconnected(&mut self, id: u64) {
         let Some(r) = self.requests.get_mut(&id) else { return };
         if r.client.take().is_none() {
@@ -280,7 +310,7 @@
         let unsent = r.attempt.as_ref().filter(|a| a.is_unsent()).map(|a| a.conn.clone());
         self.dispatch(Event::ClientDisconnected { id });
         if let Some(conn) = unsent {
-            // Of a command that is half written the rest would still go out.
+            // Otherwise the rest of a half-written command would still be sent.
             if let Some(conn) = conn {
                 conn.current_request.set(None);
                 conn.abort();
@@ -290,15 +320,16 @@
         self.remove_if_finished(id);
     }
 
-    /// A worker answered on a connection. `clean`: with nothing behind it.
+    /// Handles a worker's reply. `clean` is false if further bytes followed it.
     fn handle_reply(&mut self, conn: &Rc<Conn>, reply: Reply, bytes: &[u8], clean: bool) {
         let Some(id) = conn.current_request.take() else { return };
-        let line = match &reply {
+        let error = match &reply {
             Reply::Served { .. } => None,
             Reply::Error(line) => Some(workers::parse_error_line(&bytes[line.clone()])),
         };
-        // Any other line is noise, and so may be what comes after it.
-        let known = !matches!(line, Some(ErrorReply::Other));
+        // After an unknown error line the bytes that follow cannot be trusted either, so the connection is
+        // closed.
+        let known = !matches!(error, Some(ErrorReply::Other));
         if clean && known && conn.is_written.get() {
             self.workers.release(conn, self.clock.now());
         } else {
@@ -317,7 +348,7 @@
                     report.and_then(|at| workers::parse_load_report(&bytes[at])),
                 );
             }
-            Reply::Error(_) => match line {
+            Reply::Error(_) => match error {
                 Some(ErrorReply::Busy(report)) => self.finish_attempt(id, AttemptOutcome::Full, report),
                 Some(ErrorReply::Failed(report)) => self.finish_attempt(id, AttemptOutcome::Error, report),
                 _ => self.finish_attempt(id, AttemptOutcome::Error, None),
@@ -325,11 +356,12 @@
         }
     }
 
-    /// A connection to a worker has ended, perhaps over bytes that are no answer.
+    /// Handles a closed connection to a worker. `read_error` describes the bytes that could not be read, if
+    /// any.
     fn handle_connection_closed(&mut self, conn: &Rc<Conn>, read_error: Option<&'static str>) {
         self.workers.remove_connection(conn);
         if let Some(what) = read_error {
-            // A line for each would be a flood of its own.
+            // Counted here and logged in total, so that a faulty worker cannot flood the log.
             let (count, last) = self.unreadable_replies.get_or_insert((0, String::new()));
             *count += 1;
             *last = format!("{}: {what}", conn.worker);
@@ -339,11 +371,12 @@
         }
     }
 
-    // ---- the module ----
+    // ---- the decision module ----
 
+    /// Passes an event to `Control` and executes the resulting actions, in order.
     fn dispatch(&mut self, event: Event) {
         self.events.push_back(event);
-        // An action that ends at once brings an event of its own, which waits for its turn here.
+        // An action that completes at once causes an event of its own, which the loop below picks up.
         if std::mem::replace(&mut self.is_dispatching, true) {
             return;
         }
@@ -356,6 +389,7 @@
         self.is_dispatching = false;
     }
 
+    /// Carries out an action of `Control`.
     fn execute(&mut self, action: Action, now: f64) {
         match action {
             Action::Send { id, server, deadline, start_deadline } => {
@@ -372,8 +406,8 @@
             }
             Action::Fail { id } => self.answer(id, b"-ERR failed\r\n"),
             Action::Cancel { id, attempt } => {
-                let out = self.requests.get(&id).and_then(|r| r.attempt.as_ref());
-                if out.is_some_and(|a| a.number == attempt) {
+                let outstanding = self.requests.get(&id).and_then(|r| r.attempt.as_ref());
+                if outstanding.is_some_and(|a| a.number == attempt) {
                     self.abort_attempt(id, AttemptOutcome::Cancelled);
                 }
             }
@@ -389,12 +423,13 @@
             }
             Action::SetTimer { token, after } => self.schedule(now + after, TimerKind::Control(token)),
             Action::Log { text } => tracing::info!("{text}"),
-            // Workers are not probed.
+            // This gatekeeper does not probe workers.
             Action::Probe { .. } => {}
         }
     }
 
-    /// The final answer that trying again is harmless, and when to, in ms.
+    /// Sends the final answer that the request was not processed and may be retried, with the retry delay in
+    /// ms if that is at least 1.
     fn refuse(&mut self, id: u64, retry_after_ms: f64) {
         self.count_usage(id, UsageKind::Refused);
         let mut line = b"-BUSY".to_vec();
@@ -406,7 +441,7 @@
         self.answer(id, &line);
     }
 
-    /// Gives a final answer that no worker made.
+    /// Sends a final answer that does not come from a worker.
     fn answer(&mut self, id: u64, line: &[u8]) {
         if let Some(client) = self.requests.get_mut(&id).and_then(|r| r.client.take()) {
             client.answer(id, line);
@@ -415,7 +450,7 @@
         self.remove_if_finished(id);
     }
 
-    /// Forgets a request that nobody waits for and that has nothing out.
+    /// Removes a request that has neither a waiting client nor an outstanding attempt.
     fn remove_if_finished(&mut self, id: u64) {
         if self.requests.get(&id).is_some_and(|r| r.client.is_none() && r.attempt.is_none())
             && let Some(r) = self.requests.remove(&id)
@@ -427,6 +462,7 @@
 
     // ---- attempts ----
 
+    /// Starts an attempt at a worker, on an idle connection or a new one.
     fn start_attempt(&mut self, id: u64, server: Name, (deadline, start_deadline): (f64, f64), now: f64) {
         let Some(r) = self.requests.get_mut(&id) else { return };
         let number = r.attempts;
@@ -442,12 +478,14 @@
         if deadline <= now || r.client.is_none() {
             return self.finish_attempt(id, AttemptOutcome::Moot, None);
         }
-        // What ended the attempt before, or the wait, may have come in one turn with the client's end.
+        // The client's disconnect may arrive in the same event loop turn as the event that led to this
+        // attempt, and not have been handled yet.
         if r.client.as_ref().is_some_and(|client| client.is_disconnected()) {
             return self.client_disconnected(id);
         }
         self.schedule(deadline, TimerKind::AttemptDeadline(id, number));
-        // A connection that breaks before anything is written has cost nothing: the next one is as good.
+        // A connection that breaks before anything is written does not harm the attempt: the next one can be
+        // tried.
         while let Some(conn) = self.workers.take_idle(&server, now - MIN_IDLE_MS) {
             if self.write_command(id, &conn) {
                 return;
@@ -473,12 +511,14 @@
             .max(0.0);
         let timeout_limit = Duration::from_secs_f64(timeout_limit / 1000.0);
         tokio::task::spawn_local(async move {
-            // A machine that has vanished never answers: the settings say how long to try.
+            // A machine that is gone never answers a connect: the timeout comes from the settings.
             let stream = timeout(timeout_limit, TcpStream::connect(address)).await.ok().and_then(Result::ok);
             gatekeeper.borrow_mut().connect_finished(id, number, server, incarnation, permit, stream);
         });
     }
 
+    /// Sends the command on a new connection, or ends the attempt if there is none. A connection that is no
+    /// longer needed goes to the idle connections.
     fn connect_finished(
         &mut self,
         id: u64,
@@ -496,7 +536,7 @@
         if let Some(conn) = &conn {
             conn.spawn_reader(self.reply_handler.clone());
         }
-        // The worker may have begun to drain, or have restarted, while this took its time: `begin` looks.
+        // The worker may have begun to drain or restarted meanwhile: `write_command` checks that.
         let is_started = match conn {
             Some(conn) if is_connecting && is_in_time => self.write_command(id, &conn),
             Some(conn) => {
@@ -510,14 +550,16 @@
         }
     }
 
-    /// Whether something new may go out on a connection.
+    /// Whether a new command may be sent on a connection: its worker accepts requests and has not restarted
+    /// since.
     fn is_usable(&self, conn: &Conn) -> bool {
         self.workers
             .get(&conn.worker)
             .is_some_and(|w| w.serving_address().is_some() && w.incarnation == conn.incarnation)
     }
 
-    /// Writes the command. False if the connection broke before a byte was taken.
+    /// Writes the command to a connection. Returns false if the connection cannot be used or broke before a
+    /// byte was written.
     fn write_command(&mut self, id: u64, conn: &Rc<Conn>) -> bool {
         let now = self.clock.now();
         let usable = self.is_usable(conn);
@@ -547,33 +589,34 @@
         {
             let (conn, rest) = (conn.clone(), bytes[sent..].to_vec());
             tokio::task::spawn_local(async move {
-                let whole = conn.write_rest(&rest).await.is_ok();
+                let is_complete = conn.write_rest(&rest).await.is_ok();
                 if conn.current_request.get() == Some(id) {
-                    conn.is_written.set(whole);
-                    if whole {
-                        gatekeeper.borrow_mut().command_delivered(id);
+                    conn.is_written.set(is_complete);
+                    if is_complete {
+                        gatekeeper.borrow_mut().command_sent(id);
                     } else {
                         gatekeeper.borrow_mut().abort_attempt(id, AttemptOutcome::Unreachable);
                     }
                 }
             });
         }
-        let whole = sent == bytes.len();
+        let is_complete = sent == bytes.len();
         self.write_buffer = bytes;
-        if whole {
-            self.command_delivered(id);
+        if is_complete {
+            self.command_sent(id);
         }
         true
     }
 
-    /// Closes the attempt's connection, so that nothing late can be taken for another answer, and ends it.
+    /// Closes the attempt's connection, so that no late reply can be taken for another one, and ends the
+    /// attempt.
     fn abort_attempt(&mut self, id: u64, outcome: AttemptOutcome) {
         let attempt = self.requests.get(&id).and_then(|r| r.attempt.as_ref());
         let Some(conn) = attempt.map(|a| a.conn.clone()) else { return };
         let Some(conn) = conn else { return self.finish_attempt(id, AttemptOutcome::Unreachable, None) };
         conn.current_request.set(None);
         conn.abort();
-        // With its last byte unwritten the worker can't have begun.
+        // A worker cannot have started on a command whose last byte was not written.
         self.finish_attempt(
             id,
             if conn.is_written.get() { outcome } else { AttemptOutcome::Unreachable },
@@ -581,7 +624,7 @@
         );
     }
 
-    /// The attempt has ended; the module hears of it.
+    /// Ends the outstanding attempt and reports its result to `Control`.
     fn finish_attempt(&mut self, id: u64, outcome: AttemptOutcome, load_report: Option<LoadReport>) {
         let now = self.clock.now();
         let Some(r) = self.requests.get_mut(&id) else { return };
@@ -602,8 +645,9 @@
         self.remove_if_finished(id);
     }
 
-    // ---- time ----
+    // ---- timers ----
 
+    /// Sets a timer for a time in ms of the clock.
     fn schedule(&mut self, at_ms: f64, kind: TimerKind) {
         if self.timers.len() >= self.timer_compaction_len {
             let mut timers = std::mem::take(&mut self.timers);
@@ -618,6 +662,8 @@
         }
     }
 
+    /// Closes connections that have been idle for too long, logs what has been counted, and schedules itself
+    /// again.
     fn run_maintenance(&mut self) {
         let idle = self.conf.bounds.conn_idle * IDLE_TIMEOUT_SHARE;
         let now = self.now();
@@ -636,13 +682,13 @@
         self.schedule(now + (idle / 8.0).clamp(50.0, 2000.0), TimerKind::Maintenance);
     }
 
-    /// Whether something due still means anything.
+    /// Whether a timer still has an effect when it expires.
     fn is_timer_pending(&self, kind: &TimerKind) -> bool {
         match kind {
             TimerKind::Control(_) | TimerKind::Maintenance => true,
             TimerKind::AttemptDeadline(id, number) => {
-                let out = self.requests.get(id).and_then(|r| r.attempt.as_ref());
-                out.is_some_and(|a| a.number == *number)
+                let attempt = self.requests.get(id).and_then(|r| r.attempt.as_ref());
+                attempt.is_some_and(|a| a.number == *number)
             }
             TimerKind::AnswerDeadline(id) => self.requests.get(id).is_some_and(|r| r.client.is_some()),
             TimerKind::OutsideCall(call) => self.outside.as_ref().is_some_and(|o| o.is_pending(*call)),
@@ -652,7 +698,7 @@
         }
     }
 
-    /// Does what is due, and gives the time of what comes next.
+    /// Runs all expired timers and returns the time of the next pending one.
     fn run_due_timers(&mut self) -> Option<Instant> {
         loop {
             let now_us = (self.now() * 1000.0) as u64;
@@ -661,7 +707,8 @@
                     self.next_wakeup_us = u64::MAX;
                     return None;
                 }
-                // Most requests are settled long before their limits: what is void by now must not wake us.
+                // Most requests finish long before their deadlines: timers that have lost their effect must
+                // not cause a wakeup.
                 Some(Reverse((at_us, kind))) if *at_us > now_us && self.is_timer_pending(kind) => {
                     self.next_wakeup_us = *at_us;
                     return Some(self.clock.instant(*at_us as f64 / 1000.0));
@@ -694,7 +741,7 @@
         }
     }
 
-    /// The task that wakes for all timers.
+    /// Task that runs the timers as they expire; it never returns.
     pub async fn keep_time(gatekeeper: Shared) {
         let timers_changed = gatekeeper.borrow().timers_changed.clone();
         loop {
--- a/src/bin/frostvale/gatekeeper/endpoints.rs
+++ b/src/bin/frostvale/gatekeeper/endpoints.rs
@@ -1,8 +1,9 @@
 //! Endpoint updates, applied in bounded steps.
 //!
-//! Lines are decoded and compared with what is known [`STEP_LINES`] at a time; between two steps the event loop does what
-//! else is due. Only what differs is kept, and takes effect in one go: decisions see one whole version. An update of n
-//! lines of which k differ costs O(n) to read and O(k) to apply.
+//! Lines are decoded and compared with the known state [`STEP_LINES`] at a time; between two steps the event
+//! loop runs other tasks. Only changed lines are kept, and they take effect all at once, so that decisions
+//! always see one complete version. An update of n lines of which k are changes costs O(n) to read and O(k)
+//! to apply.
 
 use super::last_list::Digest;
 use super::{Gatekeeper, Shared};
@@ -17,11 +18,12 @@
 use std::time::{Duration, Instant};
 use tokio::task::yield_now;
 
-/// Lines that are decoded in one step.
+/// Number of lines decoded in one step.
 const STEP_LINES: usize = 128;
 
-/// An update of which nothing is in effect yet.
+/// An update that is being compared with the known state; nothing of it is in effect yet.
 struct PendingUpdate<'a> {
+    /// Whether it lists all servers, so that those it does not name are removed.
     whole: bool,
     lines: Iter<'a, &'a RawValue>,
     named: HashSet<Cow<'a, str>>,
@@ -40,7 +42,7 @@
         }
     }
 
-    /// Compares the next lines with what is known. False once there are none left.
+    /// Compares the next lines with the known state. Returns false once no lines are left.
     fn compare_step(&mut self, gatekeeper: &Gatekeeper) -> bool {
         let Some(first) = self.lines.next() else { return false };
         let step: Vec<&'a RawValue> =
@@ -51,7 +53,7 @@
                 continue;
             };
             let differs = gatekeeper.workers.would_change(&uid, &state);
-            // Of a server that is named twice the last line holds, also where it says what was known before.
+            // If a server is listed twice its last line applies, even if that one equals the known state.
             if differs || self.named.contains(&uid) {
                 self.changes.push(EndpointChange { name: uid.as_ref().into(), state });
             }
@@ -61,14 +63,15 @@
     }
 }
 
-/// Reads and applies an update, and gives its version. Updates take turns: each is compared with what the one before it left.
-/// Dropped half-way it changes nothing.
+/// Reads and applies an update and returns its version. Updates are applied one after another, since each is
+/// compared with the result of the one before. If the future is dropped before it completes, nothing has
+/// changed.
 ///
 /// # Errors
-/// When the text is no update; nothing has changed then.
+/// When the text is not a valid update; nothing has changed then.
 pub async fn apply_update(gatekeeper: &Shared, text: &[u8]) -> Result<u64, UpdateError> {
     let update_lock = gatekeeper.borrow().update_lock.clone();
-    let _turn = update_lock.lock().await;
+    let _guard = update_lock.lock().await;
     let digester = gatekeeper.borrow().last_list.digester();
     let digest = digester.digest(text).await;
     if let Some(version) = gatekeeper.borrow_mut().version_if_unchanged(digest) {
@@ -94,10 +97,11 @@
     Ok(outline.version)
 }
 
-/// The same in one step, before anybody is served.
+/// Reads and applies an update in a single step. Only for startup, before requests are served: it blocks the
+/// event loop.
 ///
 /// # Errors
-/// When the text is no update; nothing has changed then.
+/// When the text is not a valid update; nothing has changed then.
 pub fn apply_known(gatekeeper: &Shared, text: &[u8]) -> Result<(), UpdateError> {
     let outline = read_outline(gatekeeper, text)?;
     let mut update = PendingUpdate::new(&outline);
@@ -115,16 +119,18 @@
 }
 
 impl Gatekeeper {
-    /// The version of a list that is in effect already, which nothing is to be done for.
+    /// Returns the version of the list with this digest if it is already in effect, so that nothing needs to
+    /// be done.
     fn version_if_unchanged(&mut self, digest: Option<Digest>) -> Option<u64> {
         let version = self.last_list.version_of(digest)?;
-        tracing::debug!(version, "this whole endpoint list is in effect already");
+        tracing::debug!(version, "skipped endpoint list: identical to the one in effect");
         self.metrics.list_unchanged();
         self.first_list.notify_one();
         Some(version)
     }
 
-    /// Remembers a whole list, until something else changes.
+    /// Stores the digest of a full list that has been applied, or discards the stored one if an update has
+    /// changed anything.
     fn record_applied_list(&mut self, applied: &ListApplied, version: u64, digest: Option<Digest>) {
         if applied.whole {
             self.last_list.set_full_list(digest, version);
@@ -133,6 +139,7 @@
         }
     }
 
+    /// Records, logs and counts an update that has been applied.
     fn finish_update(
         &mut self,
         applied: &ListApplied,
@@ -146,7 +153,7 @@
         self.first_list.notify_one();
     }
 
-    /// Has what differs take effect.
+    /// Applies the changes of an update to the workers and to `Control`.
     fn apply(&mut self, update: PendingUpdate) -> ListApplied {
         let PendingUpdate { whole, named, changes, refused_lines, .. } = update;
         let absent = if whole { self.workers.absent_from(&named) } else { Vec::new() };
@@ -154,7 +161,7 @@
         let effect = self.workers.apply(&changes, &absent);
         let server = |change: &EndpointChange| {
             let state = &change.state;
-            // Whose address has a new owner is gone, whether or not that has been told.
+            // A server whose address now belongs to another one is gone, even if no update has said so.
             let health = if effect.replaced.contains(&change.name) { Health::Gone } else { state.health };
             Server {
                 name: change.name.clone(),
@@ -175,8 +182,8 @@
         ListApplied { whole, changed, refused_lines, longest_step: Duration::ZERO }
     }
 
-    /// What was out at a server that has restarted since is never answered, and its connection is half open if the whole
-    /// machine went.
+    /// Ends the attempts at servers that have restarted. They are never answered, and if the whole machine
+    /// failed their connections stay half open.
     fn reset_attempts_at(&mut self, restarted: &HashSet<Name>) {
         if restarted.is_empty() {
             return;
@@ -190,7 +197,7 @@
     }
 }
 
-/// The line of a server that is not listed any more.
+/// The state reported to `Control` for a server that is no longer listed.
 fn removed_server(name: &Name) -> Server {
     Server { name: name.clone(), zone: 0, cell: 0, kind: 0, size: 1.0, health: Health::Gone, started_at: 0.0 }
 }
--- a/src/bin/frostvale/gatekeeper/in_flight.rs
+++ b/src/bin/frostvale/gatekeeper/in_flight.rs
@@ -1,4 +1,4 @@
-//! Requests in flight and their attempts, and the clock they go by: plain data, nothing decided here.
+//! Data types for requests in flight and their attempts, and the clock for their deadlines.
 
 use super::ResponseSink;
 use crate::client_request::ClientRequest;
@@ -8,8 +8,8 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant, SystemTime};
 
-/// Milliseconds of Unix time as of the start, moved on by the monotonic clock: workers' start times can be
-/// compared with it, and it never steps back.
+/// Clock in milliseconds of Unix time: read from the system clock once at startup and advanced by the
+/// monotonic clock. It is comparable with the start times of workers and never steps back.
 pub(super) struct Clock {
     start: Instant,
     unix_ms: f64,
@@ -25,47 +25,52 @@
         self.unix_ms + self.start.elapsed().as_secs_f64() * 1000.0
     }
 
+    /// Converts a time of this clock; earlier times than the startup become that of the startup.
     pub(super) fn instant(&self, at: f64) -> Instant {
         self.start + Duration::from_secs_f64(((at - self.unix_ms) / 1000.0).clamp(0.0, 1e6))
     }
 }
 
-/// A request in flight: until its final answer, and after that while an attempt is still out.
+/// A request in flight. It is kept until its final answer and, after that, while an attempt is outstanding.
 pub(super) struct InFlight {
     pub(super) client_request: ClientRequest,
-    /// Who is owed the answer; none once it is given or the client has left.
+    /// Where the answer goes; `None` once it is sent or the client has disconnected.
     pub(super) client: Option<Rc<dyn ResponseSink>>,
-    /// The module has not heard of it yet: it waits for the first list, or an outside service is asked first.
+    /// The request, as long as it has not been passed to `Control`: it waits for the first endpoint list or
+    /// for the outside rate limit service.
     pub(super) pending: Option<Request>,
-    /// When the client's time is over, in ms of the clock.
+    /// When the client stops waiting, in ms of the clock.
     pub(super) client_deadline: f64,
+    /// Number of attempts started so far.
     pub(super) attempts: u32,
+    /// The outstanding attempt.
     pub(super) attempt: Option<Attempt>,
-    /// Whether an attempt has come whole to a worker: from then on its units are used.
-    pub(super) is_delivered: bool,
+    /// Whether the complete command has been written to a worker: from then on its units count as used.
+    pub(super) is_sent: bool,
 }
 
-/// The one attempt that may be out.
+/// An outstanding attempt; a request has at most one. Times are in ms of the clock.
 pub(super) struct Attempt {
     pub(super) number: u32,
     pub(super) server: Name,
     pub(super) started: f64,
     pub(super) deadline: f64,
-    /// A connection that is up later than this is of no use to it.
+    /// The command must not be sent on a connection that is established later than this.
     pub(super) start_deadline: f64,
-    /// Its connection once there is one.
+    /// Its connection, once the command has been handed to one.
     pub(super) conn: Option<Rc<Conn>>,
 }
 
 impl Attempt {
-    /// Whether its last byte is still ours to write: then it has surely not begun.
+    /// Whether the last byte of the command has not been written yet: then the worker cannot have started on
+    /// it.
     pub(super) fn is_unsent(&self) -> bool {
         self.conn.as_ref().is_none_or(|conn| !conn.is_written.get())
     }
 }
 
 impl InFlight {
-    /// Whether it has an attempt out at one of these workers.
+    /// Whether its outstanding attempt has a connection to one of these workers.
     pub(super) fn has_attempt_at(&self, workers: &HashSet<Name>) -> bool {
         self.attempt.as_ref().is_some_and(|a| a.conn.is_some() && workers.contains(&a.server))
     }
--- a/src/bin/frostvale/gatekeeper/interfaces.rs
+++ b/src/bin/frostvale/gatekeeper/interfaces.rs
@@ -1,30 +1,31 @@
-//! Whom the gatekeeper speaks to on behalf of requests and checks.
+//! Interfaces through which the gatekeeper answers requests and checks and reaches linked agents.
 
 use frostvale::{Name, Request};
 use frostvale_outside::{BreakerState, CallCounts};
 
-/// Who is owed the answer to a request.
+/// Receives the answers to requests.
 pub trait ResponseSink {
-    /// Gives the final answer, once.
+    /// Sends the final answer to request `id`; called once for each request.
     fn answer(&self, id: u64, bytes: &[u8]);
-    /// Whether it has gone, though nobody has said so yet.
+    /// Whether the client has disconnected, even if that has not been reported yet.
     fn is_disconnected(&self) -> bool;
 }
 
-/// Who asked for a check.
+/// Receives the decisions on checks.
 pub trait CheckClient {
-    /// What came of it, once. `tag` is the asker's own; `remaining` is infinite where nothing holds it.
+    /// Reports the decision; called once for each check. `tag` is the value given with the check. `remaining`
+    /// is in units and infinite where no plan limits the customer; `reset` is in ms.
     fn verdict(&self, tag: u64, granted: bool, remaining: f64, reset: f64);
 }
 
-/// The agents that are linked, as far as requests need them.
+/// The linked agents, as far as request processing uses them.
 pub trait AgentLinks {
-    /// A request of this customer came, with its set of gatekeepers.
+    /// Records the set of gatekeepers that a customer's request names.
     fn record_shop_set(&self, customer: &Name, first: u32, spread: u32);
-    /// Whether one is here that asks an outside service.
+    /// Whether a linked agent can call the outside rate limit service.
     fn has_outside_agent(&self) -> bool;
-    /// Has it asked. False if it can't be.
+    /// Has an agent call the outside service; returns false if none can. `call` is the number of the call.
     fn ask_outside(&self, call: u64, request: &Request, timeout_ms: f64) -> bool;
-    /// The breaker has changed.
+    /// Reports a change of the circuit breaker of the outside service.
     fn breaker_changed(&self, state: BreakerState, counts: CallCounts);
 }
--- a/src/bin/frostvale/gatekeeper/last_list.rs
+++ b/src/bin/frostvale/gatekeeper/last_list.rs
@@ -1,23 +1,24 @@
-//! Recognises a whole endpoint list that has been applied already, by its digest, without decoding it.
+//! Detects by its digest, without decoding it, that a full endpoint list is already in effect.
 //!
-//! A digest costs about a tenth of decoding and comparing the list, O(n) of its text, and is made in bounded steps.
+//! A digest costs O(n) of the text, about a tenth of decoding and comparing the list, and is computed in
+//! bounded steps.
 
 use std::hash::{BuildHasher, Hasher, RandomState};
 use tokio::task::yield_now;
 
-/// So much of a text is digested in one step.
+/// Number of bytes digested in one step.
 const STEP_BYTES: usize = 64 * 1024;
-/// A shorter text is as soon decoded.
+/// Shorter texts are not digested, since decoding them takes no longer.
 const MIN_DIGESTED_BYTES: usize = 16 * 1024;
 
-/// A text's length, and a hash with a key that this process drew by lot.
+/// Length of a text and its hash under a key that is random for each process.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) struct Digest {
     bytes: usize,
     hash: u64,
 }
 
-/// The whole list in effect, where nothing has been applied since.
+/// Digest and version of the full list in effect, as long as no later update has changed anything.
 #[derive(Default)]
 pub(super) struct LastList {
     key: RandomState,
@@ -25,33 +26,34 @@
 }
 
 impl LastList {
-    /// Makes digests.
+    /// Returns a digester that uses the key of this process.
     pub fn digester(&self) -> Digester {
         Digester(self.key.clone())
     }
 
-    /// The version of a list with this digest, if that is the list in effect.
+    /// Returns the version of the list in effect if it has this digest.
     pub fn version_of(&self, digest: Option<Digest>) -> Option<u64> {
         let digest = digest?;
         self.applied.filter(|(applied, _)| *applied == digest).map(|(_, version)| version)
     }
 
-    /// A whole list has been applied.
+    /// Stores the digest and version of a full list that has been applied.
     pub fn set_full_list(&mut self, digest: Option<Digest>, version: u64) {
         self.applied = digest.map(|digest| (digest, version));
     }
 
-    /// Something else has been applied.
+    /// Discards the stored list after any other change.
     pub fn clear(&mut self) {
         self.applied = None;
     }
 }
 
-/// Makes digests with one key.
+/// Computes digests with one key.
 pub(super) struct Digester(RandomState);
 
 impl Digester {
-    /// A text's digest, made in steps between which the event loop does what else is due; none for a short text.
+    /// Computes the digest of a text in steps, yielding to the event loop between them. Returns `None` for a
+    /// text shorter than [`MIN_DIGESTED_BYTES`].
     pub async fn digest(&self, text: &[u8]) -> Option<Digest> {
         if text.len() < MIN_DIGESTED_BYTES {
             return None;
@@ -64,7 +66,7 @@
         Some(Digest { bytes: text.len(), hash: hasher.finish() })
     }
 
-    /// The same in one step, before anybody is served.
+    /// Like [`Digester::digest`], but in one step that blocks the event loop; only for startup.
     pub fn digest_blocking(&self, text: &[u8]) -> Option<Digest> {
         if text.len() < MIN_DIGESTED_BYTES {
             return None;
--- a/src/bin/frostvale/gatekeeper/outside.rs
+++ b/src/bin/frostvale/gatekeeper/outside.rs
@@ -1,4 +1,5 @@
-//! An outside rate limit service, asked before the module. What comes of it, `frostvale_outside::OutsidePolicy` decides.
+//! Calls to an outside rate limit service before a request is passed to `Control`. When to call it and what
+//! its answer or failure means is decided by `frostvale_outside::OutsidePolicy`.
 
 use super::{AgentLinks, Gatekeeper, TimerKind};
 use frostvale::{Event, Request};
@@ -6,17 +7,19 @@
 use std::rc::Rc;
 
 impl Gatekeeper {
-    /// Sets how an outside service is consulted, or that none is. Requests that wait for one go by the mode.
+    /// Replaces the policy for the outside service; `None` turns it off. Requests that wait for an answer are
+    /// decided by the failure mode.
     pub fn set_outside(&mut self, outside: Option<OutsidePolicy>) {
         self.link_lost();
         self.outside = outside;
     }
 
-    /// The agents' side of the link.
+    /// Sets the connection to the linked agents.
     pub fn set_agents(&mut self, agents: Rc<dyn AgentLinks>) {
         self.agents = Some(agents);
     }
 
+    /// Asks the outside service about a request, unless the policy decides without a call.
     pub(super) fn consult_outside(&mut self, request: Request) {
         let (now, id) = (self.now(), request.id);
         let (Some(outside), Some(agents)) = (&mut self.outside, self.agents.clone()) else { return };
@@ -51,7 +54,7 @@
         }
     }
 
-    /// What the outside service said to a call; late ones are void.
+    /// Applies the result of a call to the outside service. A result that arrives too late is ignored.
     pub fn outside_verdict(&mut self, call: u64, verdict: Verdict) {
         let now = self.now();
         let Some(outside) = &mut self.outside else { return };
@@ -63,7 +66,7 @@
         }
     }
 
-    /// Nobody is left who would carry the outside service's answers.
+    /// Fails all pending calls, since no agent is left to deliver the outside service's answers.
     pub fn link_lost(&mut self) {
         let Some(outside) = &mut self.outside else { return };
         for (id, decision) in outside.link_lost() {
@@ -71,7 +74,7 @@
         }
     }
 
-    /// A request goes on to the module or is refused, unless its client has left meanwhile.
+    /// Passes a request to `Control` or refuses it, unless its client has disconnected meanwhile.
     pub(super) fn apply_outside_decision(&mut self, id: u64, decision: OutsideDecision) {
         let Some(request) = self.requests.get_mut(&id).and_then(|r| r.pending.take()) else { return };
         match decision {
@@ -80,6 +83,8 @@
         }
     }
 
+    /// Logs the state of the circuit breaker and reports it to the agents if it differs from
+    /// `previous_state`.
     pub(super) fn report_breaker(&self, previous_state: BreakerState) {
         let (Some(outside), Some(agents)) = (&self.outside, &self.agents) else { return };
         let (state, counts) = (outside.breaker(), outside.counts());
@@ -99,7 +104,7 @@
         }
     }
 
-    /// The breaker's state and counts, where an outside service is consulted.
+    /// Returns the circuit breaker's state and counts, or `None` if no outside service is used.
     pub fn outside_state(&self) -> Option<(BreakerState, CallCounts)> {
         self.outside.as_ref().map(|o| (o.breaker(), o.counts()))
     }
--- a/src/bin/frostvale/gatekeeper/starting.rs
+++ b/src/bin/frostvale/gatekeeper/starting.rs
@@ -1,14 +1,15 @@
-//! Before the first endpoint list: requests are taken in and held, so that none waits unseen in the listener's queue while its
-//! time runs out.
+//! Startup, before the first endpoint list: requests are accepted and held. Left in the listener's queue,
+//! they could reach their deadlines without the gatekeeper noticing.
 
 use super::{Gatekeeper, ResponseSink, TimerKind};
 use frostvale::Request;
 use std::rc::Rc;
 
-/// A request that is held for this part of its client's time is refused: later its refusal would cost the client more.
+/// A request is refused after it has been held for this share of the time until its deadline. A later refusal
+/// would cost the client more of its time.
 const MAX_HOLD_SHARE: f64 = 0.4;
 
-/// What is held until the first list.
+/// Requests, by id, and answers that are held until the gatekeeper serves.
 #[derive(Default)]
 pub(super) struct StartupQueue {
     requests: Vec<u64>,
@@ -16,12 +17,12 @@
 }
 
 impl Gatekeeper {
-    /// Whether requests go on to servers.
+    /// Whether requests are passed on to workers.
     pub fn is_serving(&self) -> bool {
         self.startup_queue.is_none()
     }
 
-    /// Holds a request that has just come, and has its place in `requests`.
+    /// Holds a new request that is already in `requests`.
     pub(super) fn hold_until_serving(&mut self, request: Request) {
         let (id, now) = (request.id, self.now());
         let refuse_at = now + MAX_HOLD_SHARE * (request.deadline - now).max(0.0);
@@ -34,7 +35,7 @@
         self.schedule(refuse_at, TimerKind::StartupHold(id));
     }
 
-    /// Holds an answer that tells that this gatekeeper serves.
+    /// Sends an answer that signals readiness, once this gatekeeper serves.
     pub fn answer_once_serving(&mut self, id: u64, client: Rc<dyn ResponseSink>, answer: Vec<u8>) {
         match &mut self.startup_queue {
             Some(queue) => queue.answers.push((id, client, answer)),
@@ -42,7 +43,7 @@
         }
     }
 
-    /// A held request has waited for long enough.
+    /// Refuses a request that has been held for its maximum time.
     pub(super) fn refuse_held(&mut self, id: u64) {
         if let Some(r) = self.requests.get_mut(&id) {
             r.pending = None;
@@ -51,7 +52,7 @@
         }
     }
 
-    /// From now on requests go on to servers, those that are held first.
+    /// Starts serving: sends the held answers, then processes the held requests.
     pub fn begin_serving(&mut self) {
         let Some(queue) = self.startup_queue.take() else { return };
         for (id, client, answer) in queue.answers {
--- a/src/bin/frostvale/gatekeeper/trace.rs
+++ b/src/bin/frostvale/gatekeeper/trace.rs
@@ -1,11 +1,11 @@
-//! What the log says of single requests: at debug level each change of state with the client's id, above it what must not
-//! happen.
+//! Log lines about single requests: at debug level every state change, at warn level what should not happen.
+//! `id` is the id that the client gave the request.
 
 use super::Gatekeeper;
 use super::in_flight::Attempt;
 use frostvale::{AttemptOutcome, RefusalReason};
 
-/// An attempt has ended; a further one may follow.
+/// Logs the end of an attempt; another one may follow.
 pub(super) fn attempt_ended(client_id: u64, attempt: &Attempt, outcome: AttemptOutcome, now: f64) {
     tracing::debug!(
         target: "frostvale::request",
@@ -19,22 +19,34 @@
 }
 
 impl Gatekeeper {
-    /// The module refuses a request.
+    /// Counts and logs a refusal by `Control`.
     pub(super) fn trace_refusal(&mut self, id: u64, reason: RefusalReason) {
         self.metrics.refused(reason);
         let Some(r) = self.requests.get(&id) else { return };
         let (client_id, attempts) = (r.client_request.client_id, r.attempts);
-        tracing::debug!(target: "frostvale::request", id = format_args!("{client_id:016x}"), attempts, ?reason, "refused");
+        tracing::debug!(
+            target: "frostvale::request",
+            id = format_args!("{client_id:016x}"),
+            attempts,
+            ?reason,
+            "refused"
+        );
     }
 
-    /// A client was given its final answer.
+    /// Logs a final answer, and warns if it was sent after the client stopped waiting.
     pub(super) fn trace_answer(&mut self, id: u64, answer: &[u8]) {
         let now = self.now();
         let Some(r) = self.requests.get(&id) else { return };
         let (client_id, attempts, late_ms) =
             (r.client_request.client_id, r.attempts, now - r.client_deadline);
         let answer = String::from_utf8_lossy(answer.trim_ascii_end());
-        tracing::debug!(target: "frostvale::request", id = format_args!("{client_id:016x}"), attempts, %answer, "answered");
+        tracing::debug!(
+            target: "frostvale::request",
+            id = format_args!("{client_id:016x}"),
+            attempts,
+            %answer,
+            "answered"
+        );
         if late_ms > 0.0 {
             self.metrics.answer_late(late_ms);
             tracing::warn!(
@@ -42,12 +54,12 @@
                 attempts,
                 %answer,
                 late_ms = late_ms as u64,
-                "a final answer came after its client's time"
+                "final answer sent after the client's deadline"
             );
         }
     }
 
-    /// The module's own limit on a request has passed without a final answer.
+    /// Warns that a request has had no final answer by its deadline.
     pub(super) fn trace_unsettled(&mut self, id: u64) {
         let Some(r) = self.requests.get(&id) else { return };
         let attempt_state =
@@ -56,7 +68,7 @@
             id = format_args!("{:016x}", r.client_request.client_id),
             attempts = r.attempts,
             attempt_out = attempt_state,
-            "a request was not settled in time"
+            "request has no final answer after its deadline"
         );
     }
 }
--- a/src/bin/frostvale/gatekeeper/zones.rs
+++ b/src/bin/frostvale/gatekeeper/zones.rs
@@ -1,26 +1,26 @@
-//! Zones: what was decided goes to the module, what it saw comes back.
+//! Passes zone decisions to `Control` and returns its observations of zones.
 
 use super::Gatekeeper;
 use frostvale::{Event, RoutingSnapshot, ZoneObservation};
 
 impl Gatekeeper {
-    /// Who is shut out, as it was decided for the fleet.
+    /// Applies the decision for the fleet on which gatekeepers are fenced off.
     pub fn apply_fenced_off(&mut self, decision: frostvale::FenceOffDecision) {
         self.dispatch(Event::FenceOff(decision));
     }
 
-    /// From now on what is seen of zones is counted, or not any more.
+    /// Enables or disables the counting of attempts by zone.
     pub fn watch_zones(&mut self, is_enabled: bool) {
         self.control.watch_zones(is_enabled);
     }
 
-    /// What was seen since the last look.
+    /// Returns what was observed of zones since the last call.
     pub fn observe_zones(&mut self) -> ZoneObservation {
         let now = self.now();
         self.control.observe_zones(now)
     }
 
-    /// What was decided for this gatekeeper's zone, or that it still stands.
+    /// Applies or renews the routing decision for this gatekeeper's zone.
     pub fn guide(&mut self, snapshot: RoutingSnapshot) {
         self.dispatch(Event::RoutingSnapshot(snapshot));
     }
--- a/src/bin/frostvale/workers.rs
+++ b/src/bin/frostvale/workers.rs
@@ -1,5 +1,6 @@
-//! Workers: what the list says of each, their pooled connections, and the reading of answers.
-//! A connection carries one attempt at a time, so that giving up one can close it.
+//! Workers: their state from the endpoint list, their connections, and the reading of their replies.
+//!
+//! A connection carries one attempt at a time, so that an attempt can be aborted by closing its connection.
 
 use crate::budget::{MemoryBudget, MemoryShare};
 use crate::endpoint_update::EndpointState;
@@ -17,16 +18,18 @@
 use tokio::net::TcpStream;
 use tokio::task::AbortHandle;
 
-/// A whole answer: a value, and a little for the report and the figures on use.
+/// Maximum size of a reply: a value, plus room for the load report and the usage figures.
 const MAX_REPLY_BYTES: usize = MAX_VALUE_BYTES + 4096;
-/// Room that a connection keeps between answers.
+/// Buffer capacity that a connection may keep between replies.
 const RETAINED_BUFFER_BYTES: usize = 8 * 1024;
 
-/// Who hears what comes on the connections.
+/// Receives the events of connections to workers.
 pub trait ReplyHandler {
-    /// A worker answered. `clean`: with nothing behind it.
+    /// Called for each reply. `bytes` is the buffer that `reply` refers to; `clean` is false if further bytes
+    /// followed the reply.
     fn reply_received(&self, conn: &Rc<Conn>, reply: Reply, bytes: &[u8], clean: bool);
-    /// A connection has ended, perhaps over bytes that are no answer.
+    /// Called when the peer or a read has ended the connection. `read_error` says what was wrong with the
+    /// bytes, if that was the reason.
     fn connection_closed(&self, conn: &Rc<Conn>, read_error: Option<&'static str>);
 }
 
@@ -34,21 +37,22 @@
 pub struct Conn {
     pub stream: TcpStream,
     pub worker: Name,
-    /// The life of the worker it was made in.
+    /// The [`Worker::incarnation`] for which it was opened.
     pub incarnation: u64,
-    /// The request whose attempt it carries.
+    /// Id of the request whose attempt it carries.
     pub current_request: Cell<Option<u64>>,
-    /// Whether the attempt's last byte is written: before that it surely never ran.
+    /// Whether the last byte of the command has been written: before that the worker cannot have run it.
     pub is_written: Cell<bool>,
+    /// When it last became idle, in ms of the clock.
     pub idle_since: Cell<f64>,
-    /// Its place among the connections at rest, as long as it is one of them.
+    /// Its key in `Workers::idle_by_age`, while it is idle.
     idle_key: Cell<IdleKey>,
     task: OnceCell<AbortHandle>,
     read_memory: MemoryShare,
     _permit: ConnectionPermit,
 }
 
-/// The order of connections at rest: since when, in microseconds, and a number of its own. Never used twice.
+/// Sort key of idle connections: since when, in microseconds, and a unique number. Keys are never reused.
 #[derive(Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
 struct IdleKey(u64, u64);
 
@@ -58,7 +62,7 @@
     }
 }
 
-/// A descriptor's place: counted from before the connect until the connection is really closed.
+/// Permit for one file descriptor, held from before the connect until the socket is closed.
 pub struct ConnectionPermit(Rc<Cell<usize>>);
 
 impl Drop for ConnectionPermit {
@@ -68,6 +72,7 @@
 }
 
 impl Conn {
+    /// Wraps a connected stream.
     pub fn new(
         stream: TcpStream,
         worker: Name,
@@ -75,7 +80,8 @@
         permit: ConnectionPermit,
         read_memory: MemoryShare,
     ) -> Rc<Conn> {
-        // Without it small commands wait for acknowledgements; a socket that fails here fails again soon.
+        // Without it small commands wait for acknowledgements. Errors are ignored: a socket that fails here
+        // fails again on its first use.
         let _ = stream.set_nodelay(true);
         Rc::new(Conn {
             stream,
@@ -91,14 +97,15 @@
         })
     }
 
-    /// Gives up the attempt that it carries. What the kernel still holds of the command is not to go out any more, so
-    /// that the worker is reset instead of hearing the rest.
+    /// Closes the connection with a TCP reset, to abort the attempt that it carries: the part of the command
+    /// that the kernel still holds is not sent any more.
     pub fn abort(&self) {
         let _ = SockRef::from(&self.stream).set_linger(Some(Duration::ZERO));
         self.close();
     }
 
-    /// Ends it at once: the peer sees the end before anything else is decided, and no late answer is read.
+    /// Shuts the connection down at once: the peer sees the end before any further action, and no late reply
+    /// is read.
     pub fn close(&self) {
         let _ = SockRef::from(&self.stream).shutdown(Shutdown::Both);
         if let Some(task) = self.task.get() {
@@ -106,14 +113,14 @@
         }
     }
 
-    /// Whether the worker has closed it, or sent what nobody asked for. The runtime may not have seen that
-    /// yet, so the socket itself is asked.
+    /// Whether the worker has closed the connection or sent unsolicited bytes. This checks the socket itself,
+    /// since the runtime may not have seen that yet.
     pub fn is_stale(&self) -> bool {
         let mut byte = [MaybeUninit::uninit()];
         !matches!(SockRef::from(&self.stream).peek(&mut byte), Err(e) if e.kind() == ErrorKind::WouldBlock)
     }
 
-    /// Reads answers until the connection ends.
+    /// Spawns a task that reads replies until the connection ends.
     pub fn spawn_reader(self: &Rc<Conn>, handler: Rc<dyn ReplyHandler>) {
         let conn = self.clone();
         let task = tokio::task::spawn_local(async move {
@@ -123,7 +130,8 @@
         let _ = self.task.set(task.abort_handle());
     }
 
-    /// Gives what was wrong with the bytes, if that is why it ended.
+    /// Reads replies until the connection ends. Returns what was wrong with the bytes, if that was the
+    /// reason.
     async fn read_replies(self: &Rc<Conn>, handler: &dyn ReplyHandler) -> Option<&'static str> {
         let mut bytes: Vec<u8> = Vec::new();
         loop {
@@ -143,7 +151,7 @@
                 Ok(None) if bytes.len() > MAX_REPLY_BYTES => return Some("reply exceeds the size limit"),
                 Ok(None) => {}
                 Ok(Some((reply, len))) => {
-                    // What follows belongs to no request: the next one must not be given it.
+                    // Further bytes belong to no request and must not be taken for the reply to the next one.
                     let clean = len == bytes.len();
                     handler.reply_received(self, reply, &bytes, clean);
                     if !clean {
@@ -160,7 +168,7 @@
         }
     }
 
-    /// Writes the rest of a command that the socket did not take at once.
+    /// Writes the rest of a command that the socket did not accept at once.
     pub async fn write_rest(&self, rest: &[u8]) -> io::Result<()> {
         let mut at = 0;
         while at < rest.len() {
@@ -175,45 +183,46 @@
     }
 }
 
-/// What the list says of a worker, and the connections to it that wait.
+/// A worker with its state from the endpoint list and its idle connections.
 pub struct Worker {
     state: EndpointState,
-    /// New with each restart, each new address and each return to the list, and never used twice: connections of an
-    /// earlier life are of no use.
+    /// Unique number, new with each restart, each new address and each return to the list. Connections of an
+    /// earlier incarnation must not be used.
     pub incarnation: u64,
     idle: Vec<Rc<Conn>>,
 }
 
 impl Worker {
-    /// Where it listens, if it takes requests.
+    /// The address on which it listens, if it accepts requests.
     pub fn serving_address(&self) -> Option<SocketAddr> {
         (self.state.health == Health::Up).then_some(self.state.address)
     }
 }
 
-/// What an update says of one worker.
+/// The new state of one worker.
 pub struct EndpointChange {
     pub name: Name,
     pub state: EndpointState,
 }
 
-/// What applying an update has brought beside.
+/// Side effects of applying an update.
 #[derive(Default)]
 pub struct UpdateEffect {
-    /// Workers whose former life has ended.
+    /// Workers that have restarted.
     pub restarted: HashSet<Name>,
-    /// Workers whose address is now that of another one, which started later.
+    /// Workers that were removed because their address now belongs to another one, which did not start
+    /// earlier.
     pub replaced: HashSet<Name>,
 }
 
-/// All workers that the list has named, by name and by address, and the connections to them.
+/// All listed workers, by name and by address, and their idle connections.
 ///
-/// Finding a worker or its connection, and a change of one worker, cost O(1); room for a connection O(log c) with c of them
-/// at rest.
+/// Looking up a worker and changing one cost O(1). Taking, releasing or evicting an idle connection costs
+/// O(log c) with c idle connections, plus a scan of the idle connections of that worker.
 pub struct Workers {
     by_name: HashMap<Name, Worker>,
     by_address: HashMap<SocketAddr, Vec<Name>>,
-    /// Connections at rest, the one that has rested for the longest first.
+    /// All idle connections, the one that has been idle for the longest first.
     idle_by_age: BTreeMap<IdleKey, Rc<Conn>>,
     last_idle_number: u64,
     last_incarnation: u64,
@@ -223,8 +232,8 @@
 }
 
 impl Workers {
-    /// `most` bounds the connections to all of them together, `memory` what has been read on them of answers
-    /// that are not whole yet.
+    /// Creates an empty table. `max_connections` limits the connections to all workers together,
+    /// `max_read_bytes` the memory for replies that have been read only in part.
     pub fn new(max_connections: usize, max_read_bytes: usize) -> Workers {
         Workers {
             by_name: HashMap::new(),
@@ -238,16 +247,18 @@
         }
     }
 
-    /// A new connection's share of the memory.
+    /// Returns a new share of the memory limit, for one connection.
     pub fn read_share(&self) -> MemoryShare {
         self.read_budget.new_share()
     }
 
+    /// Returns the worker with this name.
     pub fn get(&self, name: &str) -> Option<&Worker> {
         self.by_name.get(name)
     }
 
-    /// Whether this says anything new of a worker. A start earlier than the one known is nothing new.
+    /// Whether this state differs from the known one. A start time earlier than the known one is no
+    /// difference.
     pub fn would_change(&self, name: &str, state: &EndpointState) -> bool {
         let known = self.by_name.get(name).map(|worker| &worker.state);
         known.is_none_or(|known| {
@@ -255,12 +266,13 @@
         })
     }
 
-    /// Workers that are not among these. O(n) of all workers.
+    /// Returns the workers that are not in `named`. Costs O(n) with n workers.
     pub fn absent_from(&self, named: &HashSet<Cow<str>>) -> Vec<Name> {
         self.by_name.keys().filter(|name| !named.contains(name.as_ref())).cloned().collect()
     }
 
-    /// Takes changes into effect, and workers that are not listed any more. O(k) with k of them.
+    /// Applies changes and removes workers that are no longer listed. Costs O(k) with k changed and removed
+    /// workers.
     pub fn apply(&mut self, changes: &[EndpointChange], absent: &[Name]) -> UpdateEffect {
         let mut effect = UpdateEffect::default();
         for name in absent {
@@ -280,14 +292,14 @@
                 newly_placed.push(&change.name);
             }
         }
-        // Of two that say nothing of their age the one told last has the address.
+        // Of two workers with the same start time the one that is listed last gets the address.
         for name in newly_placed.into_iter().rev() {
             self.replace_others_at_address_of(name, &mut effect);
         }
         effect
     }
 
-    /// Gives whether it is at an address where it was not before.
+    /// Applies one change. Returns whether the worker is at an address at which it was not before.
     fn apply_one(&mut self, change: &EndpointChange, effect: &mut UpdateEffect) -> bool {
         let EndpointChange { name, state } = change;
         self.last_incarnation += 1;
@@ -299,7 +311,8 @@
         };
         let before = worker.state;
         let (moved, restarted) = (before.address != state.address, state.boot_ms > before.boot_ms);
-        // A list that goes back in time ends no life once more when it comes forward again.
+        // The latest start time is kept, so that a list with an old start time followed by one with the known
+        // time does not count as a restart.
         worker.state = EndpointState { boot_ms: before.boot_ms.max(state.boot_ms), ..*state };
         if moved || restarted {
             worker.incarnation = incarnation;
@@ -307,7 +320,7 @@
         if moved || restarted || state.health != Health::Up {
             self.close_idle_connections(name);
         }
-        // At a new address alone the old process may still answer what it has.
+        // After a change of address alone the old process may still answer the requests that it has.
         if restarted {
             effect.restarted.insert(name.clone());
         }
@@ -318,7 +331,8 @@
         moved
     }
 
-    /// A worker that takes requests has its address for itself, but for one that started later.
+    /// Removes the other workers at the address of a worker that accepts requests, except those that started
+    /// later.
     fn replace_others_at_address_of(&mut self, name: &Name, effect: &mut UpdateEffect) {
         let Some(owner) = self.by_name.get(name).filter(|w| w.state.health == Health::Up) else { return };
         let EndpointState { address, boot_ms, .. } = owner.state;
@@ -348,7 +362,7 @@
         }
     }
 
-    /// Closes a worker's connections at rest.
+    /// Closes a worker's idle connections.
     fn close_idle_connections(&mut self, name: &Name) {
         let Some(worker) = self.by_name.get_mut(name) else { return };
         for conn in worker.idle.drain(..) {
@@ -357,8 +371,8 @@
         }
     }
 
-    /// A pooled connection that is still good and has rested since before this time: of these the one used
-    /// last, so that the others can grow old.
+    /// Takes an idle connection that is still usable and has been idle since `idle_before` or earlier. Of
+    /// these it takes the one used last, so that the others can time out.
     pub fn take_idle(&mut self, name: &str, idle_before: f64) -> Option<Rc<Conn>> {
         let idle = &mut self.by_name.get_mut(name)?.idle;
         while let Some(at) = idle.iter().rposition(|conn| conn.idle_since.get() <= idle_before) {
@@ -372,7 +386,8 @@
         None
     }
 
-    /// Keeps a connection for later, unless its worker is to get nothing more or has restarted.
+    /// Makes a connection idle, or closes it if its worker does not accept requests any more or has
+    /// restarted.
     pub fn release(&mut self, conn: &Rc<Conn>, now: f64) {
         conn.current_request.set(None);
         conn.idle_since.set(now);
@@ -387,7 +402,8 @@
         }
     }
 
-    /// A place for one more connection. At the limit the longest idle one of any worker makes room.
+    /// Returns a permit for one more connection. At the limit the connection that has been idle for the
+    /// longest, to any worker, is closed; without an idle connection the result is `None`.
     pub fn acquire_permit(&mut self) -> Option<ConnectionPermit> {
         if self.open_connections.get() >= self.max_connections {
             let (_, oldest) = self.idle_by_age.pop_first()?;
@@ -398,7 +414,7 @@
         Some(ConnectionPermit(self.open_connections.clone()))
     }
 
-    /// Forgets a connection that has ended.
+    /// Removes a connection from the idle ones.
     pub fn remove_connection(&mut self, conn: &Rc<Conn>) {
         self.idle_by_age.remove(&conn.idle_key.get());
         if let Some(worker) = self.by_name.get_mut(&conn.worker) {
@@ -406,8 +422,8 @@
         }
     }
 
-    /// Closes what has stood idle since before this time: a worker closes it too, and a request that
-    /// crosses that is a reset.
+    /// Closes connections that have been idle since before this time. Workers close idle connections too, and
+    /// a request sent at that moment ends in a reset.
     pub fn close_idle_since_before(&mut self, before: f64) {
         while let Some(oldest) = self.idle_by_age.first_entry().filter(|e| e.get().idle_since.get() < before)
         {
@@ -418,17 +434,18 @@
     }
 }
 
-/// What an error line says.
+/// A decoded error line.
 pub enum ErrorReply {
-    /// Turned away unseen: only this exact word, with a report or none, means that it never ran.
+    /// The worker rejected the request without running it. Only this exact word, with or without a load
+    /// report, means that.
     Busy(Option<LoadReport>),
-    /// A failure in the worker's own words.
+    /// The worker reported a failure, with a text of its own.
     Failed(Option<LoadReport>),
-    /// No line that a worker writes.
+    /// Any other line; workers do not write such lines.
     Other,
 }
 
-/// Reads an error line, without its sign and end.
+/// Parses an error line, given without its leading `-` and its line end.
 pub fn parse_error_line(line: &[u8]) -> ErrorReply {
     let mut words = line.split(|b| *b == b' ');
     let first = words.next().unwrap_or_default();
@@ -441,8 +458,9 @@
     }
 }
 
-/// A load report: names, as the settings' `LoadReport.Columns` has them or in the protocol's short form, and figures.
-/// What can't be read is passed over.
+/// Parses a load report: `name=value` pairs, with names as in the settings' `LoadReport.Columns` or in the
+/// protocol's short form. Pairs that cannot be read are skipped; without a readable pair the result is
+/// `None`.
 pub fn parse_load_report(text: &[u8]) -> Option<LoadReport> {
     let mut report = LoadReport::default();
     for pair in std::str::from_utf8(text).ok()?.split(',') {
--- a/src/bin/frostvale/workers/tests.rs
+++ b/src/bin/frostvale/workers/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 use proptest::prelude::*;
 
-/// The settings name the columns in full, and answers use these names: read by the short ones alone, no report of a
-/// server was ever heard.
+/// Workers use the long column names of the settings. With only the short names accepted, every load report
+/// was lost.
 #[test]
 fn load_report_accepts_long_and_short_column_names() {
     let expected =
@@ -18,7 +18,7 @@
     EndpointState { address, zone: 0, kind: 0, cell: 0, health, size: 1.0, boot_ms: f64::from(boot_ms) }
 }
 
-/// The same by a look at all workers for each line, as the protocol page has it.
+/// Reference implementation of the protocol's rules that scans all workers for each line.
 #[derive(Default)]
 struct Model(BTreeMap<String, EndpointState>);
 
@@ -50,7 +50,8 @@
 }
 
 proptest! {
-    /// Only lines that differ are applied, by index; all of them, by a look at each, come to the same.
+    /// Applying only the changed lines, through the index, has the same result as applying all lines to the
+    /// model.
     #[test]
     fn applying_only_changed_lines_matches_applying_all_lines(
         updates in prop::collection::vec(
