--- a/src/bin/frostvale/endpoint_update.rs
+++ b/src/bin/frostvale/endpoint_update.rs
@@ -1,8 +1,9 @@
-//! Endpoint updates in discovery's form: the list of all servers, or what changed in it.
+//! Endpoint updates in discovery's format: a full list of the servers, or the changes to it.
 //!
-//! An update is read in two stages, so that a long one does not hold up the event loop: [`Outline::read`] finds the lines in
-//! one pass over the text, and [`EndpointLine::read`] decodes one line at a time, straight into types. Both are linear in the
-//! length of their text. A line that can't be read is passed over and costs no other line.
+//! An update is read in two stages, so that a long one does not block the event loop: [`Outline::read`] finds
+//! the lines in one pass over the text, and [`EndpointLine::read`] decodes one line at a time. Both are
+//! linear in the length of their text. A line that cannot be decoded is skipped and does not affect the
+//! others.
 
 use frostvale::{Health, RawSettings};
 use serde::de::{Deserialize, Deserializer, IgnoredAny, MapAccess, SeqAccess, Visitor};
@@ -11,32 +12,32 @@
 use std::fmt;
 use std::net::SocketAddr;
 
-/// Why an update as a whole is refused; the list in effect stays.
+/// Why a whole update is rejected; the list in effect stays.
 #[derive(Debug)]
 pub enum UpdateError {
-    /// It is no JSON, or has no version or no lines.
+    /// It is not JSON, or has no version or no list of lines.
     Malformed(serde_json::Error),
 }
 
 impl fmt::Display for UpdateError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            UpdateError::Malformed(error) => write!(f, "not an endpoint list: {error}"),
+            UpdateError::Malformed(error) => write!(f, "cannot parse endpoint list: {error}"),
         }
     }
 }
 
 impl std::error::Error for UpdateError {}
 
-/// An update with its lines found and none of them decoded.
+/// An update whose lines have been found but not decoded.
 #[derive(serde::Deserialize)]
 pub struct Outline<'a> {
-    /// The version that is in effect once it is applied.
+    /// The version of the list that results from applying it.
     #[serde(rename = "rev")]
     pub version: u64,
     #[serde(default)]
     all: Option<bool>,
-    /// Its lines, as they stand in the text.
+    /// Its lines, as JSON text.
     #[serde(borrow, rename = "targets")]
     pub lines: Vec<&'a RawValue>,
 }
@@ -45,74 +46,74 @@
     /// Finds the lines of an update.
     ///
     /// # Errors
-    /// When the text is no update.
+    /// When the text is not a valid update.
     pub fn read(text: &[u8]) -> Result<Outline<'_>, UpdateError> {
         serde_json::from_slice(text).map_err(UpdateError::Malformed)
     }
 
-    /// Whether it names all servers there are: one that it does not name is gone.
-    pub fn whole(&self) -> bool {
+    /// Whether it lists all servers, so that a server it does not name is gone.
+    pub fn is_full(&self) -> bool {
         self.all.unwrap_or(false)
     }
 }
 
-/// What discovery says of one server, but its name.
+/// State of one server according to discovery.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EndpointState {
-    /// Where it listens.
+    /// The address on which it listens.
     pub address: SocketAddr,
-    /// Its zone's number in the settings.
+    /// Index of its zone in the settings' `Areas`, or their number if the zone is not listed there.
     pub zone: u32,
-    /// Its machine type's number in the settings.
+    /// Index of its machine type in the settings' `Kinds`, or their number if it is not listed there.
     pub kind: u32,
-    /// Its cell.
+    /// Number of its cell (`pod_group`).
     pub cell: u32,
-    /// Whether it takes requests.
+    /// Whether it accepts requests.
     pub health: Health,
-    /// Its registered size.
+    /// Its registered size (`capacity_hint`); 1 if that is missing.
     pub size: f64,
-    /// When it last started, in ms of Unix time; 0 for long ago.
+    /// When it last started, in ms of Unix time; 0 if unknown, which counts as long ago.
     pub boot_ms: f64,
 }
 
-/// One line of an update.
+/// One decoded line of an update.
 #[derive(Debug)]
 pub struct EndpointLine<'a> {
     /// The server's name.
     pub uid: Cow<'a, str>,
-    /// What the line says of it.
+    /// The state that the line gives it.
     pub state: EndpointState,
 }
 
 impl<'a> EndpointLine<'a> {
-    /// Decodes a line; none where it can't be read.
+    /// Decodes a line; returns `None` if a required field is missing or invalid.
     pub fn read(line: &'a RawValue, conf: &RawSettings) -> Option<EndpointLine<'a>> {
         let fields: Fields = serde_json::from_str(line.get()).ok()?;
-        let number = |names: &[String], name: Option<Cow<str>>| {
+        let index_of = |names: &[String], name: Option<Cow<str>>| {
             let name = name.unwrap_or_default();
             names.iter().position(|n| *n == name).unwrap_or(names.len()).try_into().unwrap_or(u32::MAX)
         };
-        let health = match fields.state.text()?.as_ref() {
+        let health = match fields.state.into_text()?.as_ref() {
             "ready" => Health::Up,
             "draining" => Health::Draining,
             "gone" => Health::Gone,
             _ => return None,
         };
         let state = EndpointState {
-            address: fields.endpoint.text()?.parse().ok()?,
-            zone: number(&conf.areas, fields.zone.text()),
-            kind: number(&conf.kinds, fields.model.text()),
-            cell: fields.cell.whole().and_then(|n| u32::try_from(n).ok())?,
+            address: fields.endpoint.into_text()?.parse().ok()?,
+            zone: index_of(&conf.areas, fields.zone.into_text()),
+            kind: index_of(&conf.kinds, fields.model.into_text()),
+            cell: fields.cell.as_u64().and_then(|n| u32::try_from(n).ok())?,
             health,
-            size: fields.size.figure().unwrap_or(1.0),
-            boot_ms: fields.boot_ms.figure().unwrap_or(0.0),
+            size: fields.size.non_negative().unwrap_or(1.0),
+            boot_ms: fields.boot_ms.non_negative().unwrap_or(0.0),
         };
-        let uid = fields.uid.text().filter(|uid| !uid.is_empty())?;
+        let uid = fields.uid.into_text().filter(|uid| !uid.is_empty())?;
         Some(EndpointLine { uid, state })
     }
 }
 
-/// The fields of a line, whatever stands in them.
+/// The fields of a line, with values of any type.
 #[derive(Default)]
 struct Fields<'a> {
     uid: Scalar<'a>,
@@ -160,30 +161,30 @@
     }
 }
 
-/// A value of a field. What is neither text nor number is as if it were not there.
+/// Value of a field. Values that are neither text nor number count as missing.
 #[derive(Default)]
 enum Scalar<'a> {
     Text(Cow<'a, str>),
-    Whole(u64),
-    Number(f64),
+    Unsigned(u64),
+    Float(f64),
     #[default]
     None,
 }
 
 impl<'a> Scalar<'a> {
-    fn text(self) -> Option<Cow<'a, str>> {
+    fn into_text(self) -> Option<Cow<'a, str>> {
         if let Scalar::Text(text) = self { Some(text) } else { None }
     }
 
-    fn whole(&self) -> Option<u64> {
-        if let Scalar::Whole(number) = self { Some(*number) } else { None }
+    fn as_u64(&self) -> Option<u64> {
+        if let Scalar::Unsigned(number) = self { Some(*number) } else { None }
     }
 
-    /// A finite number that is not negative.
-    fn figure(&self) -> Option<f64> {
+    /// The value, if it is a finite number that is not negative.
+    fn non_negative(&self) -> Option<f64> {
         let number = match self {
-            Scalar::Whole(number) => *number as f64,
-            Scalar::Number(number) => *number,
+            Scalar::Unsigned(number) => *number as f64,
+            Scalar::Float(number) => *number,
             _ => return None,
         };
         (number.is_finite() && number >= 0.0).then_some(number)
@@ -214,15 +215,15 @@
     }
 
     fn visit_u64<E>(self, number: u64) -> Result<Scalar<'de>, E> {
-        Ok(Scalar::Whole(number))
+        Ok(Scalar::Unsigned(number))
     }
 
     fn visit_i64<E>(self, number: i64) -> Result<Scalar<'de>, E> {
-        Ok(Scalar::Number(number as f64))
+        Ok(Scalar::Float(number as f64))
     }
 
     fn visit_f64<E>(self, number: f64) -> Result<Scalar<'de>, E> {
-        Ok(Scalar::Number(number))
+        Ok(Scalar::Float(number))
     }
 
     fn visit_bool<E>(self, _: bool) -> Result<Scalar<'de>, E> {
--- a/src/bin/frostvale/gatekeeper/starting.rs
+++ b/src/bin/frostvale/gatekeeper/starting.rs
@@ -1,48 +1,49 @@
-//! Before the first endpoint list: requests are taken in and held, so that none waits unseen in the listener's queue while its
-//! time runs out.
+//! Startup, before the first endpoint list: requests are accepted and held. Left in the listener's queue,
+//! they could reach their deadlines without the gatekeeper noticing.
 
-use super::{Due, Gatekeeper, ResponseSink};
+use super::{Gatekeeper, ResponseSink, TimerKind};
 use frostvale::Request;
 use std::rc::Rc;
 
-/// A request that is held for this part of its client's time is refused: later its refusal would cost the client more.
-const HOLD_PART: f64 = 0.4;
+/// A request is refused after it has been held for this share of the time until its deadline. A later refusal
+/// would cost the client more of its time.
+const MAX_HOLD_SHARE: f64 = 0.4;
 
-/// What is held until the first list.
+/// Requests, by id, and answers that are held until the gatekeeper serves.
 #[derive(Default)]
-pub(super) struct Held {
+pub(super) struct StartupQueue {
     requests: Vec<u64>,
     answers: Vec<(u64, Rc<dyn ResponseSink>, Vec<u8>)>,
 }
 
 impl Gatekeeper {
-    /// Whether requests go on to servers.
+    /// Whether requests are passed on to workers.
     pub fn is_serving(&self) -> bool {
-        self.held_at_start.is_none()
+        self.startup_queue.is_none()
     }
 
-    /// Holds a request that has just come, and has its place in `requests`.
-    pub(super) fn hold(&mut self, request: Request) {
+    /// Holds a new request that is already in `requests`.
+    pub(super) fn hold_until_serving(&mut self, request: Request) {
         let (id, now) = (request.id, self.now());
-        let refuse_at = now + HOLD_PART * (request.deadline - now).max(0.0);
+        let refuse_at = now + MAX_HOLD_SHARE * (request.deadline - now).max(0.0);
         if let Some(r) = self.requests.get_mut(&id) {
             r.pending = Some(request);
         }
-        if let Some(held) = &mut self.held_at_start {
-            held.requests.push(id);
+        if let Some(queue) = &mut self.startup_queue {
+            queue.requests.push(id);
         }
-        self.at(refuse_at, Due::Held(id));
+        self.schedule(refuse_at, TimerKind::StartupHold(id));
     }
 
-    /// Holds an answer that tells that this gatekeeper serves.
+    /// Sends an answer that signals readiness, once this gatekeeper serves.
     pub fn answer_once_serving(&mut self, id: u64, client: Rc<dyn ResponseSink>, answer: Vec<u8>) {
-        match &mut self.held_at_start {
-            Some(held) => held.answers.push((id, client, answer)),
+        match &mut self.startup_queue {
+            Some(queue) => queue.answers.push((id, client, answer)),
             None => client.answer(id, &answer),
         }
     }
 
-    /// A held request has waited for long enough.
+    /// Refuses a request that has been held for its maximum time.
     pub(super) fn refuse_held(&mut self, id: u64) {
         if let Some(r) = self.requests.get_mut(&id) {
             r.pending = None;
@@ -51,13 +52,13 @@
         }
     }
 
-    /// From now on requests go on to servers, those that are held first.
+    /// Starts serving: sends the held answers, then processes the held requests.
     pub fn begin_serving(&mut self) {
-        let Some(held) = self.held_at_start.take() else { return };
-        for (id, client, answer) in held.answers {
+        let Some(queue) = self.startup_queue.take() else { return };
+        for (id, client, answer) in queue.answers {
             client.answer(id, &answer);
         }
-        for id in held.requests {
+        for id in queue.requests {
             if let Some(request) = self.requests.get_mut(&id).and_then(|r| r.pending.take()) {
                 self.begin_request(request);
             }
