--- a/src/bin/frostvale/backoff.rs
+++ b/src/bin/frostvale/backoff.rs
@@ -1,44 +1,44 @@
-//! How long to wait before a call that failed is made again. Many gatekeepers lose discovery in the same moment: pauses that
-//! are the same for all would bring all back in the same moment too, each time.
+//! Pauses before a failed call is repeated. They are randomized: many gatekeepers lose discovery at the same
+//! moment, and pauses of equal length would bring all of them back at the same moment too, each time.
 
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-const LEAST_MS: f64 = 100.0;
-const MOST_MS: f64 = 1000.0;
-/// A pause is drawn from this part of its length up to the whole of it.
-const FROM: f64 = 0.3;
+const MIN_LIMIT_MS: f64 = 100.0;
+const MAX_LIMIT_MS: f64 = 1000.0;
+/// Lower end of a randomized pause, as a fraction of its current upper limit.
+const MIN_PAUSE_FRACTION: f64 = 0.3;
 
-/// The pauses between calls: twice as long after each failure, drawn by lot.
+/// Exponential backoff with jitter: the upper limit doubles after each failure.
 pub struct Backoff {
-    most: f64,
+    limit_ms: f64,
     rng: Pcg64Mcg,
 }
 
 impl Backoff {
-    /// No two with different seeds go in step.
+    /// Creates a backoff. Different seeds give different sequences of pauses.
     pub fn new(seed: u64) -> Backoff {
-        Backoff { most: LEAST_MS, rng: Pcg64Mcg::seed_from_u64(seed) }
+        Backoff { limit_ms: MIN_LIMIT_MS, rng: Pcg64Mcg::seed_from_u64(seed) }
     }
 
-    /// The next pause, in ms.
-    pub fn pause(&mut self) -> f64 {
-        let most = self.most;
-        self.most = (2.0 * most).min(MOST_MS);
-        most * (FROM + (1.0 - FROM) * self.rng.random::<f64>())
+    /// Draws the next pause, in ms, and doubles the upper limit of the one after it.
+    pub fn next_pause_ms(&mut self) -> f64 {
+        let limit_ms = self.limit_ms;
+        self.limit_ms = (2.0 * limit_ms).min(MAX_LIMIT_MS);
+        limit_ms * (MIN_PAUSE_FRACTION + (1.0 - MIN_PAUSE_FRACTION) * self.rng.random::<f64>())
     }
 
-    /// How long the next one may be; it is then as if it had been drawn.
+    /// Returns the upper limit of the next pause, in ms, and advances as if the pause had been drawn.
     #[cfg(test)]
-    pub fn longest(&mut self) -> f64 {
-        let most = self.most;
-        self.pause();
-        most
+    pub fn max_pause_ms(&mut self) -> f64 {
+        let limit_ms = self.limit_ms;
+        self.next_pause_ms();
+        limit_ms
     }
 
-    /// A call was answered: the next failure begins anew.
+    /// Resets the upper limit to its minimum, after a call has succeeded.
     pub fn reset(&mut self) {
-        self.most = LEAST_MS;
+        self.limit_ms = MIN_LIMIT_MS;
     }
 }
 
--- a/src/bin/frostvale/client.rs
+++ b/src/bin/frostvale/client.rs
@@ -1,8 +1,10 @@
-//! One client's connection: pipelined commands, which are begun at once, answers in their order, and how it ends.
+//! One client's connection: reads pipelined commands, starts each as soon as it is complete, and writes the
+//! answers in the order of their commands.
 //!
-//! Where it stands is one state, `ConnectionState`, which each event moves on. An end of the client's sending, by reset or by end of
-//! file, means that it has gone, whatever it sent before: no client waits for answers on a connection that it has closed
-//! for sending, and what is begun for one that is gone is of no use to anybody.
+//! The connection's lifecycle is a single value, [`ConnectionState`], which each event advances. When the
+//! client ends its sending side, by a reset or an end of file, it counts as disconnected, whatever it sent
+//! before: no client waits for answers on a connection that it has closed for sending, so starting work for
+//! it would be wasted.
 
 use crate::budget::MemoryShare;
 use crate::client_request::ClientRequest;
@@ -23,80 +25,85 @@
 use tokio::sync::Notify;
 use tokio::time::timeout;
 
-/// Commands of one connection that are in flight at once; more wait in the socket.
-const PIPELINE_MOST: usize = 128;
-/// Answers that a client does not read: past this it is closed.
-const UNREAD_MOST: usize = 1 << 20;
-/// Room that a connection keeps between commands, and has however full the memory is.
-const KEPT: usize = 16 * 1024;
-/// A client's first command, and the rest of any that it has begun, is there within this time, however it
-/// dribbles. What it was sent and doesn't take is as much a silence. One that has sent nothing at all is not told so: what it
-/// sends just then would have that for its answer.
-const SPEAK: Duration = Duration::from_millis(2500);
-/// After the end of our sending the client has this long to read what it was sent and to end its own: a close over
-/// bytes that nobody has read is a reset, which can take the last answer with it.
-const LINGER: Duration = Duration::from_millis(500);
-
-/// Where a connection stands. It only moves down this list, but for one that speaks while it was to be closed for
-/// resting, which is open again.
+/// Commands of one connection that may be in flight at once. Further ones stay in the socket's receive
+/// buffer.
+const MAX_PIPELINED_COMMANDS: usize = 128;
+/// Limit of answers that the client has not read. A connection above it is closed.
+const MAX_UNREAD_BYTES: usize = 1 << 20;
+/// Read buffer that a connection keeps between commands, and may use even when the memory budget is
+/// exhausted.
+const RETAINED_BUFFER_BYTES: usize = 16 * 1024;
+/// Time limit for a client's first command, for the rest of a command of which a part has arrived, however
+/// slowly its bytes come, and for the socket to take bytes of an answer. A client that has sent nothing at
+/// all is closed without an error line: a command that it sends at that moment would take the line for its
+/// answer.
+const COMMAND_TIMEOUT: Duration = Duration::from_millis(2500);
+/// Time for the client to read the last answers and to close its side after the gatekeeper has closed its
+/// own: a close with unread received bytes makes the kernel send a reset, which can discard the last answer.
+const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
+
+/// Lifecycle of a connection. It only advances down this list, with one exception: a `ClosingIdle` connection
+/// on which a command arrives is `Open` again.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Debug)]
 pub enum ConnectionState {
-    /// Commands are read and begun.
+    /// Commands are read and started.
     Open,
-    /// It has rested long enough, or its room is wanted: it ends, unless a command is there already.
-    Resting,
-    /// The process stops: it ends once nothing is in flight. What is there by then is still served.
+    /// It was idle for too long, or its slot is needed: it is closed unless a command has already arrived.
+    ClosingIdle,
+    /// The process stops: the connection ends once nothing is in flight. Commands that have arrived by then
+    /// are still served.
     Stopping,
-    /// Nothing more is begun, as the process stops: it ends once all that was is answered, and what is there by then is refused.
-    Declining,
-    /// Nothing more is begun. It ends once all that was is answered.
+    /// The process stops and starts no further command: the connection ends once all pending ones are
+    /// answered. Commands that have arrived by then are answered with `-BUSY`.
+    Rejecting,
+    /// No further command is started. The connection ends once all pending ones are answered.
     Closing,
-    /// Our sending has ended. What still comes is read, for a time, and dropped.
+    /// The gatekeeper has closed its sending side. For a limited time what still arrives is read and dropped.
     HalfClosed,
-    /// It is over: broken, or the client has gone.
-    Over,
+    /// The connection has failed, or the client has disconnected.
+    Closed,
 }
 
-/// What the client is waited for.
+/// What the connection expects from the client next.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Awaits {
-    /// Its first command, of which nothing is there.
-    First,
+enum Expected {
+    /// Its first command; no byte of it has arrived.
+    FirstCommand,
     /// The rest of its first command.
-    FirstRest,
-    /// The rest of a command.
-    Rest,
-    /// One more command, or nothing.
-    Next,
+    RestOfFirstCommand,
+    /// The rest of a later command.
+    RestOfCommand,
+    /// Another command, or none.
+    NextCommand,
 }
 
-/// An answer's place in the order of its connection.
-enum Slot {
-    Waiting(u64),
+/// Position of one answer in the connection's answer order.
+enum AnswerSlot {
+    Pending(u64),
     Ready(Vec<u8>),
 }
 
 #[derive(Default)]
-struct Out {
-    slots: VecDeque<Slot>,
-    /// What the socket has not taken yet.
+struct Output {
+    slots: VecDeque<AnswerSlot>,
+    /// Bytes that the socket has not taken yet.
     bytes: Vec<u8>,
-    /// What stands ready behind an answer that is still waited for.
-    ready: usize,
-    /// Since when the socket has taken nothing of what it should.
-    stuck: Option<Instant>,
+    /// Total size of the answers that are complete but wait for an earlier one.
+    ready_bytes: usize,
+    /// Time since which the socket has taken none of `bytes`.
+    blocked_since: Option<Instant>,
 }
 
-/// A client's connection.
+/// A client's connection. The table in `clients` and the task that serves it share it.
 pub struct Client {
     stream: TcpStream,
-    life: Cell<ConnectionState>,
-    out: RefCell<Out>,
-    /// What it is waited for, and since when.
-    awaits: Cell<(Awaits, Instant)>,
+    state: Cell<ConnectionState>,
+    out: RefCell<Output>,
+    /// What is expected from the client, and since when.
+    expected: Cell<(Expected, Instant)>,
     wake: Notify,
-    /// Told when its place in the table is free.
-    room: Rc<Notify>,
+    /// Notified when the connection no longer needs its slot in the table.
+    slot_freed: Rc<Notify>,
     reading: MemoryShare,
     unread: MemoryShare,
     receive_times: Rc<ReceiveTimes>,
@@ -104,115 +111,124 @@
 }
 
 impl ResponseSink for Client {
-    /// Gives the answer to a request, in its turn.
+    /// Writes the answer to a request, or stores it until all earlier answers are written.
     fn answer(&self, id: u64, bytes: &[u8]) {
-        if let (Awaits::Next, _) = self.awaits.get() {
-            self.awaits.set((Awaits::Next, Instant::now()));
+        if let (Expected::NextCommand, _) = self.expected.get() {
+            self.expected.set((Expected::NextCommand, Instant::now()));
         }
         let mut out = self.out.borrow_mut();
-        let full = out.slots.len() >= PIPELINE_MOST;
-        if matches!(out.slots.front(), Some(Slot::Waiting(first)) if *first == id) {
+        let was_full = out.slots.len() >= MAX_PIPELINED_COMMANDS;
+        if matches!(out.slots.front(), Some(AnswerSlot::Pending(first)) if *first == id) {
             out.slots.pop_front();
             self.write(&mut out, bytes);
-            self.advance(&mut out);
-        } else if let Some(slot) = out.slots.iter_mut().find(|s| matches!(s, Slot::Waiting(k) if *k == id)) {
-            *slot = Slot::Ready(bytes.to_vec());
-            out.ready += bytes.len();
+            self.write_ready_answers(&mut out);
+        } else if let Some(slot) =
+            out.slots.iter_mut().find(|s| matches!(s, AnswerSlot::Pending(k) if *k == id))
+        {
+            *slot = AnswerSlot::Ready(bytes.to_vec());
+            out.ready_bytes += bytes.len();
         }
-        self.check(&out);
-        if full && out.slots.len() < PIPELINE_MOST {
+        self.enforce_memory_limits(&out);
+        if was_full && out.slots.len() < MAX_PIPELINED_COMMANDS {
             self.wake.notify_one();
         }
     }
 
-    /// Whether its end has come, as far as the runtime knows. Its task may not have had its turn since.
+    /// Whether the client has disconnected, as far as the runtime has been informed; the connection's task
+    /// may not have run since.
     fn is_disconnected(&self) -> bool {
-        let mut gone = pin!(self.gone());
-        self.life.get() == ConnectionState::Over
-            || gone.as_mut().poll(&mut Context::from_waker(Waker::noop())).is_ready()
+        let mut disconnected = pin!(self.disconnected());
+        self.state.get() == ConnectionState::Closed
+            || disconnected.as_mut().poll(&mut Context::from_waker(Waker::noop())).is_ready()
     }
 }
 
 impl Client {
-    /// One that has just been accepted. `reading` and `unread` are its parts of what all connections may hold.
+    /// Wraps a connection that has just been accepted. `reading` and `unread` are its shares of the memory
+    /// budgets of all connections: for bytes of commands and for answers that the socket has not taken.
     pub fn new(
         stream: TcpStream,
         reading: MemoryShare,
         unread: MemoryShare,
-        room: Rc<Notify>,
+        slot_freed: Rc<Notify>,
         receive_times: Rc<ReceiveTimes>,
     ) -> Client {
-        // Small answers must not wait for acknowledgements; a socket that fails here fails at its first read.
+        // Small answers must not wait for acknowledgements. A socket on which this fails also fails its first
+        // read.
         let _ = stream.set_nodelay(true);
         Client {
             connection_id: ConnectionId::of(&stream),
             stream,
-            life: Cell::new(ConnectionState::Open),
+            state: Cell::new(ConnectionState::Open),
             out: RefCell::default(),
-            awaits: Cell::new((Awaits::First, Instant::now())),
+            expected: Cell::new((Expected::FirstCommand, Instant::now())),
             wake: Notify::new(),
-            room,
+            slot_freed,
             reading,
             unread,
             receive_times,
         }
     }
 
+    /// The connection's place in its lifecycle.
     pub fn state(&self) -> ConnectionState {
-        self.life.get()
+        self.state.get()
     }
 
-    /// Whether it has sent a whole command.
+    /// Whether the client has ever sent a complete command.
     pub fn has_sent_command(&self) -> bool {
-        !matches!(self.awaits.get().0, Awaits::First | Awaits::FirstRest)
+        !matches!(self.expected.get().0, Expected::FirstCommand | Expected::RestOfFirstCommand)
     }
 
-    /// When the last answer was given or command came.
+    /// When the last answer was written or the last command arrived.
     pub fn last_used(&self) -> Instant {
-        self.awaits.get().1
+        self.expected.get().1
     }
 
-    /// Whether it stands between requests, with nothing begun on either side.
-    pub fn is_resting(&self) -> bool {
-        self.life.get() == ConnectionState::Open && self.idle() && self.awaits.get().0 != Awaits::Rest
+    /// Whether the connection is open with no command in flight and none partly received.
+    pub fn is_idle(&self) -> bool {
+        self.state.get() == ConnectionState::Open
+            && self.is_drained()
+            && self.expected.get().0 != Expected::RestOfCommand
     }
 
-    /// Moves its life on, never back.
-    pub fn advance_to(&self, life: ConnectionState) {
-        if self.life.get() < life {
-            self.life.set(life);
+    /// Advances the lifecycle to `state`. Does nothing if the connection is already there or further.
+    pub fn advance_to(&self, state: ConnectionState) {
+        if self.state.get() < state {
+            self.state.set(state);
             self.wake.notify_one();
         }
     }
 
-    /// The requests that it still waits for, once it is over.
+    /// Removes all answer slots and returns the ids of the requests that are still pending, once the
+    /// connection is over.
     pub fn take_pending(&self) -> Vec<u64> {
         let slots = std::mem::take(&mut self.out.borrow_mut().slots);
         slots
             .into_iter()
-            .filter_map(|slot| if let Slot::Waiting(id) = slot { Some(id) } else { None })
+            .filter_map(|slot| if let AnswerSlot::Pending(id) = slot { Some(id) } else { None })
             .collect()
     }
 
-    /// Puts an answer that needs no request into its turn.
-    fn say(&self, bytes: &[u8]) {
+    /// Queues an answer that needs no request, in its turn.
+    fn respond(&self, bytes: &[u8]) {
         let mut out = self.out.borrow_mut();
         if out.slots.is_empty() {
             self.write(&mut out, bytes);
         } else {
-            out.slots.push_back(Slot::Ready(bytes.to_vec()));
-            out.ready += bytes.len();
+            out.slots.push_back(AnswerSlot::Ready(bytes.to_vec()));
+            out.ready_bytes += bytes.len();
         }
-        self.check(&out);
+        self.enforce_memory_limits(&out);
     }
 
-    /// Writes the answers whose turn has come, in one go.
-    fn advance(&self, out: &mut Out) {
+    /// Writes all answers that no longer wait for an earlier one, in a single write.
+    fn write_ready_answers(&self, out: &mut Output) {
         let mut all = Vec::new();
-        while matches!(out.slots.front(), Some(Slot::Ready(_)))
-            && let Some(Slot::Ready(bytes)) = out.slots.pop_front()
+        while matches!(out.slots.front(), Some(AnswerSlot::Ready(_)))
+            && let Some(AnswerSlot::Ready(bytes)) = out.slots.pop_front()
         {
-            out.ready -= bytes.len();
+            out.ready_bytes -= bytes.len();
             all.extend_from_slice(&bytes);
         }
         if !all.is_empty() {
@@ -220,90 +236,100 @@
         }
     }
 
-    /// Hands bytes to the socket; what it does not take waits for the connection's task.
-    fn write(&self, out: &mut Out, bytes: &[u8]) {
-        let taken = if out.bytes.is_empty() && self.life.get() != ConnectionState::Over {
+    /// Writes bytes to the socket. What the socket does not take is kept for the connection's task.
+    fn write(&self, out: &mut Output, bytes: &[u8]) {
+        let written = if out.bytes.is_empty() && self.state.get() != ConnectionState::Closed {
             match self.stream.try_write(bytes) {
                 Ok(n) => n,
                 Err(e) if e.kind() == ErrorKind::WouldBlock => 0,
                 Err(_) => {
-                    self.advance_to(ConnectionState::Over);
+                    self.advance_to(ConnectionState::Closed);
                     0
                 }
             }
         } else {
             0
         };
-        out.bytes.extend_from_slice(&bytes[taken..]);
-        if !out.bytes.is_empty() && out.stuck.is_none() {
-            out.stuck = Some(Instant::now());
+        out.bytes.extend_from_slice(&bytes[written..]);
+        if !out.bytes.is_empty() && out.blocked_since.is_none() {
+            out.blocked_since = Some(Instant::now());
         }
     }
 
-    /// Ends one that sends and never reads, which must not fill the memory, and wakes the task that has something to do.
-    fn check(&self, out: &Out) {
-        let unread = out.bytes.len() + out.ready;
-        if !self.unread.update(unread, KEPT) || unread > UNREAD_MOST {
-            self.advance_to(ConnectionState::Over);
+    /// Closes the connection if its unread answers are above the limits, since a client that sends and never
+    /// reads must not fill the memory. Wakes the connection's task where it has something to do.
+    fn enforce_memory_limits(&self, out: &Output) {
+        let unread = out.bytes.len() + out.ready_bytes;
+        if !self.unread.update(unread, RETAINED_BUFFER_BYTES) || unread > MAX_UNREAD_BYTES {
+            self.advance_to(ConnectionState::Closed);
         }
-        if !out.bytes.is_empty() || self.life.get() != ConnectionState::Open {
+        if !out.bytes.is_empty() || self.state.get() != ConnectionState::Open {
             self.wake.notify_one();
         }
     }
 
+    /// Writes the stored bytes as far as the socket takes them.
     fn flush(&self) {
         let mut out = self.out.borrow_mut();
         match self.stream.try_write(&out.bytes) {
-            Ok(n) if n == out.bytes.len() => (out.bytes, out.stuck) = (Vec::new(), None),
+            Ok(n) if n == out.bytes.len() => (out.bytes, out.blocked_since) = (Vec::new(), None),
             Ok(n) => {
                 out.bytes.drain(..n);
-                out.stuck = Some(Instant::now());
+                out.blocked_since = Some(Instant::now());
             }
             Err(e) if e.kind() == ErrorKind::WouldBlock => {}
-            Err(_) => self.advance_to(ConnectionState::Over),
+            Err(_) => self.advance_to(ConnectionState::Closed),
         }
-        self.unread.update(out.bytes.len() + out.ready, KEPT);
+        self.unread.update(out.bytes.len() + out.ready_bytes, RETAINED_BUFFER_BYTES);
     }
 
-    fn idle(&self) -> bool {
+    /// Whether no answer is pending or unwritten.
+    fn is_drained(&self) -> bool {
         let out = self.out.borrow();
         out.slots.is_empty() && out.bytes.is_empty()
     }
 
-    /// Says what was wrong, once all before it is answered, and ends.
-    fn refuse(&self, what: &str) {
-        self.say(format!("-ERR protocol error: {what}\r\n").as_bytes());
+    /// Answers with a protocol error after all pending answers, then closes the connection.
+    fn close_with_error(&self, what: &str) {
+        self.respond(format!("-ERR protocol error: {what}\r\n").as_bytes());
         self.advance_to(ConnectionState::Closing);
     }
 
-    /// Ends it where one of its times is up. `rest` is how long it may stand between requests.
-    pub fn check_timeouts(&self, now: Instant, rest: Duration) {
-        let past = |since: Instant, most: Duration| now.saturating_duration_since(since) > most;
-        if self.out.borrow().stuck.is_some_and(|since| past(since, SPEAK)) {
-            return self.advance_to(ConnectionState::Over);
+    /// Closes the connection if one of its time limits has passed. `idle_limit` is how long it may stay
+    /// without a command.
+    pub fn check_timeouts(&self, now: Instant, idle_limit: Duration) {
+        let has_passed = |since: Instant, limit: Duration| now.saturating_duration_since(since) > limit;
+        if self.out.borrow().blocked_since.is_some_and(|since| has_passed(since, COMMAND_TIMEOUT)) {
+            return self.advance_to(ConnectionState::Closed);
         }
-        if self.life.get() != ConnectionState::Open || !self.idle() {
+        if self.state.get() != ConnectionState::Open || !self.is_drained() {
             return;
         }
-        match self.awaits.get() {
-            (Awaits::FirstRest | Awaits::Rest, since) if past(since, SPEAK) => {
-                self.refuse("no whole command in time")
+        match self.expected.get() {
+            (Expected::RestOfFirstCommand | Expected::RestOfCommand, since)
+                if has_passed(since, COMMAND_TIMEOUT) =>
+            {
+                self.close_with_error("no whole command in time")
+            }
+            (Expected::FirstCommand, since) if has_passed(since, COMMAND_TIMEOUT) => {
+                self.advance_to(ConnectionState::ClosingIdle)
+            }
+            (Expected::NextCommand, since) if has_passed(since, idle_limit) => {
+                self.advance_to(ConnectionState::ClosingIdle)
             }
-            (Awaits::First, since) if past(since, SPEAK) => self.advance_to(ConnectionState::Resting),
-            (Awaits::Next, since) if past(since, rest) => self.advance_to(ConnectionState::Resting),
             _ => {}
         }
     }
 
-    /// Takes in all that is there, up to a bound. `Ok(false)` where nothing is, `Err` where the client has gone: its end is
-    /// looked for before anything of what it sent is begun.
+    /// Reads what has arrived, up to a bound. Returns `Ok(false)` where nothing has, and `Err` where the
+    /// client has disconnected: that is checked before any command it sent is started.
     fn read(&self, bytes: &mut Vec<u8>) -> Result<bool, ()> {
         let before = bytes.len();
         loop {
             bytes.reserve(2048);
             match self.stream.try_read_buf(bytes) {
                 Ok(0) => return Err(()),
-                Ok(_) if bytes.len() < KEPT => {}
+                Ok(_) if bytes.len() < RETAINED_BUFFER_BYTES => {}
                 Ok(_) => return Ok(true),
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return Ok(bytes.len() > before),
                 Err(_) => return Err(()),
@@ -311,121 +337,129 @@
         }
     }
 
-    /// When the last of the bytes that are read came, whether or not this process had a turn since.
+    /// When the last of the bytes that are read arrived, independent of when this process was scheduled.
     fn last_received(&self) -> Instant {
         let id = self.connection_id.as_ref();
         id.map_or_else(Instant::now, |id| self.receive_times.last_received(id))
     }
 
-    /// Waits for the client's end, also behind bytes that are not read: nothing else of it is wanted now.
-    async fn gone(&self) {
-        // Of what a socket can be ready for, priority alone brings nothing but the end here.
+    /// Waits until the client disconnects, also with unread bytes before the end of file: nothing else of it
+    /// is wanted now.
+    async fn disconnected(&self) {
+        // A socket that is polled for priority data alone becomes ready here only when the peer closes.
         let _ = self.stream.ready(Interest::PRIORITY).await;
     }
 
-    /// Waits until there is something to read. Whether the client has gone, whatever it sent before.
+    /// Waits until there is something to read. Returns false where the client has disconnected, whatever it
+    /// sent before.
     async fn readable(&self) -> bool {
         self.stream.ready(Interest::READABLE).await.is_ok_and(|ready| !ready.is_read_closed())
     }
 
     /// Serves the connection until either side ends it.
     pub async fn serve(self: &Rc<Client>, gatekeeper: &Shared) {
-        if self.until_end(gatekeeper).await.is_ok() {
-            self.end_in_order().await;
+        if self.process_commands(gatekeeper).await.is_ok() {
+            self.close_gracefully().await;
         }
-        self.life.set(ConnectionState::Over);
+        self.state.set(ConnectionState::Closed);
     }
 
-    /// `Ok` once our sending may end, `Err` where the client has gone.
-    async fn until_end(self: &Rc<Client>, gatekeeper: &Shared) -> Result<(), ()> {
+    /// Serves commands. Returns `Ok` once the sending side may be closed, `Err` where the client has
+    /// disconnected.
+    async fn process_commands(self: &Rc<Client>, gatekeeper: &Shared) -> Result<(), ()> {
         let mut bytes: Vec<u8> = Vec::new();
-        let mut came = Instant::now();
+        let mut received_at = Instant::now();
         loop {
-            if self.life.get() == ConnectionState::Over {
+            if self.state.get() == ConnectionState::Closed {
                 return Err(());
             }
-            // What came while the line was full is taken up when there is room again.
-            let room = self.out.borrow().slots.len() < PIPELINE_MOST;
-            if room && !bytes.is_empty() {
-                match self.take(gatekeeper, &mut bytes, came) {
+            // Commands that arrived while the pipeline was full are started once it has room.
+            let has_room = self.out.borrow().slots.len() < MAX_PIPELINED_COMMANDS;
+            if has_room && !bytes.is_empty() {
+                match self.start_commands(gatekeeper, &mut bytes, received_at) {
                     Ok(true) => continue,
-                    Ok(false) => match self.awaits.get() {
-                        (Awaits::Next, _) => self.awaits.set((Awaits::Rest, came)),
-                        (Awaits::First, since) => self.awaits.set((Awaits::FirstRest, since)),
+                    Ok(false) => match self.expected.get() {
+                        (Expected::NextCommand, _) => {
+                            self.expected.set((Expected::RestOfCommand, received_at))
+                        }
+                        (Expected::FirstCommand, since) => {
+                            self.expected.set((Expected::RestOfFirstCommand, since))
+                        }
                         _ => {}
                     },
-                    Err(broken) => {
+                    Err(error) => {
                         bytes = Vec::new();
-                        self.refuse(broken.0);
+                        self.close_with_error(error.0);
                     }
                 }
             }
-            if !self.reading.update(bytes.capacity(), KEPT) {
+            if !self.reading.update(bytes.capacity(), RETAINED_BUFFER_BYTES) {
                 bytes = Vec::new();
-                self.refuse("no room for so long a command now");
+                self.close_with_error("no room for so long a command now");
             }
-            let (idle, life) = (self.idle(), self.life.get());
-            match life {
-                ConnectionState::Resting if idle => {
+            let (is_drained, state) = (self.is_drained(), self.state.get());
+            match state {
+                ConnectionState::ClosingIdle if is_drained => {
                     if !self.read(&mut bytes)? {
                         return Ok(());
                     }
-                    (came, _) = (self.last_received(), self.life.set(ConnectionState::Open));
+                    (received_at, _) = (self.last_received(), self.state.set(ConnectionState::Open));
                     continue;
                 }
-                ConnectionState::Stopping if idle => {
+                ConnectionState::Stopping if is_drained => {
                     if self.read(&mut bytes)? {
-                        came = self.last_received();
+                        received_at = self.last_received();
                         continue;
                     }
                     if bytes.is_empty() {
                         return Ok(());
                     }
                 }
-                ConnectionState::Declining if idle => {
-                    self.life.set(ConnectionState::Closing);
+                ConnectionState::Rejecting if is_drained => {
+                    self.state.set(ConnectionState::Closing);
                     if self.read(&mut bytes)? {
-                        came = self.last_received();
+                        received_at = self.last_received();
                         continue;
                     }
                     return Ok(());
                 }
-                ConnectionState::Closing if idle => return Ok(()),
+                ConnectionState::Closing if is_drained => return Ok(()),
                 _ => {}
             }
-            let reads =
-                room && (life == ConnectionState::Open || (life == ConnectionState::Stopping && idle));
-            let unread = !self.out.borrow().bytes.is_empty();
+            let can_read = has_room
+                && (state == ConnectionState::Open || (state == ConnectionState::Stopping && is_drained));
+            let has_unwritten = !self.out.borrow().bytes.is_empty();
             tokio::select! {
-                here = self.readable(), if reads => {
-                    if !here {
+                connected = self.readable(), if can_read => {
+                    if !connected {
                         return Err(());
                     }
                     if self.read(&mut bytes)? {
-                        came = self.last_received();
+                        received_at = self.last_received();
                     }
                 }
-                () = self.gone(), if !reads => return Err(()),
-                _ = self.stream.writable(), if unread => self.flush(),
+                () = self.disconnected(), if !can_read => return Err(()),
+                _ = self.stream.writable(), if has_unwritten => self.flush(),
                 () = self.wake.notified() => {}
             }
         }
     }
 
-    /// Ends our sending, so that the last answer is read before the end; what comes after that is not begun.
-    async fn end_in_order(&self) {
-        if self.life.get() == ConnectionState::Over
+    /// Closes the sending side, so that the client can read the last answer before the end of file. What
+    /// arrives after that is read and dropped.
+    async fn close_gracefully(&self) {
+        if self.state.get() == ConnectionState::Closed
             || SockRef::from(&self.stream).shutdown(Shutdown::Write).is_err()
         {
             return;
         }
-        self.life.set(ConnectionState::HalfClosed);
-        self.awaits.set((Awaits::Next, Instant::now()));
-        self.room.notify_one();
-        let read_on = async {
-            let mut waste = [0u8; 4096];
+        self.state.set(ConnectionState::HalfClosed);
+        self.expected.set((Expected::NextCommand, Instant::now()));
+        self.slot_freed.notify_one();
+        let drain = async {
+            let mut discarded = [0u8; 4096];
             while self.stream.readable().await.is_ok() {
-                match self.stream.try_read(&mut waste) {
+                match self.stream.try_read(&mut discarded) {
                     Ok(0) => return,
                     Ok(_) => {}
                     Err(e) if e.kind() == ErrorKind::WouldBlock => {}
@@ -433,60 +467,68 @@
                 }
             }
         };
-        let cut_short = async {
-            while self.life.get() != ConnectionState::Over {
+        let until_closed = async {
+            while self.state.get() != ConnectionState::Closed {
                 self.wake.notified().await;
             }
         };
-        let _ = timeout(LINGER, async {
+        let _ = timeout(LINGER_TIMEOUT, async {
             tokio::select! {
-                () = read_on => {}
-                () = cut_short => {}
+                () = drain => {}
+                () = until_closed => {}
             }
         })
         .await;
     }
 
-    /// Begins every whole command in the bytes, as far as there is room in the line. Whether there was any. `came` is when
-    /// the last of the bytes came: a client's time runs on while its command waits here.
-    fn take(
+    /// Starts every complete command in `bytes` as far as the pipeline has room, and returns whether there
+    /// was one. `received_at` is when the last of the bytes arrived: the client's deadline runs while its
+    /// command waits here.
+    fn start_commands(
         self: &Rc<Client>,
         gatekeeper: &Shared,
         bytes: &mut Vec<u8>,
-        came: Instant,
+        received_at: Instant,
     ) -> Result<bool, ProtocolError> {
         let mut at = 0;
-        let ended = loop {
-            if self.out.borrow().slots.len() >= PIPELINE_MOST {
+        let result = loop {
+            if self.out.borrow().slots.len() >= MAX_PIPELINED_COMMANDS {
                 break Ok(());
             }
             match resp::command(&bytes[at..]) {
                 Ok(Some(command)) => {
-                    self.begin(gatekeeper, &bytes[at..], &command, came);
+                    self.start_command(gatekeeper, &bytes[at..], &command, received_at);
                     at += command.len;
                 }
                 Ok(None) => break Ok(()),
-                Err(broken) => break Err(broken),
+                Err(error) => break Err(error),
             }
         };
-        if at == bytes.len() && bytes.capacity() > KEPT {
+        if at == bytes.len() && bytes.capacity() > RETAINED_BUFFER_BYTES {
             *bytes = Vec::new();
         } else {
             bytes.drain(..at);
         }
         if at > 0 {
-            self.awaits.set((Awaits::Next, Instant::now()));
+            self.expected.set((Expected::NextCommand, Instant::now()));
         }
-        ended.map(|()| at > 0)
+        result.map(|()| at > 0)
     }
 
-    fn begin(self: &Rc<Client>, gatekeeper: &Shared, bytes: &[u8], command: &Command, came: Instant) {
+    /// Parses and starts one command, or answers it at once.
+    fn start_command(
+        self: &Rc<Client>,
+        gatekeeper: &Shared,
+        bytes: &[u8],
+        command: &Command,
+        received_at: Instant,
+    ) {
         let name = command.part(bytes, 0);
         if name == b"Q.ASK" || name == b"Q.DO" {
-            if self.life.get() >= ConnectionState::Declining {
-                return self.say(b"-BUSY\r\n");
+            if self.state.get() >= ConnectionState::Rejecting {
+                return self.respond(b"-BUSY\r\n");
             }
-            let ask = {
+            let request = {
                 let gatekeeper = gatekeeper.borrow();
                 ClientRequest::parse(
                     &gatekeeper.conf,
@@ -496,34 +538,34 @@
                     command,
                 )
             };
-            match ask {
-                Ok(mut ask) => {
-                    ask.wait_ms -= came.elapsed().as_secs_f64() * 1000.0;
+            match request {
+                Ok(mut request) => {
+                    request.wait_ms -= received_at.elapsed().as_secs_f64() * 1000.0;
                     let mut gatekeeper = gatekeeper.borrow_mut();
-                    if !gatekeeper.has_room(ask.command.len()) {
-                        return self.say(b"-BUSY\r\n");
+                    if !gatekeeper.has_room(request.command.len()) {
+                        return self.respond(b"-BUSY\r\n");
                     }
                     let id = gatekeeper.next_id();
-                    self.out.borrow_mut().slots.push_back(Slot::Waiting(id));
-                    gatekeeper.handle_request(id, ask, self.clone());
+                    self.out.borrow_mut().slots.push_back(AnswerSlot::Pending(id));
+                    gatekeeper.handle_request(id, request, self.clone());
                 }
-                Err(what) => self.say(format!("-ERR {what}\r\n").as_bytes()),
+                Err(what) => self.respond(format!("-ERR {what}\r\n").as_bytes()),
             }
         } else if name.eq_ignore_ascii_case(b"PING") {
-            let mut echo = Vec::new();
+            let mut pong = Vec::new();
             match command.count {
-                1 => echo.extend_from_slice(b"+PONG\r\n"),
-                _ => resp::put_bulk(&mut echo, command.part(bytes, 1)),
+                1 => pong.extend_from_slice(b"+PONG\r\n"),
+                _ => resp::put_bulk(&mut pong, command.part(bytes, 1)),
             }
             if gatekeeper.borrow().is_serving() {
-                return self.say(&echo);
+                return self.respond(&pong);
             }
             let mut gatekeeper = gatekeeper.borrow_mut();
             let id = gatekeeper.next_id();
-            self.out.borrow_mut().slots.push_back(Slot::Waiting(id));
-            gatekeeper.answer_once_serving(id, self.clone(), echo);
+            self.out.borrow_mut().slots.push_back(AnswerSlot::Pending(id));
+            gatekeeper.answer_once_serving(id, self.clone(), pong);
         } else {
-            self.say(b"-ERR unknown command\r\n");
+            self.respond(b"-ERR unknown command\r\n");
         }
     }
 }
--- a/src/bin/frostvale/clients.rs
+++ b/src/bin/frostvale/clients.rs
@@ -1,4 +1,5 @@
-//! Clients: the listener, and the table of their connections. What one connection does is in `client`.
+//! The clients' listener and the table of their connections, which bounds their number, closes idle ones and
+//! makes room for new ones. The handling of a single connection is in `client`.
 
 use crate::budget::MemoryBudget;
 use crate::client::{Client, ConnectionState};
@@ -17,117 +18,131 @@
 use tokio::task::{unconstrained, yield_now};
 use tokio::time::{sleep, timeout};
 
-/// One that asks nothing more is closed after this time; after the shorter one while the table is half full.
-const IDLE_MOST: Duration = Duration::from_secs(20);
-const IDLE_LEAST: Duration = Duration::from_secs(2);
-/// How often connections' times are looked at.
-const LOOK: Duration = Duration::from_millis(200);
-/// With no room and nobody to make any, a new connection is looked for again after this time.
-const FULL: Duration = Duration::from_millis(20);
-/// One that has only just come gets so long to say something before its room is wanted: its command may still be on its way.
-const FRESH: Duration = Duration::from_millis(200);
-/// Beside a full table one connection in so many may still linger after our end of it.
-const LINGERING_PART: usize = 8;
+/// Idle limit of a connection, and the shorter one that holds while the table is more than half full.
+const IDLE_LIMIT: Duration = Duration::from_secs(20);
+const BUSY_IDLE_LIMIT: Duration = Duration::from_secs(2);
+/// Interval between two checks of the connections' time limits.
+const TIMEOUT_CHECK_INTERVAL: Duration = Duration::from_millis(200);
+/// Longest wait before a full table, or the descriptors, are checked for room again.
+const FULL_RETRY_INTERVAL: Duration = Duration::from_millis(20);
+/// Minimum age at which a connection without a command may be evicted: its first command may still be on its
+/// way.
+const MIN_EVICTION_AGE: Duration = Duration::from_millis(200);
+/// The table's size divided by this is how many connections may linger half-closed in addition to a full
+/// table.
+const LINGERING_SHARE_DIVISOR: usize = 8;
 
-/// All clients' connections.
+/// The table of all clients' connections.
 pub struct Clients {
     all: RefCell<HashMap<u64, Rc<Client>>>,
-    most: usize,
-    /// What a connection's life begins as.
-    begins: Cell<ConnectionState>,
-    /// Told when a connection has ended on our side, and when it is gone.
-    room: Rc<Notify>,
+    max_clients: usize,
+    /// Lifecycle state that a new connection starts in.
+    initial_state: Cell<ConnectionState>,
+    /// Notified when a connection becomes half-closed and when it is removed.
+    slot_freed: Rc<Notify>,
     reading: MemoryBudget,
     unread: MemoryBudget,
     receive_times: Rc<ReceiveTimes>,
 }
 
 impl Clients {
-    /// `memory` bounds what all connections together have read of commands not whole yet, and as much again
-    /// what of answers they do not take.
-    pub fn new(most: usize, memory: usize, run_queue: Arc<RunQueue>) -> Rc<Clients> {
+    /// Creates an empty table for `max_clients` connections. `memory` (bytes) limits what all connections
+    /// together hold of incomplete commands, and, as a second budget of the same size, of answers that the
+    /// clients have not read.
+    pub fn new(max_clients: usize, memory: usize, run_queue: Arc<RunQueue>) -> Rc<Clients> {
         let (reading, unread) = (MemoryBudget::new(memory), MemoryBudget::new(memory));
-        let begins = Cell::new(ConnectionState::Open);
-        let (room, receive_times) = (Rc::default(), Rc::new(ReceiveTimes::open(run_queue)));
-        Rc::new(Clients { all: RefCell::default(), most, begins, room, reading, unread, receive_times })
+        let initial_state = Cell::new(ConnectionState::Open);
+        let (slot_freed, receive_times) = (Rc::default(), Rc::new(ReceiveTimes::open(run_queue)));
+        Rc::new(Clients {
+            all: RefCell::default(),
+            max_clients,
+            initial_state,
+            slot_freed,
+            reading,
+            unread,
+            receive_times,
+        })
     }
 
-    /// The task that ends connections whose time is up.
-    pub async fn keep_time(self: Rc<Self>) {
+    /// Runs the task that closes connections whose time limits have passed.
+    pub async fn run_timeout_checks(self: Rc<Self>) {
         loop {
-            sleep(LOOK).await;
+            sleep(TIMEOUT_CHECK_INTERVAL).await;
             let all = self.all.borrow();
-            let rest = if all.len() > self.most / 2 { IDLE_LEAST } else { IDLE_MOST };
+            let idle_limit = if all.len() > self.max_clients / 2 { BUSY_IDLE_LIMIT } else { IDLE_LIMIT };
             let now = Instant::now();
-            all.values().for_each(|client| client.check_timeouts(now, rest));
+            all.values().for_each(|client| client.check_timeouts(now, idle_limit));
         }
     }
 
     /// Waits until no connection is left.
     pub async fn wait_until_empty(&self) {
         while !self.all.borrow().is_empty() {
-            self.room.notified().await;
+            self.slot_freed.notified().await;
         }
     }
 
-    /// Moves all connections on to this, also those that still come.
-    pub fn advance_all_to(&self, life: ConnectionState) {
-        self.begins.set(life);
-        self.all.borrow().values().for_each(|client| client.advance_to(life));
+    /// Advances all connections to `state`, and lets new ones start in it.
+    pub fn advance_all_to(&self, state: ConnectionState) {
+        self.initial_state.set(state);
+        self.all.borrow().values().for_each(|client| client.advance_to(state));
     }
 
-    /// How many have not yet ended on our side.
-    fn held(&self) -> usize {
+    /// Counts the connections that the gatekeeper has not yet closed on its side.
+    fn count_open(&self) -> usize {
         self.all.borrow().values().filter(|c| c.state() < ConnectionState::HalfClosed).count()
     }
 
-    /// Of those that linger, ends the ones that have for the longest, down to a part of the table. They have the
-    /// descriptors for it beside, so that nobody who comes waits for one to go.
-    fn cut_lingering(&self, most: usize) {
+    /// Closes the half-closed connections that have lingered longest, until at most `limit` remain.
+    /// Descriptors are set aside for them in addition to the table's, so no new connection has to wait for
+    /// one of them.
+    fn trim_lingering(&self, limit: usize) {
         let all = self.all.borrow();
         let mut lingering: Vec<_> =
             all.values().filter(|c| c.state() == ConnectionState::HalfClosed).collect();
         lingering.sort_by_key(|c| c.last_used());
-        let over = lingering.len().saturating_sub(most);
-        lingering.into_iter().take(over).for_each(|c| c.advance_to(ConnectionState::Over));
+        let excess = lingering.len().saturating_sub(limit);
+        lingering.into_iter().take(excess).for_each(|c| c.advance_to(ConnectionState::Closed));
     }
 
-    /// Has the connection closed that has been between requests the longest: only one that never spoke where those
-    /// hold over half of the table. Fewer of them may be pools that are opened ahead, and say nothing yet.
+    /// Closes the connection that has been idle the longest. Where connections that never sent a command hold
+    /// more than half of the table, only one of those is closed; a smaller number may be connection pools
+    /// that are opened ahead of use.
     fn evict(&self) {
         let (all, now) = (self.all.borrow(), Instant::now());
-        let flood = all.values().filter(|c| !c.has_sent_command()).count() > self.most / 2;
-        let gives_way = |c: &Client| match c.has_sent_command() {
-            true => !flood,
-            false => now.saturating_duration_since(c.last_used()) >= FRESH,
+        let mostly_unused = all.values().filter(|c| !c.has_sent_command()).count() > self.max_clients / 2;
+        let is_evictable = |c: &Client| match c.has_sent_command() {
+            true => !mostly_unused,
+            false => now.saturating_duration_since(c.last_used()) >= MIN_EVICTION_AGE,
         };
-        let resting = all.values().filter(|c| c.is_resting() && gives_way(c));
-        if let Some(client) = resting.min_by_key(|c| c.last_used()) {
-            client.advance_to(ConnectionState::Resting);
+        let idle = all.values().filter(|c| c.is_idle() && is_evictable(c));
+        if let Some(client) = idle.min_by_key(|c| c.last_used()) {
+            client.advance_to(ConnectionState::ClosingIdle);
         }
     }
 
-    /// Takes in connections until it is dropped.
+    /// Accepts connections until the future is dropped.
     pub async fn accept(self: Rc<Self>, listener: &TcpListener, gatekeeper: Shared) {
-        let mut complained = false;
+        let mut has_warned = false;
         loop {
-            while self.all.borrow().len() >= self.most && self.held() >= self.most {
+            while self.all.borrow().len() >= self.max_clients && self.count_open() >= self.max_clients {
                 self.evict();
-                // Where all are in use, one may fall idle without leaving.
-                let _ = timeout(FULL, self.room.notified()).await;
+                // If all connections are in use, one may become idle without any notification.
+                let _ = timeout(FULL_RETRY_INTERVAL, self.slot_freed.notified()).await;
             }
-            self.cut_lingering(self.most / LINGERING_PART);
+            self.trim_lingering(self.max_clients / LINGERING_SHARE_DIVISOR);
             match listener.accept().await {
                 Ok((stream, _)) => {
-                    complained = false;
+                    has_warned = false;
                     self.admit(stream, &gatekeeper);
                 }
-                // Out of descriptors, most likely: make room, and don't spin while there is none.
+                // Most likely the descriptors have run out: makes room, and does not spin while there is
+                // none.
                 Err(e) => {
-                    if !std::mem::replace(&mut complained, true) {
+                    if !std::mem::replace(&mut has_warned, true) {
                         tracing::warn!("cannot accept a connection: {e}");
                     }
-                    self.cut_lingering(0);
+                    self.trim_lingering(0);
                     self.evict();
                     sleep(Duration::from_millis(50)).await;
                 }
@@ -135,36 +150,39 @@
         }
     }
 
-    /// Takes in what still stands in the listener's queue, with room in the table or without: the kernel has accepted
-    /// it, and what it has sent with it, and would reset it with the listener. Where descriptors have run out it waits
-    /// for connections to end.
+    /// Accepts what is still in the listener's queue, whether or not the table has room: the kernel has
+    /// already accepted these connections and the data sent on them, and would reset them when the listener
+    /// closes. While no descriptor is free it waits for other connections to end.
     pub async fn accept_rest(self: &Rc<Self>, listener: &TcpListener, gatekeeper: &Shared) {
-        let mut looked = false;
+        let mut has_yielded = false;
         loop {
-            // However many there are: with a budget of the runtime's the queue would look empty once that is spent.
+            // Runs without tokio's cooperative budget, whatever the length of the queue: the queue would look
+            // empty once the budget is spent.
             let accepted = unconstrained(poll_fn(|cx| Poll::Ready(listener.poll_accept(cx)))).await;
             match accepted {
                 Poll::Ready(Ok((stream, _))) => self.admit(stream, gatekeeper),
                 Poll::Ready(Err(_)) if !self.all.borrow().is_empty() => {
-                    self.cut_lingering(0);
-                    sleep(FULL).await;
+                    self.trim_lingering(0);
+                    sleep(FULL_RETRY_INTERVAL).await;
                 }
-                // What has come since the runtime last asked the kernel is not known of yet.
-                Poll::Pending if !std::mem::replace(&mut looked, true) => yield_now().await,
+                // The runtime has not been informed of connections that arrived since it last polled the
+                // kernel.
+                Poll::Pending if !std::mem::replace(&mut has_yielded, true) => yield_now().await,
                 _ => return,
             }
         }
     }
 
+    /// Adds an accepted connection to the table and spawns the task that serves it.
     fn admit(self: &Rc<Self>, stream: TcpStream, gatekeeper: &Shared) {
         let client = Rc::new(Client::new(
             stream,
             self.reading.new_share(),
             self.unread.new_share(),
-            self.room.clone(),
+            self.slot_freed.clone(),
             self.receive_times.clone(),
         ));
-        client.advance_to(self.begins.get());
+        client.advance_to(self.initial_state.get());
         let number = gatekeeper.borrow_mut().next_id();
         self.all.borrow_mut().insert(number, client.clone());
         let (clients, gatekeeper) = (self.clone(), gatekeeper.clone());
@@ -175,7 +193,7 @@
             }
             clients.all.borrow_mut().remove(&number);
             drop(client);
-            clients.room.notify_one();
+            clients.slot_freed.notify_one();
         });
     }
 }
--- a/src/bin/frostvale/discovery.rs
+++ b/src/bin/frostvale/discovery.rs
@@ -1,8 +1,9 @@
-//! Discovery: the whole list, then a watch; and both again whenever that ends or falls silent.
+//! Client of the discovery agent: fetches the whole endpoint list, then watches it for changes, and starts
+//! over whenever the watch ends or falls silent.
 //!
-//! A call that is not answered may be answered yet: an agent that is silent while discovery is down speaks at its return, and
-//! what it says then counts at once. So whatever is silent stays open beside the calls that follow it, and goes once another
-//! one has spoken.
+//! A call without an answer may still be answered: an agent that is silent while discovery is down responds
+//! when discovery returns, and that response has to take effect at once. So a silent call stays open beside
+//! the calls that follow it, and is closed once another one has received data.
 
 mod call_clock;
 
@@ -23,117 +24,122 @@
 use tokio::task::{AbortHandle, JoinSet, yield_now};
 use tokio::time::{Instant, sleep_until};
 
-/// From the start of silence, or from when discovery can be reached again, to the list in effect: a change counts as told
-/// after this, whatever failed, was refused or given up in between. All times below are parts of it.
+/// Time limit from the start of silence, or from the moment discovery can be reached again, until the list is
+/// in effect. A change counts as known to the gatekeeper after this time, whatever calls failed, were refused
+/// or timed out in between. All times below are parts of it.
 #[cfg(test)]
-const TOLD: Duration = Duration::from_secs(6);
-/// The same after a reload has moved discovery.
+const MAX_UPDATE_DELAY: Duration = Duration::from_secs(6);
+/// The same limit after a reload has changed discovery's address.
 #[cfg(test)]
-const TOLD_MOVED: Duration = Duration::from_secs(4);
-/// An empty line comes this often while nothing changes.
+const MAX_UPDATE_DELAY_AFTER_MOVE: Duration = Duration::from_secs(4);
+/// Interval of the empty lines that discovery sends while nothing changes.
 #[cfg(test)]
-const PERIOD: Duration = Duration::from_secs(2);
-/// So many calls are kept open beside a watch that has fallen silent.
-const CALLS_MOST: usize = 2;
-/// One that ends sooner than this after its list, each time, is called with growing pauses.
-const LASTED: Duration = Duration::from_millis(500);
-/// The longest line or list that is read: an endless one must not fill the memory.
-const LIST_MOST: usize = 4 << 20;
-/// So much more of a list counts as progress: less of it may be a line that never ends.
+const EMPTY_LINE_INTERVAL: Duration = Duration::from_secs(2);
+/// Number of calls that are kept open beside a watch that has fallen silent.
+const MAX_CALLS_BESIDE_WATCH: usize = 2;
+/// A watch that ends sooner than this after its list counts as a failed call: the pauses between calls go on
+/// growing.
+const MIN_WATCH_DURATION: Duration = Duration::from_millis(500);
+/// Size limit of a line or list: an endless one must not fill the memory.
+const MAX_LIST_BYTES: usize = 4 << 20;
+/// Bytes of a list that count as progress. Fewer may belong to a line that never ends.
 const PROGRESS_BYTES: usize = 16 * 1024;
 
-/// Follows discovery for as long as the process lives. At a new address all begins anew: versions are its own, and what is
-/// on its way from the old one is dropped.
+/// Follows discovery for as long as the process lives. When its address changes, everything starts over:
+/// versions belong to one address, and responses of the old one that are still on their way are dropped.
 pub async fn follow(gatekeeper: Shared, mut at: watch::Receiver<SocketAddr>, mut backoff: Backoff) {
     loop {
         let address = *at.borrow_and_update();
         tokio::select! {
             biased;
-            moved = at.changed() => {
-                if moved.is_err() {
+            address_change = at.changed() => {
+                if address_change.is_err() {
                     return;
                 }
             }
-            () = follow_one(&gatekeeper, address, &mut backoff) => {}
+            () = follow_address(&gatekeeper, address, &mut backoff) => {}
         }
     }
 }
 
-/// What sessions have read: who spoke last, and when a list that is not whole yet last grew.
+/// Activity of all sessions: which one received a line last, and when a list that is still incomplete last
+/// made progress.
 #[derive(Default)]
-struct Heard {
+struct SessionActivity {
     last: Cell<Option<(u64, Instant)>>,
-    news: Notify,
+    line_received: Notify,
     progress: Cell<Option<Instant>>,
-    unmarked_bytes: Cell<usize>,
+    bytes_since_progress: Cell<usize>,
 }
 
-impl Heard {
-    fn from(&self, session: u64) {
+impl SessionActivity {
+    /// Records that the session received a whole line or list now.
+    fn record_line(&self, session: u64) {
         self.last.set(Some((session, Instant::now())));
-        self.news.notify_one();
+        self.line_received.notify_one();
     }
 
-    /// So many bytes of a list have come.
-    fn read(&self, bytes: usize) {
-        let unmarked = self.unmarked_bytes.get() + bytes;
-        if unmarked >= PROGRESS_BYTES {
+    /// Counts received bytes of a list towards the next progress mark.
+    fn record_bytes(&self, bytes: usize) {
+        let bytes_since = self.bytes_since_progress.get() + bytes;
+        if bytes_since >= PROGRESS_BYTES {
             self.progress.set(Some(Instant::now()));
         }
-        self.unmarked_bytes.set(unmarked % PROGRESS_BYTES);
+        self.bytes_since_progress.set(bytes_since % PROGRESS_BYTES);
     }
 }
 
-/// Follows discovery at one address without end.
-async fn follow_one(gatekeeper: &Shared, address: SocketAddr, backoff: &mut Backoff) {
+/// Follows discovery at one address and never returns.
+async fn follow_address(gatekeeper: &Shared, address: SocketAddr, backoff: &mut Backoff) {
     backoff.reset();
-    let heard = Rc::new(Heard::default());
+    let activity = Rc::new(SessionActivity::default());
     let mut sessions = JoinSet::new();
-    // Those that are open, the oldest first.
+    // Open sessions, the oldest first.
     let mut open: Vec<(u64, AbortHandle)> = Vec::new();
-    let (mut last, mut complained) = (0, false);
+    let (mut last, mut has_warned) = (0, false);
     let mut clock = CallClock::new(Instant::now());
     loop {
         tokio::select! {
-            () = heard.news.notified() => {
-                let Some((speaker, at)) = heard.last.get() else { continue };
-                // Also where it has ended since: what others still bring is older.
+            () = activity.line_received.notified() => {
+                let Some((latest, at)) = activity.last.get() else { continue };
+                // Also if the latest session has ended since: what the others still deliver is older.
                 open.retain(|(session, task)| {
-                    if *session != speaker {
+                    if *session != latest {
                         task.abort();
                     }
-                    *session == speaker
+                    *session == latest
                 });
                 if !open.is_empty() {
                     clock.line_received(at);
                 }
             }
-            Some(ended) = sessions.join_next() => {
-                let Ok((session, lasted, what)) = ended else { continue };
+            Some(end) = sessions.join_next() => {
+                let Ok((session, duration, reason)) = end else { continue };
                 open.retain(|(other, _)| *other != session);
-                if lasted >= LASTED {
+                if duration >= MIN_WATCH_DURATION {
                     backoff.reset();
-                    complained = false;
+                    has_warned = false;
                 }
-                if !std::mem::replace(&mut complained, true) {
-                    tracing::warn!("discovery at {address}: {what}; trying again");
+                if !std::mem::replace(&mut has_warned, true) {
+                    tracing::warn!("discovery at {address} failed: {reason}; trying again");
                 }
-                clock.call_ended(Instant::now(), Duration::from_secs_f64(backoff.pause() / 1000.0));
+                clock.call_ended(Instant::now(), Duration::from_secs_f64(backoff.next_pause_ms() / 1000.0));
             }
             () = sleep_until(clock.due()) => {
-                // What has come while this process was held up is read first.
+                // Data that arrived while this process was held up is read first.
                 yield_now().await;
-                if clock.postpone(heard.progress.get()) {
-                    tracing::debug!(open = open.len(), "a list is being read: discovery is not called yet");
+                if clock.postpone(activity.progress.get()) {
+                    tracing::debug!(open = open.len(), "discovery call postponed: a list is still arriving");
                     continue;
                 }
-                if open.len() > CALLS_MOST {
-                    // The one that was a watch may speak again, and of the calls the latest.
+                if open.len() > MAX_CALLS_BESIDE_WATCH {
+                    // Keeps the oldest, since a former watch may resume, and the latest of the calls.
                     open.remove(1).1.abort();
                 }
                 last += 1;
-                tracing::debug!(call = last, open = open.len(), "discovery is called");
-                let task = sessions.spawn_local(session(last, gatekeeper.clone(), address, heard.clone()));
+                tracing::debug!(call = last, open = open.len(), "calling discovery");
+                let task = sessions
+                    .spawn_local(run_session(last, gatekeeper.clone(), address, activity.clone()));
                 open.push((last, task));
                 clock.call_started(Instant::now());
             }
@@ -141,113 +147,117 @@
     }
 }
 
-/// One connection, until it ends: which it was, how long after its list, and how.
-async fn session(
+/// Runs one connection until it ends. Returns its number, how long it lasted after its list, and why it
+/// ended.
+async fn run_session(
     number: u64,
     gatekeeper: Shared,
     address: SocketAddr,
-    heard: Rc<Heard>,
+    activity: Rc<SessionActivity>,
 ) -> (u64, Duration, String) {
     let mut driver = JoinSet::new();
-    let (mut call, rev) = match fetch(&gatekeeper, address, &mut driver, &heard).await {
+    let (mut sender, rev) = match fetch(&gatekeeper, address, &mut driver, &activity).await {
         Ok(fetched) => fetched,
-        Err(what) => return (number, Duration::ZERO, what),
+        Err(reason) => return (number, Duration::ZERO, reason),
     };
-    let began = Instant::now();
-    heard.from(number);
-    let ended = listen(&gatekeeper, &mut call, address, rev, (&heard, number)).await;
-    (number, began.elapsed(), ended.err().unwrap_or_else(|| "the watch ended".to_string()))
+    let list_received_at = Instant::now();
+    activity.record_line(number);
+    let end = watch_changes(&gatekeeper, &mut sender, address, rev, (&activity, number)).await;
+    (number, list_received_at.elapsed(), end.err().unwrap_or_else(|| "the watch ended".to_string()))
 }
 
-/// A watch from this version on, until it ends.
-async fn listen(
+/// Watches for changes after version `rev` until the watch ends.
+async fn watch_changes(
     gatekeeper: &Shared,
-    call: &mut SendRequest<Empty<Bytes>>,
+    sender: &mut SendRequest<Empty<Bytes>>,
     address: SocketAddr,
     rev: u64,
-    (heard, session): (&Heard, u64),
+    (activity, session): (&SessionActivity, u64),
 ) -> Result<(), String> {
-    let mut body = get(call, address, &format!("/v1/servers?stream=1&index={rev}")).await?.into_body();
-    let mut lines = Lines::default();
+    let mut body = get(sender, address, &format!("/v1/servers?stream=1&index={rev}")).await?.into_body();
+    let mut lines = LineSplitter::default();
     while let Some(frame) = body.frame().await {
         let data = frame.map_err(|e| e.to_string())?.into_data().unwrap_or_default();
-        heard.read(data.len());
-        for line in lines.take(&data)? {
+        activity.record_bytes(data.len());
+        for line in lines.push(&data)? {
             if !line.trim_ascii().is_empty() {
-                take(gatekeeper, &line).await?;
+                apply(gatekeeper, &line).await?;
             }
-            heard.from(session);
+            activity.record_line(session);
         }
     }
     Ok(())
 }
 
-/// Connects and takes the whole list, which has this version. The connection goes on in `driver`, which ends it when it is dropped.
+/// Connects, fetches the whole list, applies it, and returns its version. The connection is driven by a task
+/// in `driver` and ends when `driver` is dropped.
 async fn fetch(
     gatekeeper: &Shared,
     address: SocketAddr,
     driver: &mut JoinSet<()>,
-    heard: &Heard,
+    activity: &SessionActivity,
 ) -> Result<(SendRequest<Empty<Bytes>>, u64), String> {
-    let connecting = |e: &dyn std::fmt::Display| format!("connecting: {e}");
-    let stream = TcpStream::connect(address).await.map_err(|e| connecting(&e))?;
+    let connect_error = |e: &dyn std::fmt::Display| format!("cannot connect: {e}");
+    let stream = TcpStream::connect(address).await.map_err(|e| connect_error(&e))?;
     stream.set_nodelay(true).map_err(|e| e.to_string())?;
-    let (mut call, connection) = handshake(TokioIo::new(stream)).await.map_err(|e| connecting(&e))?;
+    let (mut sender, connection) = handshake(TokioIo::new(stream)).await.map_err(|e| connect_error(&e))?;
     driver.spawn_local(async move {
-        // How it ended shows in the call that waits on it.
+        // A failure of the connection also fails the call that waits on it.
         let _ = connection.await;
     });
-    let mut body = get(&mut call, address, "/v1/servers").await?.into_body();
+    let mut body = get(&mut sender, address, "/v1/servers").await?.into_body();
     let mut text = Vec::new();
     while let Some(frame) = body.frame().await {
         let data = frame.map_err(|e| e.to_string())?.into_data().unwrap_or_default();
-        heard.read(data.len());
+        activity.record_bytes(data.len());
         text.extend_from_slice(&data);
-        if text.len() > LIST_MOST {
-            return Err("the list is too long".into());
+        if text.len() > MAX_LIST_BYTES {
+            return Err("the endpoint list is too long".into());
         }
     }
-    let rev = take(gatekeeper, &text).await?;
-    call.ready().await.map_err(|e| format!("the list: {e}"))?;
-    Ok((call, rev))
+    let rev = apply(gatekeeper, &text).await?;
+    sender.ready().await.map_err(|e| format!("endpoint list: {e}"))?;
+    Ok((sender, rev))
 }
 
-/// Takes one list, or what has changed in it, into effect. Gives its version.
-async fn take(gatekeeper: &Shared, text: &[u8]) -> Result<u64, String> {
+/// Applies one list, or the changes of one, and returns its version.
+async fn apply(gatekeeper: &Shared, text: &[u8]) -> Result<u64, String> {
     apply_update(gatekeeper, text).await.map_err(|e| e.to_string())
 }
 
-/// Bytes that come in pieces, as lines.
+/// Splits bytes that arrive in pieces into lines.
 #[derive(Default)]
-struct Lines {
+struct LineSplitter {
+    /// The incomplete last line.
     text: Vec<u8>,
 }
 
-impl Lines {
-    /// Takes in a piece, and gives the lines that are whole by now.
-    fn take(&mut self, data: &[u8]) -> Result<Vec<Vec<u8>>, String> {
-        let mut whole = Vec::new();
+impl LineSplitter {
+    /// Adds a piece, and returns the lines that are complete by now with their line ends.
+    fn push(&mut self, data: &[u8]) -> Result<Vec<Vec<u8>>, String> {
+        let mut lines = Vec::new();
         for piece in data.split_inclusive(|b| *b == b'\n') {
             self.text.extend_from_slice(piece);
-            if self.text.len() > LIST_MOST {
-                return Err("a line is too long".into());
+            if self.text.len() > MAX_LIST_BYTES {
+                return Err("a line of the watch is too long".into());
             }
             if piece.ends_with(b"\n") {
-                whole.push(std::mem::take(&mut self.text));
+                lines.push(std::mem::take(&mut self.text));
             }
         }
-        Ok(whole)
+        Ok(lines)
     }
 }
 
+/// Sends a GET request and returns the response if its status is 200.
 async fn get(
-    call: &mut SendRequest<Empty<Bytes>>,
+    sender: &mut SendRequest<Empty<Bytes>>,
     address: SocketAddr,
     path: &str,
 ) -> Result<Response<Incoming>, String> {
     let request = Request::get(path).header("host", address.to_string()).body(Empty::new());
     let request = request.map_err(|e| e.to_string())?;
-    let answer = call.send_request(request).await.map_err(|e| format!("{path}: {e}"))?;
+    let answer = sender.send_request(request).await.map_err(|e| format!("{path}: {e}"))?;
     if answer.status() == StatusCode::OK { Ok(answer) } else { Err(format!("{path}: {}", answer.status())) }
 }
 
--- a/src/bin/frostvale/discovery/call_clock.rs
+++ b/src/bin/frostvale/discovery/call_clock.rs
@@ -1,25 +1,29 @@
-//! When discovery is called again: no input or output, times come as arguments.
+//! Schedule of the calls to discovery. It does no input or output; times are passed as arguments.
 
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// With no whole line for this long a watch is thought dead, whatever TCP says and whatever pieces of one still come.
-pub const SILENT: Duration = Duration::from_secs(3);
-/// The agent answers at once with what it has: without the whole list by then another call is made.
-pub const CALL: Duration = Duration::from_secs(1);
-/// A list that keeps coming puts off the next call by so much in all, until something is heard.
-pub const SLOW_LIST: Duration = Duration::from_millis(750);
-
-/// The time of the next call.
+/// Time without a complete line after which a watch counts as dead, whatever TCP reports and whatever parts
+/// of a line arrive.
+pub const SILENCE_LIMIT: Duration = Duration::from_secs(3);
+/// Time limit of a call: the agent answers at once with the list it has, so another call is made without the
+/// whole list by then.
+pub const CALL_TIMEOUT: Duration = Duration::from_secs(1);
+/// Limit of the total delay of the next call by a list that is still arriving, until a whole line is
+/// received.
+pub const MAX_POSTPONEMENT: Duration = Duration::from_millis(750);
+
+/// Computes when discovery is called next.
 pub struct CallClock {
     due: Instant,
-    delay_left: Duration,
+    /// Part of `MAX_POSTPONEMENT` that is not used up.
+    postponement_left: Duration,
 }
 
 impl CallClock {
-    /// The first call is due now.
+    /// Creates a schedule with the first call due at `now`.
     pub fn new(now: Instant) -> CallClock {
-        CallClock { due: now, delay_left: SLOW_LIST }
+        CallClock { due: now, postponement_left: MAX_POSTPONEMENT }
     }
 
     /// When the next call is due.
@@ -27,29 +31,31 @@
         self.due
     }
 
-    /// A whole line was heard.
+    /// Records that a complete line was received at `at`: the next call is due once the watch has been silent
+    /// from then on.
     pub fn line_received(&mut self, at: Instant) {
-        (self.due, self.delay_left) = (at + SILENT, SLOW_LIST);
+        (self.due, self.postponement_left) = (at + SILENCE_LIMIT, MAX_POSTPONEMENT);
     }
 
-    /// A call has begun.
+    /// Records that a call was started.
     pub fn call_started(&mut self, now: Instant) {
-        self.due = now + CALL;
+        self.due = now + CALL_TIMEOUT;
     }
 
-    /// A call or a watch has ended; the next call is made after a pause.
+    /// Records that a call or a watch has ended: the next call is due after `pause` at the latest.
     pub fn call_ended(&mut self, now: Instant, pause: Duration) {
         self.due = self.due.min(now + pause);
     }
 
-    /// Puts the call that is due off where a list is being read, more of which came at this time. Whether it did.
+    /// Postpones a call that is due while a list is arriving that last made progress at `progress`. Returns
+    /// whether it did.
     pub fn postpone(&mut self, progress: Option<Instant>) -> bool {
         let Some(progress) = progress else { return false };
-        let until = (progress + CALL).min(self.due + self.delay_left);
+        let until = (progress + CALL_TIMEOUT).min(self.due + self.postponement_left);
         if until <= self.due {
             return false;
         }
-        self.delay_left -= until - self.due;
+        self.postponement_left -= until - self.due;
         self.due = until;
         true
     }
--- a/src/bin/frostvale/main.rs
+++ b/src/bin/frostvale/main.rs
@@ -165,7 +165,7 @@
         spawn_local(peers.listen(me, move |from, text| heard.borrow_mut().receive_peer_message(from, text)));
     }
     spawn_local(Gatekeeper::keep_time(gatekeeper.clone()));
-    spawn_local(clients.clone().keep_time());
+    spawn_local(clients.clone().run_timeout_checks());
     spawn_local(event_loop::watch(gatekeeper.clone()));
     spawn_local(log_metrics(gatekeeper.clone()));
     spawn_local(async {
