--- a/src/bin/frostvale/gatekeeper.rs
+++ b/src/bin/frostvale/gatekeeper.rs
@@ -126,7 +126,7 @@
 impl Gatekeeper {
     pub fn new(config: Config, peers: Option<Peers>, connections: usize) -> Result<Shared, SettingsError> {
         let control = Control::new(config.settings.clone(), config.seed)?;
-        let memory = config.memory_part();
+        let memory = config.memory_budget();
         let gatekeeper = Rc::new_cyclic(|me| {
             RefCell::new(Gatekeeper {
                 me: me.clone(),
--- a/src/bin/frostvale/main.rs
+++ b/src/bin/frostvale/main.rs
@@ -1,5 +1,5 @@
-//! A gatekeeper on real sockets: clients in front, workers behind, the decisions in the library.
-//! Start, signals and shutdown.
+//! The gatekeeper process: accepts clients, sends their requests on to workers, and asks the decision library
+//! about each request. This file holds start, reload, signals and shutdown.
 
 mod applied_versions;
 mod backoff;
@@ -46,23 +46,24 @@
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::{sleep, timeout};
 
-/// How long discovery may be silent at the start before the known list has to do.
-const FIRST_LIST: Duration = Duration::from_secs(1);
-/// How often the counts are logged, where they have changed.
+/// Time at the start after which the known endpoint list is used if discovery has not delivered one.
+const FIRST_LIST_TIMEOUT: Duration = Duration::from_secs(1);
+/// Interval at which the counts are logged if they have changed.
 const METRICS_PERIOD: Duration = Duration::from_secs(60);
-/// How often lines that were merged are told of.
-const LOG_TURN: Duration = Duration::from_secs(1);
-/// The parts of the descriptors, in hundredths, that clients and workers may hold: the rest is for the
-/// listener, discovery, notes and what is about to be closed. Clients hold a third at most for requests, and one
-/// at its own limit can't open a connection before an idle one of its is closed: so room is made from there on.
-const CLIENT_PART: usize = 33;
-const WORKER_PART: usize = 45;
+/// Interval at which summaries of merged log lines are written.
+const LOG_SUMMARY_INTERVAL: Duration = Duration::from_secs(1);
+/// Shares of the file descriptors, in percent, that clients and workers may hold. The rest is for the
+/// listener, discovery, peer messages and connections that are being closed. Clients hold at most a third of
+/// them for requests. A client at its own limit cannot open a connection before one of its idle connections
+/// is closed, so idle ones are evicted from this share on.
+const CLIENT_SOCKETS_PERCENT: usize = 33;
+const WORKER_SOCKETS_PERCENT: usize = 45;
 
-/// Both files, as they are to be used.
-fn load_settings(again: bool) -> Result<(Config, LocalSettings), String> {
-    let config = if again { Config::read_again()? } else { Config::read()? };
-    let extra = LocalSettings::read(&config.conf)?;
-    Ok((config, extra))
+/// Reads and checks both settings files. `reload` is false at the start of the process.
+fn load_settings(reload: bool) -> Result<(Config, LocalSettings), String> {
+    let config = if reload { Config::reload()? } else { Config::read()? };
+    let local = LocalSettings::read(&config.conf)?;
+    Ok((config, local))
 }
 
 fn main() -> ExitCode {
@@ -74,95 +75,110 @@
                 println!("frostvale: the configuration of {} is sound", config.name);
                 return ExitCode::SUCCESS;
             }
-            Err(what) => {
-                eprintln!("frostvale: {what}");
+            Err(error) => {
+                eprintln!("frostvale: {error}");
                 return ExitCode::FAILURE;
             }
         },
         _ => {
-            eprintln!("frostvale: usage: frostvale [--check], with GW_CONFIG and perhaps GW_EXTRA set");
+            eprintln!("frostvale: usage: frostvale [--check], with GW_CONFIG and optionally GW_EXTRA set");
             return ExitCode::FAILURE;
         }
     }
     let run_queue = Arc::new(RunQueue::open());
-    let wakes = run_queue.clone();
+    let wakeups = run_queue.clone();
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
-        .on_thread_unpark(move || wakes.record_wakeup())
+        .on_thread_unpark(move || wakeups.record_wakeup())
         .build();
     let runtime = runtime.map_err(|e| format!("cannot start the runtime: {e}"));
     match runtime.and_then(|runtime| LocalSet::new().block_on(&runtime, run(run_queue))) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(what) => {
-            eprintln!("frostvale: {what}");
+        Err(error) => {
+            eprintln!("frostvale: {error}");
             ExitCode::FAILURE
         }
     }
 }
 
 async fn run(run_queue: Arc<RunQueue>) -> Result<(), String> {
-    // Before all else: a signal that nobody awaits ends the process.
-    let mut hup = signal(SignalKind::hangup()).map_err(|e| format!("cannot await SIGHUP: {e}"))?;
-    let mut term = signal(SignalKind::terminate()).map_err(|e| format!("cannot await SIGTERM: {e}"))?;
-    let mut int = signal(SignalKind::interrupt()).map_err(|e| format!("cannot await SIGINT: {e}"))?;
-    let (mut config, extra) = load_settings(false)?;
-    let (name, me) = (std::mem::take(&mut config.name), config.settings.own_index);
-    frostvale_log::init("frostvale", ("instance", &name), extra.log.format, &extra.log.level)?;
+    // Handlers are installed first: a signal without one ends the process.
+    let mut sighup = signal(SignalKind::hangup()).map_err(|e| format!("cannot await SIGHUP: {e}"))?;
+    let mut sigterm = signal(SignalKind::terminate()).map_err(|e| format!("cannot await SIGTERM: {e}"))?;
+    let mut sigint = signal(SignalKind::interrupt()).map_err(|e| format!("cannot await SIGINT: {e}"))?;
+    let (mut config, local) = load_settings(false)?;
+    let (name, own_index) = (std::mem::take(&mut config.name), config.settings.own_index);
+    frostvale_log::init("frostvale", ("instance", &name), local.log.format, &local.log.level)?;
     let listen = config.listen;
     let peers = match config.peer_listen {
         Some(at) => {
             let peers = Peers::bind(at, std::mem::take(&mut config.peers), config.peers_all).await;
-            Some(peers.map_err(|e| format!("cannot take notes at {at}: {e}"))?)
+            Some(peers.map_err(|e| format!("cannot listen for peer messages at {at}: {e}"))?)
         }
         None => None,
     };
-    let door = extra.link.as_ref().map(|link| frostvale_link::node::bind(&link.socket)).transpose()?;
+    let link_listener =
+        local.link.as_ref().map(|link| frostvale_link::node::bind(&link.socket)).transpose()?;
     let seed = config.seed;
     let known = config.known.take();
     let platform = config.digest();
-    let (moved, discovery) = watch::channel(config.discovery);
-    let clients = Clients::new(config.sockets * CLIENT_PART / 100, config.memory_part(), run_queue.clone());
-    let places = config.sockets * WORKER_PART / 100;
-    let gatekeeper = Gatekeeper::new(config, peers.clone(), places).map_err(|e| e.to_string())?;
-    let consult = move |extra: &LocalSettings| {
-        let settings = extra.outside.clone();
+    let (discovery_changed, discovery) = watch::channel(config.discovery);
+    let clients = Clients::new(
+        config.sockets * CLIENT_SOCKETS_PERCENT / 100,
+        config.memory_budget(),
+        run_queue.clone(),
+    );
+    let max_worker_connections = config.sockets * WORKER_SOCKETS_PERCENT / 100;
+    let gatekeeper =
+        Gatekeeper::new(config, peers.clone(), max_worker_connections).map_err(|e| e.to_string())?;
+    let new_outside_policy = move |local: &LocalSettings| {
+        let settings = local.outside.clone();
         settings.map(|s| OutsidePolicy::new(s, seed)).transpose().map_err(|e| format!("outside.{e}"))
     };
-    gatekeeper.borrow_mut().set_outside(consult(&extra)?);
-    let (agents, socket) = extra.link.map_or((0, PathBuf::new()), |link| (link.agents, link.socket));
-    let audit = extra.audit.as_ref().map(|part| (part.report_interval(), part.fault_keeps_plans));
-    let fixed = ConfigDigests { platform: platform.clone(), own: extra.digest.clone() };
-    let links = door.map(|door| {
-        let zones = extra.zones.is_some();
-        let keeps = audit.is_some_and(|(_, keeps)| keeps);
-        let links = Links::new(gatekeeper.clone(), name.clone(), socket, extra.clock_ahead_ms, zones, keeps);
-        if let Some((every, _)) = audit {
-            spawn_local(links.clone().run_version_reporting(every, fixed));
+    gatekeeper.borrow_mut().set_outside(new_outside_policy(&local)?);
+    let (agents, socket) = local.link.map_or((0, PathBuf::new()), |link| (link.agents, link.socket));
+    let audit = local.audit.as_ref().map(|audit| (audit.report_interval(), audit.fault_keeps_plans));
+    let digests = ConfigDigests { platform: platform.clone(), own: local.digest.clone() };
+    let links = link_listener.map(|link_listener| {
+        let zones = local.zones.is_some();
+        let fault_keeps_plans = audit.is_some_and(|(_, fault_keeps_plans)| fault_keeps_plans);
+        let links = Links::new(
+            gatekeeper.clone(),
+            name.clone(),
+            socket,
+            local.clock_ahead_ms,
+            zones,
+            fault_keeps_plans,
+        );
+        if let Some((interval, _)) = audit {
+            spawn_local(links.clone().run_version_reporting(interval, digests));
         }
-        if let Some(zones) = &extra.zones {
+        if let Some(zones) = &local.zones {
             spawn_local(links.clone().run_zone_reporting(zones.report_interval()));
         }
-        if let Some(usage) = &extra.usage {
-            gatekeeper.borrow_mut().enable_usage(extra.clock_ahead_ms);
+        if let Some(usage) = &local.usage {
+            gatekeeper.borrow_mut().enable_usage(local.clock_ahead_ms);
             spawn_local(links.clone().run_usage_reporting(usage.report_interval()));
         }
-        spawn_local(frostvale_link::node::serve(door, links.clone(), agents));
+        spawn_local(frostvale_link::node::serve(link_listener, links.clone(), agents));
         links
     });
     if let Some(list) = known
         && let Err(error) = gatekeeper::apply_known(&gatekeeper, list.get().as_bytes())
     {
-        tracing::warn!("the known endpoints are passed over: {error}");
+        tracing::warn!("cannot apply the known endpoint list: {error}");
     }
-    // From here on the kernel takes connections, and their requests' time runs.
+    // From here on the kernel accepts connections, and the deadlines of their requests run.
     let listener = TcpListener::bind(listen).await.map_err(|e| format!("cannot listen at {listen}: {e}"))?;
     let listen = listener.local_addr().unwrap_or(listen);
     run_queue.record_wakeup();
-    let news = Rc::new(Notify::new());
-    gatekeeper.borrow_mut().first_list = news.clone();
+    let first_list = Rc::new(Notify::new());
+    gatekeeper.borrow_mut().first_list = first_list.clone();
     if let Some(peers) = peers {
-        let heard = gatekeeper.clone();
-        spawn_local(peers.listen(me, move |from, text| heard.borrow_mut().receive_peer_message(from, text)));
+        let receiver = gatekeeper.clone();
+        spawn_local(
+            peers.listen(own_index, move |from, text| receiver.borrow_mut().receive_peer_message(from, text)),
+        );
     }
     spawn_local(Gatekeeper::keep_time(gatekeeper.clone()));
     spawn_local(clients.clone().run_timeout_checks());
@@ -170,60 +186,64 @@
     spawn_local(log_metrics(gatekeeper.clone()));
     spawn_local(async {
         loop {
-            sleep(LOG_TURN).await;
+            sleep(LOG_SUMMARY_INTERVAL).await;
             frostvale_log::flush_summaries();
         }
     });
-    // Gatekeepers may have been given one seed.
-    let backoff = backoff::Backoff::new(seed ^ u64::from(me) << 32);
+    // Several gatekeepers may have been given the same seed, so their index is mixed in.
+    let backoff = backoff::Backoff::new(seed ^ u64::from(own_index) << 32);
     spawn_local(discovery::follow(gatekeeper.clone(), discovery, backoff));
     let reloaded = gatekeeper.clone();
-    let mut outside = extra.outside;
-    let (heard, mut own) = (links.clone(), extra.digest);
+    let mut outside = local.outside;
+    let (reporting, mut own) = (links.clone(), local.digest);
     spawn_local(async move {
-        while hup.recv().await.is_some() {
-            let fresh = load_settings(true).and_then(|(config, extra)| Ok((config, consult(&extra)?, extra)));
-            match fresh {
-                // Sent also where it is the same: the whole list is asked for once more.
-                Ok((config, fresh, extra)) => {
+        while sighup.recv().await.is_some() {
+            let loaded = load_settings(true)
+                .and_then(|(config, local)| Ok((config, new_outside_policy(&local)?, local)));
+            match loaded {
+                // Sent even if the address is unchanged: the whole list is then fetched once more.
+                Ok((config, loaded, local)) => {
                     tracing::info!("configuration read again; discovery at {}", config.discovery);
-                    let _ = moved.send(config.discovery);
-                    // All but these waits for a restart.
+                    let _ = discovery_changed.send(config.discovery);
+                    // Only discovery's address and `outside` are applied by a reload; everything else needs a
+                    // restart.
                     let discovery = config.discovery;
-                    if extra.outside != outside {
-                        own = applied_versions::digest(format!("{own} {}", extra.digest).as_bytes());
+                    if local.outside != outside {
+                        own = applied_versions::digest(format!("{own} {}", local.digest).as_bytes());
                     }
                     let platform = applied_versions::digest(format!("{platform} {discovery}").as_bytes());
-                    if let Some(links) = &heard {
+                    if let Some(links) = &reporting {
                         links.set_config_digests(ConfigDigests { platform, own: own.clone() });
                     }
-                    // The breaker's state is kept where nothing has changed.
-                    if extra.outside != outside {
-                        outside = extra.outside;
-                        reloaded.borrow_mut().set_outside(fresh);
+                    // Not replaced if unchanged, so that the circuit breaker keeps its state.
+                    if local.outside != outside {
+                        outside = local.outside;
+                        reloaded.borrow_mut().set_outside(loaded);
                     }
                 }
-                Err(what) => tracing::warn!("the configuration in use stays: {what}"),
+                Err(error) => tracing::warn!("the configuration in use stays: {error}"),
             }
         }
     });
     let stop = async {
         tokio::select! {
-            _ = term.recv() => {}
-            _ = int.recv() => {}
+            _ = sigterm.recv() => {}
+            _ = sigint.recv() => {}
         }
     };
-    serve_until(stop, &clients, &listener, &gatekeeper, &news, &format!("{name} serves at {listen}")).await;
+    serve_until(stop, &clients, &listener, &gatekeeper, &first_list, &format!("{name} serves at {listen}"))
+        .await;
     tracing::info!("{name} stops");
     if let Some(links) = &links {
         links.announce_stop();
     }
     shutdown::graceful(&clients, listener, &gatekeeper).await;
-    // The last attempts of clients that have left need no answer; the last bytes to clients are the kernel's.
+    // Attempts of clients that have disconnected need no answer, but have to be settled. The kernel delivers
+    // the last bytes to clients.
     while !gatekeeper.borrow().is_settled() {
         sleep(Duration::from_millis(5)).await;
     }
-    // Nothing is sent on any more, so nothing more can become use.
+    // Nothing is sent to workers any more, so no further usage can be added to the final report.
     if let Some(links) = &links {
         links.send_final_report().await;
     }
@@ -232,8 +252,8 @@
     Ok(())
 }
 
-/// Takes in clients until `stop`. Nothing goes on to servers before the first list, or until discovery has been silent for
-/// too long; `serving` is logged then.
+/// Accepts clients until `stop` completes. No request goes to a server before the first endpoint list has
+/// arrived or discovery has been silent for `FIRST_LIST_TIMEOUT`; `serving` is logged then.
 async fn serve_until(
     stop: impl Future<Output = ()>,
     clients: &Rc<Clients>,
@@ -242,8 +262,8 @@
     first_list: &Notify,
     serving: &str,
 ) {
-    let begin = async {
-        let _ = timeout(FIRST_LIST, first_list.notified()).await;
+    let start_serving = async {
+        let _ = timeout(FIRST_LIST_TIMEOUT, first_list.notified()).await;
         gatekeeper.borrow_mut().begin_serving();
         tracing::info!("{serving}");
         std::future::pending::<()>().await;
@@ -251,13 +271,13 @@
     tokio::select! {
         () = stop => {}
         () = clients.clone().accept(listener, gatekeeper.clone()) => {}
-        () = begin => {}
+        () = start_serving => {}
     }
-    // What is held is answered before the end, by what is known.
+    // Requests that still wait for a list are answered from the known endpoints before the end.
     gatekeeper.borrow_mut().begin_serving();
 }
 
-/// Logs the counts now and then, where they have changed.
+/// Logs the counts once per `METRICS_PERIOD` if they have changed.
 async fn log_metrics(gatekeeper: Shared) {
     let mut logged = Metrics::default();
     loop {
