--- a/src/bin/frostvale/budget.rs
+++ b/src/bin/frostvale/budget.rs
@@ -1,38 +1,42 @@
-//! Memory: bounds on what all connections of a kind hold together, since each alone may be within its own.
+//! Memory budgets: limits on the memory that all connections of a kind hold together. Each connection has its
+//! own limit as well, but many within theirs could still exhaust the memory.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// What may be held of one kind by all together.
+/// A limit, in bytes, that is shared by all holders of one kind of buffer.
 #[derive(Clone)]
 pub struct MemoryBudget {
     used: Rc<Cell<usize>>,
-    most: usize,
+    max_bytes: usize,
 }
 
-/// What one holder has of it; given back when it goes.
+/// One holder's part of a budget, returned to it on drop.
 pub struct MemoryShare {
     budget: MemoryBudget,
-    own: Cell<usize>,
+    /// Bytes that this holder has reported.
+    held: Cell<usize>,
 }
 
 impl MemoryBudget {
-    pub fn new(most: usize) -> MemoryBudget {
-        MemoryBudget { used: Rc::default(), most }
+    /// Creates a budget of `max_bytes`.
+    pub fn new(max_bytes: usize) -> MemoryBudget {
+        MemoryBudget { used: Rc::default(), max_bytes }
     }
 
+    /// Creates a share that holds nothing yet.
     pub fn new_share(&self) -> MemoryShare {
-        MemoryShare { budget: self.clone(), own: Cell::new(0) }
+        MemoryShare { budget: self.clone(), held: Cell::new(0) }
     }
 }
 
 impl MemoryShare {
-    /// Tells what is held now. False if all together are past the bound, and this one holds more than `free`,
-    /// which is left to everyone: then it is the one to give way.
+    /// Sets the number of bytes held now. Returns false if the budget is exceeded and this holder has more
+    /// than `free` bytes, which every holder may always have: then this holder has to release its memory.
     pub fn update(&self, bytes: usize, free: usize) -> bool {
         let used = &self.budget.used;
-        used.set(used.get() - self.own.replace(bytes) + bytes);
-        bytes <= free || used.get() <= self.budget.most
+        used.set(used.get() - self.held.replace(bytes) + bytes);
+        bytes <= free || used.get() <= self.budget.max_bytes
     }
 }
 
--- a/src/bin/frostvale/config.rs
+++ b/src/bin/frostvale/config.rs
@@ -109,8 +109,8 @@
     }
 
     fn load(at_start: bool) -> Result<Config, String> {
-        let path = env::var("GW_CONFIG")
-            .map_err(|_| "GW_CONFIG is not set: it must name the configuration file".to_string())?;
+        let path =
+            env::var("GW_CONFIG").map_err(|_| "GW_CONFIG must name the configuration file".to_string())?;
         let text = std::fs::read(&path).map_err(|e| format!("cannot read {path}: {e}"))?;
         let file: File = serde_json::from_slice(&text).map_err(|e| format!("{path}: {e}"))?;
         let conf = read_settings(&text, &file.settings).map_err(|e| format!("{path}: {e}"))?;
--- a/src/bin/frostvale/main.rs
+++ b/src/bin/frostvale/main.rs
@@ -202,7 +202,7 @@
                 .and_then(|(config, local)| Ok((config, new_outside_policy(&local)?, local)));
             match loaded {
                 // Sent even if the address is unchanged: the whole list is then fetched once more.
-                Ok((config, loaded, local)) => {
+                Ok((config, policy, local)) => {
                     tracing::info!("configuration read again; discovery at {}", config.discovery);
                     let _ = discovery_changed.send(config.discovery);
                     // Only discovery's address and `outside` are applied by a reload; everything else needs a
@@ -218,7 +218,7 @@
                     // Not replaced if unchanged, so that the circuit breaker keeps its state.
                     if local.outside != outside {
                         outside = local.outside;
-                        reloaded.borrow_mut().set_outside(loaded);
+                        reloaded.borrow_mut().set_outside(policy);
                     }
                 }
                 Err(error) => tracing::warn!("the configuration in use stays: {error}"),
--- a/src/bin/frostvale/metrics.rs
+++ b/src/bin/frostvale/metrics.rs
@@ -1,50 +1,51 @@
-//! Counts of what is rare and matters when answers come late. Logged once a minute where they have changed, and at the end.
+//! Counts of rare events that explain late answers. They are logged once a minute if they have changed, and
+//! at shutdown.
 
 use frostvale::RefusalReason;
 use std::collections::HashMap;
 use std::fmt::Write;
 use std::time::Duration;
 
-/// Counts since the start.
+/// Counts since the start of the process.
 #[derive(Clone, Default, PartialEq, Eq)]
 pub struct Metrics {
-    /// Turns of the event loop that came late, and the latest.
+    /// Delayed turns of the event loop, and the longest delay.
     loop_late: u64,
     loop_worst_ms: u64,
-    /// Whole endpoint lists and lists of changes that were applied, and lists that could not be read.
+    /// Whole endpoint lists and lists of changes that were applied, and lists that could not be parsed.
     lists_whole: u64,
     lists_changes: u64,
     lists_refused: u64,
-    /// Whole lists that were in effect already.
+    /// Whole lists that were equal to the list in effect.
     lists_unchanged: u64,
-    /// Endpoints that lists changed, and lines of lists that could not be read.
+    /// Endpoints that lists changed, and lines of lists that could not be parsed.
     endpoints_changed: u64,
     lines_refused: u64,
-    /// The longest that applying a list held up the event loop.
+    /// The longest time that applying a list blocked the event loop.
     list_step_worst_us: u64,
-    /// Final answers that came after the client's time, and the latest of them.
+    /// Final answers after the client's deadline, and the largest delay of one.
     answers_late: u64,
     answers_worst_ms: u64,
-    /// Requests that were refused before the first list was there.
+    /// Requests that were refused before the first list had arrived.
     refused_at_start: u64,
-    /// Requests that the module refused, by reason.
+    /// Requests that the decision module refused, by reason.
     refused: HashMap<RefusalReason, u64>,
 }
 
-/// What one endpoint list brought.
+/// The effect of one endpoint list.
 pub struct ListApplied {
-    /// Whether it named all endpoints.
+    /// Whether it was a whole list, and not a list of changes.
     pub whole: bool,
-    /// Endpoints that it changed.
+    /// Number of endpoints that it changed.
     pub changed: usize,
-    /// Lines that could not be read.
+    /// Number of lines that could not be parsed.
     pub refused_lines: usize,
-    /// The longest that it held up the event loop.
+    /// The longest time that it blocked the event loop.
     pub longest_step: Duration,
 }
 
 impl ListApplied {
-    /// Logs it: a whole list for operators, changes for who looks closer.
+    /// Logs the list: a whole list at level info, a list of changes at level debug.
     pub fn log(&self, version: u64, bytes: usize) {
         let (changed, refused_lines) = (self.changed, self.refused_lines);
         let step_us = self.longest_step.as_micros() as u64;
@@ -57,13 +58,13 @@
 }
 
 impl Metrics {
-    /// A turn of the event loop came this late.
-    pub fn loop_held_up(&mut self, late: Duration) {
+    /// Counts a turn of the event loop that was delayed by `late`.
+    pub fn record_loop_delay(&mut self, late: Duration) {
         self.loop_late += 1;
         self.loop_worst_ms = self.loop_worst_ms.max(late.as_millis() as u64);
     }
 
-    /// An endpoint list was applied.
+    /// Counts an endpoint list that was applied.
     pub fn list_applied(&mut self, list: &ListApplied) {
         if list.whole {
             self.lists_whole += 1;
@@ -75,33 +76,33 @@
         self.list_step_worst_us = self.list_step_worst_us.max(list.longest_step.as_micros() as u64);
     }
 
-    /// A whole endpoint list was in effect already.
+    /// Counts a whole endpoint list that was equal to the list in effect.
     pub fn list_unchanged(&mut self) {
         self.lists_unchanged += 1;
     }
 
-    /// An endpoint list could not be read.
+    /// Counts an endpoint list that could not be parsed.
     pub fn list_refused(&mut self) {
         self.lists_refused += 1;
     }
 
-    /// A final answer came this long after the client's time.
+    /// Counts a final answer that was written `late_ms` after the client's deadline.
     pub fn answer_late(&mut self, late_ms: f64) {
         self.answers_late += 1;
         self.answers_worst_ms = self.answers_worst_ms.max(late_ms as u64);
     }
 
-    /// A request was refused before the first list was there.
+    /// Counts a request that was refused before the first list had arrived.
     pub fn refused_at_start(&mut self) {
         self.refused_at_start += 1;
     }
 
-    /// The module refused a request.
+    /// Counts a request that the decision module refused.
     pub fn refused(&mut self, reason: RefusalReason) {
         *self.refused.entry(reason).or_default() += 1;
     }
 
-    /// Refusals by reason, in one word each.
+    /// The refusals as a list of `reason:count`, sorted by reason.
     fn refusals(&self) -> String {
         let mut reasons: Vec<_> =
             self.refused.iter().map(|(reason, count)| (format!("{reason:?}"), count)).collect();
--- a/src/bin/frostvale/receive_time.rs
+++ b/src/bin/frostvale/receive_time.rs
@@ -1,9 +1,10 @@
-//! When the last bytes came on a connection, as the kernel has it.
+//! Determines from the kernel when the last bytes arrived on a connection.
 //!
-//! A process that gets no core, or is stopped, reads late what its clients sent, and so does one whose table of clients is
-//! full; their time runs meanwhile. The kernel is asked through its sock_diag interface, sock_diag(7). A question costs two
-//! system calls, a few microseconds, whatever the number of connections. Where there is no answer, what the process has
-//! waited for a core is taken for the age of the bytes. Of several commands that are read at once the kernel knows the last one's time alone: the others are older.
+//! A process that has no core or is stopped reads its clients' commands late, and so does one whose client
+//! table is full, while the clients' deadlines run. The kernel is queried through its sock_diag interface,
+//! sock_diag(7). A query costs two system calls, a few microseconds, whatever the number of connections.
+//! Without an answer, the time that the process waited for a core is used as the age of the bytes. If several
+//! commands are read at once, the kernel has only the time of the last one: the others are older.
 
 use crate::run_queue::RunQueue;
 use netlink_packet_core::{NLM_F_REQUEST, NetlinkHeader, NetlinkMessage, NetlinkPayload};
@@ -17,21 +18,21 @@
 use std::time::{Duration, Instant};
 use tokio::net::TcpStream;
 
-/// Room for the kernel's answer.
+/// Buffer size for the kernel's answer.
 const ANSWER_BYTES: usize = 4096;
-/// Stands for whichever socket has the addresses.
+/// Matches any socket with the given addresses.
 const ANY_COOKIE: [u8; 8] = [0xff; 8];
-/// No request waits for longer.
-const AGE_MOST: Duration = Duration::from_secs(60);
+/// Upper limit of a reported age: no request waits longer.
+const MAX_AGE: Duration = Duration::from_secs(60);
 
-/// A connection, as the kernel finds it.
+/// The addresses by which the kernel finds a connection.
 pub struct ConnectionId {
     family: u8,
     socket_id: SocketId,
 }
 
 impl ConnectionId {
-    /// None where the connection has ended already.
+    /// The id of a connection; None if it has already ended.
     pub fn of(stream: &TcpStream) -> Option<ConnectionId> {
         let (local, remote) = (stream.local_addr().ok()?, stream.peer_addr().ok()?);
         let (family, empty) = match local {
@@ -50,32 +51,33 @@
     }
 }
 
-/// The way to ask the kernel. Where it can't be asked for a connection, what this process waited for a core stands in for
-/// the age of what it reads.
+/// Queries receive times from the kernel. Where that fails for a connection, the time that this process
+/// waited for a core is used as the age of what it reads.
 pub struct ReceiveTimes {
     socket: Option<Socket>,
     run_queue: Arc<RunQueue>,
 }
 
 impl ReceiveTimes {
-    /// Opens the way.
+    /// Opens the netlink socket. If that fails, all ages are taken from `run_queue`.
     pub fn open(run_queue: Arc<RunQueue>) -> ReceiveTimes {
         let socket = open_socket();
         if let Err(error) = &socket {
-            tracing::info!("the kernel does not tell when bytes came, waits for a core are counted: {error}");
+            tracing::info!("cannot query receive times from the kernel, using run-queue delays: {error}");
         }
         ReceiveTimes { socket: socket.ok(), run_queue }
     }
 
-    /// When the last bytes came on this connection.
+    /// When the last bytes arrived on this connection.
     pub fn last_received(&self, connection: &ConnectionId) -> Instant {
         let now = Instant::now();
         let age = self.socket.as_ref().and_then(|socket| age_of_last_bytes(socket, connection));
-        let age = age.unwrap_or_else(|| self.run_queue.last_delay()).min(AGE_MOST);
+        let age = age.unwrap_or_else(|| self.run_queue.last_delay()).min(MAX_AGE);
         now.checked_sub(age).unwrap_or(now)
     }
 }
 
+/// Opens a non-blocking sock_diag socket.
 fn open_socket() -> std::io::Result<Socket> {
     let mut socket = Socket::new(NETLINK_SOCK_DIAG)?;
     socket.bind_auto()?;
@@ -83,29 +85,30 @@
     Ok(socket)
 }
 
-/// How long ago the last bytes came.
+/// Queries how long ago the last bytes arrived.
 fn age_of_last_bytes(socket: &Socket, connection: &ConnectionId) -> Option<Duration> {
-    socket.send(&question(connection), 0).ok()?;
+    socket.send(&encode_request(connection), 0).ok()?;
     let mut answer = Vec::with_capacity(ANSWER_BYTES);
     socket.recv(&mut answer, 0).ok()?;
     let answer = NetlinkMessage::<SockDiagMessage>::deserialize(&answer).ok()?;
     let NetlinkPayload::InnerMessage(SockDiagMessage::InetResponse(response)) = answer.payload else {
         return None;
     };
-    answers(&response, connection).then_some(())?;
+    is_answer_for(&response, connection).then_some(())?;
     response.nlas.iter().find_map(|attribute| match attribute {
         Nla::TcpInfo(info) => Some(Duration::from_millis(u64::from(info.last_data_recv))),
         _ => None,
     })
 }
 
-/// Whether the kernel tells of this connection.
-fn answers(response: &InetResponse, connection: &ConnectionId) -> bool {
-    let (found, asked) = (&response.header.socket_id, &connection.socket_id);
-    found.source_port == asked.source_port && found.destination_port == asked.destination_port
+/// Whether the kernel's answer is about this connection.
+fn is_answer_for(response: &InetResponse, connection: &ConnectionId) -> bool {
+    let (found, requested) = (&response.header.socket_id, &connection.socket_id);
+    found.source_port == requested.source_port && found.destination_port == requested.destination_port
 }
 
-fn question(connection: &ConnectionId) -> Vec<u8> {
+/// Encodes the sock_diag request for this connection.
+fn encode_request(connection: &ConnectionId) -> Vec<u8> {
     let mut header = NetlinkHeader::default();
     header.flags = NLM_F_REQUEST;
     let request = InetRequest {
--- a/src/bin/frostvale/resp.rs
+++ b/src/bin/frostvale/resp.rs
@@ -1,66 +1,72 @@
-//! RESP2, as far as clients and workers speak it: bounded parsing that copies nothing, and encoding.
+//! Parsing and encoding of the part of RESP2 that clients and workers use. The parser limits every length and
+//! copies nothing: it returns ranges of the bytes read.
 
 use std::ops::Range;
 
-/// The longest value the protocol allows.
+/// Length limit of a value, set by the protocol.
 pub const MAX_VALUE_BYTES: usize = 64 * 1024;
-/// Parts of a command that are kept; a longer one is read to its end and known as unknown.
+/// Number of a command's parts whose positions are kept. A longer command is parsed to its end; no valid
+/// request has more parts.
 pub const MAX_PARTS: usize = 5;
-/// A longer array is not read to its end.
-const PARTS_MOST: usize = 64;
-/// The bytes of all parts of a command: no useful one is longer.
+/// Limit of a command's parts. A longer array is a protocol error.
+const MAX_ARRAY_LENGTH: usize = 64;
+/// Length limit of a whole command; no valid command is longer.
 pub const MAX_COMMAND_BYTES: usize = MAX_VALUE_BYTES + 8 * 1024;
-/// The longest line with a length or an error.
-const LINE_MOST: usize = 1024;
+/// Length limit of a line that holds a length or an error.
+const MAX_LINE_BYTES: usize = 1024;
 
-/// Bytes that are not RESP, or go past its bounds.
+/// Bytes that are not RESP or exceed its limits. The text is the reason, as sent to clients after `-ERR
+/// protocol error: `.
 #[derive(Debug, PartialEq, Eq)]
 pub struct ProtocolError(pub &'static str);
 
-/// A command: where its parts lie in the bytes read.
+/// A parsed command: the positions of its parts in the bytes read.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Command {
     parts: [(usize, usize); MAX_PARTS],
-    /// How many parts it has, also those past the kept ones.
+    /// Number of parts, including those beyond `MAX_PARTS`.
     pub count: usize,
-    /// How many bytes it takes.
+    /// Length in bytes of the whole command.
     pub len: usize,
 }
 
 impl Command {
-    /// The part's place in the bytes; empty where there is none.
+    /// The range of part `k` in the bytes read; empty where the command has no such part.
     pub fn range(&self, k: usize) -> Range<usize> {
         if k < self.count.min(MAX_PARTS) { self.parts[k].0..self.parts[k].1 } else { 0..0 }
     }
 
-    /// The part's bytes.
+    /// The bytes of part `k`; empty where the command has no such part.
     pub fn part<'a>(&self, bytes: &'a [u8], k: usize) -> &'a [u8] {
         bytes.get(self.range(k)).unwrap_or_default()
     }
 }
 
-/// What a worker answered: places in the bytes read.
+/// A worker's reply, as ranges of the bytes read.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Reply {
-    /// Served: the whole bulk string of the value, head and end included, and the load report.
+    /// The request was served. `value` is the whole bulk string of the value, with its length line and line
+    /// end; `report` is the load report.
     Served { value: Range<usize>, report: Option<Range<usize>> },
-    /// An error line, without its sign and end.
+    /// The text of an error line, without the leading `-` and the line end.
     Error(Range<usize>),
 }
 
-/// The line that starts at `at`: its end, and where the next begins. None while it is not whole.
+/// The line that starts at `at`: where its text ends and where the next one begins. None while it is
+/// incomplete.
 fn line(bytes: &[u8], at: usize) -> Result<Option<(usize, usize)>, ProtocolError> {
     let rest = bytes.get(at..).unwrap_or_default();
-    let seen = &rest[..rest.len().min(LINE_MOST)];
-    match seen.iter().position(|b| *b == b'\n') {
-        Some(end) if end > 0 && seen[end - 1] == b'\r' => Ok(Some((at + end - 1, at + end + 1))),
+    let searched = &rest[..rest.len().min(MAX_LINE_BYTES)];
+    match searched.iter().position(|b| *b == b'\n') {
+        Some(end) if end > 0 && searched[end - 1] == b'\r' => Ok(Some((at + end - 1, at + end + 1))),
         Some(_) => Err(ProtocolError("a line without CR LF")),
-        None if rest.len() >= LINE_MOST => Err(ProtocolError("a line is too long")),
+        None if rest.len() >= MAX_LINE_BYTES => Err(ProtocolError("a line is too long")),
         None => Ok(None),
     }
 }
 
-/// A number that may be -1 at the least, as a line with this sign in front holds it.
+/// Parses a line of the type byte `sign` and a number of at least -1. Returns the number and where the next
+/// line begins.
 fn number(bytes: &[u8], at: usize, sign: u8) -> Result<Option<(i64, usize)>, ProtocolError> {
     match bytes.get(at) {
         None => return Ok(None),
@@ -72,16 +78,17 @@
     if digits == b"-1" {
         return Ok(Some((-1, next)));
     }
-    // Ten digits can't overflow, and a sign or a space is no digit.
+    // Ten digits cannot overflow an i64. A sign or a space is not a digit.
     if digits.is_empty() || digits.len() > 10 || !digits.iter().all(u8::is_ascii_digit) {
         return Err(ProtocolError("a length is no number"));
     }
     Ok(Some((digits.iter().fold(0, |n, d| n * 10 + i64::from(d - b'0')), next)))
 }
 
-/// A bulk string: its bytes' place (None for null), and where the next value begins.
+/// A bulk string: the range of its bytes (None for null), and where the next value begins.
 type Bulk = (Option<Range<usize>>, usize);
 
+/// Parses the bulk string at `at`. None while it is incomplete.
 fn bulk(bytes: &[u8], at: usize) -> Result<Option<Bulk>, ProtocolError> {
     let Some((len, start)) = number(bytes, at, b'$')? else { return Ok(None) };
     let Ok(len) = usize::try_from(len) else { return Ok(Some((None, start))) };
@@ -96,23 +103,23 @@
     }
 }
 
-/// The command at the beginning of the bytes; none while it is not whole.
+/// Parses the command at the start of `bytes`. None while it is incomplete.
 pub fn command(bytes: &[u8]) -> Result<Option<Command>, ProtocolError> {
     let Some((count, mut at)) = number(bytes, 0, b'*')? else { return Ok(None) };
-    let count = usize::try_from(count).ok().filter(|n| (1..=PARTS_MOST).contains(n));
+    let count = usize::try_from(count).ok().filter(|n| (1..=MAX_ARRAY_LENGTH).contains(n));
     let count = count.ok_or(ProtocolError("a command with no parts or too many"))?;
     let mut parts = [(0, 0); MAX_PARTS];
     for k in 0..count {
-        let Some((place, next)) = bulk(bytes, at)? else {
+        let Some((range, next)) = bulk(bytes, at)? else {
             return if bytes.len() > MAX_COMMAND_BYTES {
                 Err(ProtocolError("a command is too long"))
             } else {
                 Ok(None)
             };
         };
-        let place = place.ok_or(ProtocolError("a part is null"))?;
+        let range = range.ok_or(ProtocolError("a part is null"))?;
         if let Some(part) = parts.get_mut(k) {
-            *part = (place.start, place.end);
+            *part = (range.start, range.end);
         }
         at = next;
     }
@@ -122,8 +129,8 @@
     Ok(Some(Command { parts, count, len: at }))
 }
 
-/// The worker's answer at the beginning of the bytes, and how long it is, 0 where that can't be told; none
-/// while it is not whole.
+/// Parses a worker's reply at the start of `bytes`. Returns it with its length, or with 0 where its end
+/// cannot be determined; None while it is incomplete.
 pub fn reply(bytes: &[u8]) -> Result<Option<(Reply, usize)>, ProtocolError> {
     match bytes.first() {
         None => Ok(None),
@@ -131,40 +138,40 @@
         Some(_) => {
             let Some((count, start)) = number(bytes, 0, b'*')? else { return Ok(None) };
             if count != 3 {
-                return Err(ProtocolError("an answer that has not three parts"));
+                return Err(ProtocolError("a reply is not an array of three parts"));
             }
-            let Some((value, used)) = bulk(bytes, start)? else { return Ok(None) };
-            value.ok_or(ProtocolError("an answer without a value"))?;
-            // The value stands whole. Where what comes with it can't be read, where the answer ends can't be
-            // told, but the value is none the worse.
-            let rest = || match bulk(bytes, used)? {
+            let Some((value, value_end)) = bulk(bytes, start)? else { return Ok(None) };
+            value.ok_or(ProtocolError("a reply has no value"))?;
+            // The value is complete. If the rest cannot be parsed, the end of the reply is unknown, but the
+            // value is still valid.
+            let rest = || match bulk(bytes, value_end)? {
                 Some((_, report)) => bulk(bytes, report),
                 None => Ok(None),
             };
             Ok(match rest() {
                 Ok(None) => None,
-                Ok(Some((report, end))) => Some((Reply::Served { value: start..used, report }, end)),
-                Err(ProtocolError(_)) => Some((Reply::Served { value: start..used, report: None }, 0)),
+                Ok(Some((report, end))) => Some((Reply::Served { value: start..value_end, report }, end)),
+                Err(ProtocolError(_)) => Some((Reply::Served { value: start..value_end, report: None }, 0)),
             })
         }
     }
 }
 
-/// Appends a bulk string.
+/// Appends `bytes` as a bulk string.
 pub fn put_bulk(out: &mut Vec<u8>, bytes: &[u8]) {
     put_number(out, b'$', bytes.len());
     out.extend_from_slice(bytes);
     out.extend_from_slice(b"\r\n");
 }
 
-/// Appends a line with a number.
+/// Appends a line of the type byte `sign` and a number.
 pub fn put_number(out: &mut Vec<u8>, sign: u8, number: usize) {
     out.push(sign);
     put_digits(out, number as u64);
     out.extend_from_slice(b"\r\n");
 }
 
-/// Appends a number's digits.
+/// Appends the number in decimal digits.
 pub fn put_digits(out: &mut Vec<u8>, mut number: u64) {
     let mut digits = [0u8; 20];
     let mut at = digits.len();
--- a/src/bin/frostvale/resp/tests.rs
+++ b/src/bin/frostvale/resp/tests.rs
@@ -1,22 +1,22 @@
 use super::*;
 
-const ASK: &[u8] = b"*2\r\n$4\r\nPING\r\n$0\r\n\r\n";
+const PING: &[u8] = b"*2\r\n$4\r\nPING\r\n$0\r\n\r\n";
 
 #[test]
-fn a_command_is_read_only_when_whole() {
-    for cut in 0..ASK.len() {
-        assert_eq!(command(&ASK[..cut]), Ok(None), "{cut} bytes");
+fn command_is_parsed_only_when_complete() {
+    for cut in 0..PING.len() {
+        assert_eq!(command(&PING[..cut]), Ok(None), "{cut} bytes");
     }
-    let read = command(ASK).expect("sound").expect("whole");
+    let read = command(PING).expect("valid").expect("complete");
     assert_eq!(
-        (read.count, read.len, read.part(ASK, 0), read.part(ASK, 1)),
-        (2, ASK.len(), &b"PING"[..], &b""[..])
+        (read.count, read.len, read.part(PING, 0), read.part(PING, 1)),
+        (2, PING.len(), &b"PING"[..], &b""[..])
     );
-    assert_eq!(read.part(ASK, 9), b"");
+    assert_eq!(read.part(PING, 9), b"");
 }
 
 #[test]
-fn what_is_no_command_is_broken_at_once() {
+fn command_parser_rejects_malformed_input_at_once() {
     let cases: [&[u8]; 9] = [
         b"GET / HTTP/1.1\r\n",
         b"*0\r\n",
@@ -35,26 +35,27 @@
 }
 
 #[test]
-fn an_answer_gives_its_value_and_report() {
+fn reply_gives_value_and_report() {
     let bytes = b"*3\r\n$2\r\nhi\r\n$-1\r\n$8\r\nutil=0.5\r\n";
     for cut in 0..bytes.len() {
         assert_eq!(reply(&bytes[..cut]), Ok(None), "{cut} bytes");
     }
-    let (read, len) = reply(bytes).expect("sound").expect("whole");
+    let (read, len) = reply(bytes).expect("valid").expect("complete");
     let Reply::Served { value, report: Some(report) } = read else { panic!("served") };
     assert_eq!((len, &bytes[value], &bytes[report]), (bytes.len(), &b"$2\r\nhi\r\n"[..], &b"util=0.5"[..]));
-    for odd in [&b":7\r\n$-1\r\n"[..], b"$-1\r\n+util\r\n", b"$-1\r\n$9999999\r\n", b"$1\r\nabc", b"$-1\r\n#"]
+    for malformed_rest in
+        [&b":7\r\n$-1\r\n"[..], b"$-1\r\n+util\r\n", b"$-1\r\n$9999999\r\n", b"$1\r\nabc", b"$-1\r\n#"]
     {
-        let bytes = [&b"*3\r\n$2\r\nhi\r\n"[..], odd].concat();
-        let (read, len) = reply(&bytes).expect("sound").expect("whole");
+        let bytes = [&b"*3\r\n$2\r\nhi\r\n"[..], malformed_rest].concat();
+        let (read, len) = reply(&bytes).expect("valid").expect("complete");
         assert_eq!((read, len), (Reply::Served { value: 4..12, report: None }, 0));
     }
-    let (read, _) = reply(b"-BUSY\r\n").expect("sound").expect("whole");
+    let (read, _) = reply(b"-BUSY\r\n").expect("valid").expect("complete");
     assert_eq!(read, Reply::Error(1..5));
 }
 
 #[test]
-fn a_spoilt_answer_is_broken() {
+fn reply_parser_rejects_malformed_replies() {
     for bytes in [
         &b"+OK\r\n"[..],
         b"*3\r\n$-1\r\n$-1\r\n$-1\r\n",
@@ -67,7 +68,7 @@
 }
 
 #[test]
-fn numbers_are_written_out() {
+fn numbers_and_bulk_strings_are_encoded() {
     let mut out = Vec::new();
     for n in [0, 7, 10, u64::MAX] {
         put_digits(&mut out, n);
--- a/src/bin/frostvale/run_queue.rs
+++ b/src/bin/frostvale/run_queue.rs
@@ -1,20 +1,21 @@
-//! How long this process waited for a core before its latest turn of the event loop.
+//! Measures how long this process waited for a core before the latest turn of the event loop.
 //!
-//! What a turn reads may have come since the one before woke. The kernel's account of the thread says how much of that time
-//! it was ready to run and did not: `/proc/self/schedstat`, one read each time the event loop wakes, about a microsecond.
-//! Time in which the process is stopped is not in the account.
+//! Data that a turn reads may have arrived at any time since the previous turn woke. The kernel's scheduler
+//! statistics of the thread tell for how much of that time it was ready to run but had no core:
+//! `/proc/self/schedstat`, read each time the event loop wakes, which takes about a microsecond. Time in
+//! which the process is stopped is not included.
 
-use crate::event_loop::Account;
+use crate::event_loop::SchedStat;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-/// The waits of the event loop's thread, kept by the runtime's wake-ups.
+/// Run-queue delays of the event loop's thread, updated when the runtime wakes.
 pub struct RunQueue {
-    account: Account,
+    sched_stat: SchedStat,
     delays: Delays,
 }
 
-/// What was waited so far, and within the latest turn.
+/// Total run-queue delay so far, and the delay before the latest turn.
 #[derive(Default)]
 struct Delays {
     total_ns: AtomicU64,
@@ -22,25 +23,25 @@
 }
 
 impl Delays {
-    /// The event loop has woken, and this is what its thread has waited since it started.
-    fn woke(&self, total_ns: u64) {
-        let before_ns = self.total_ns.swap(total_ns, Ordering::Relaxed);
-        self.latest_ns.store(total_ns.saturating_sub(before_ns), Ordering::Relaxed);
+    /// Records a wake-up of the event loop, with its thread's total delay since it started.
+    fn record_wakeup(&self, total_ns: u64) {
+        let previous_ns = self.total_ns.swap(total_ns, Ordering::Relaxed);
+        self.latest_ns.store(total_ns.saturating_sub(previous_ns), Ordering::Relaxed);
     }
 }
 
 impl RunQueue {
-    /// Of the calling thread's process. Where there is no account, nothing was ever waited.
+    /// Opens the statistics of the calling process. Where there are none, every delay is 0.
     pub fn open() -> RunQueue {
-        RunQueue { account: Account::open(), delays: Delays::default() }
+        RunQueue { sched_stat: SchedStat::open(), delays: Delays::default() }
     }
 
-    /// The event loop has woken.
+    /// Records a wake-up of the event loop.
     pub fn record_wakeup(&self) {
-        self.delays.woke(self.account.read().waiting_ns);
+        self.delays.record_wakeup(self.sched_stat.read().waiting_ns);
     }
 
-    /// How long what is read now may have waited for this process to get a core.
+    /// The longest time that data which is read now may have waited for this process to get a core.
     pub fn last_delay(&self) -> Duration {
         Duration::from_nanos(self.delays.latest_ns.load(Ordering::Relaxed))
     }
@@ -51,20 +52,20 @@
     use super::*;
 
     #[test]
-    fn the_wait_before_the_latest_turn_is_told_and_no_earlier_one() {
+    fn latest_delay_excludes_delays_before_earlier_turns() {
         let delays = Delays::default();
         let latest = |total_ns| {
-            delays.woke(total_ns);
+            delays.record_wakeup(total_ns);
             delays.latest_ns.load(Ordering::Relaxed)
         };
         assert_eq!([5, 5, 905, 906].map(latest), [5, 0, 900, 1]);
     }
 
     #[test]
-    fn an_account_that_goes_back_is_no_wait() {
+    fn total_that_decreases_counts_as_no_delay() {
         let delays = Delays::default();
-        delays.woke(100);
-        delays.woke(0);
+        delays.record_wakeup(100);
+        delays.record_wakeup(0);
         assert_eq!(delays.latest_ns.load(Ordering::Relaxed), 0);
     }
 }
