--- a/src/bin/frostvale/clients.rs
+++ b/src/bin/frostvale/clients.rs
@@ -18,12 +18,13 @@
 use tokio::task::{unconstrained, yield_now};
 use tokio::time::{sleep, timeout};
 
-/// Idle limit of a connection, and the shorter one that holds while the table is more than half full.
+/// Idle limit of a connection.
 const IDLE_LIMIT: Duration = Duration::from_secs(20);
+/// Idle limit of a connection while the table is more than half full.
 const BUSY_IDLE_LIMIT: Duration = Duration::from_secs(2);
 /// Interval between two checks of the connections' time limits.
 const TIMEOUT_CHECK_INTERVAL: Duration = Duration::from_millis(200);
-/// Longest wait before a full table, or the descriptors, are checked for room again.
+/// Interval at which a full table, or the listener's queue while descriptors have run out, is checked again.
 const FULL_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 /// Minimum age at which a connection without a command may be evicted: its first command may still be on its
 /// way.
--- a/src/bin/frostvale/config.rs
+++ b/src/bin/frostvale/config.rs
@@ -7,6 +7,7 @@
 use std::env;
 use std::net::SocketAddr;
 
+/// The configuration file. [`Config`] describes the values.
 #[derive(Deserialize)]
 struct File {
     #[serde(default)]
@@ -37,6 +38,7 @@
     _settings: RawSettings,
 }
 
+/// Resource limits of the process: file descriptors, and memory in MiB.
 #[derive(Deserialize)]
 #[serde(default)]
 struct Limits {
--- a/src/bin/frostvale/discovery.rs
+++ b/src/bin/frostvale/discovery.rs
@@ -66,16 +66,16 @@
 /// made progress.
 #[derive(Default)]
 struct SessionActivity {
-    last: Cell<Option<(u64, Instant)>>,
+    last_line: Cell<Option<(u64, Instant)>>,
     line_received: Notify,
-    progress: Cell<Option<Instant>>,
+    last_progress: Cell<Option<Instant>>,
     bytes_since_progress: Cell<usize>,
 }
 
 impl SessionActivity {
     /// Records that the session received a whole line or list now.
     fn record_line(&self, session: u64) {
-        self.last.set(Some((session, Instant::now())));
+        self.last_line.set(Some((session, Instant::now())));
         self.line_received.notify_one();
     }
 
@@ -83,7 +83,7 @@
     fn record_bytes(&self, bytes: usize) {
         let bytes_since = self.bytes_since_progress.get() + bytes;
         if bytes_since >= PROGRESS_BYTES {
-            self.progress.set(Some(Instant::now()));
+            self.last_progress.set(Some(Instant::now()));
         }
         self.bytes_since_progress.set(bytes_since % PROGRESS_BYTES);
     }
@@ -96,12 +96,12 @@
     let mut sessions = JoinSet::new();
     // Open sessions, the oldest first.
     let mut open: Vec<(u64, AbortHandle)> = Vec::new();
-    let (mut last, mut has_warned) = (0, false);
+    let (mut last_call, mut has_warned) = (0, false);
     let mut clock = CallClock::new(Instant::now());
     loop {
         tokio::select! {
             () = activity.line_received.notified() => {
-                let Some((latest, at)) = activity.last.get() else { continue };
+                let Some((latest, at)) = activity.last_line.get() else { continue };
                 // Also if the latest session has ended since: what the others still deliver is older.
                 open.retain(|(session, task)| {
                     if *session != latest {
@@ -128,7 +128,7 @@
             () = sleep_until(clock.due()) => {
                 // Data that arrived while this process was held up is read first.
                 yield_now().await;
-                if clock.postpone(activity.progress.get()) {
+                if clock.postpone(activity.last_progress.get()) {
                     tracing::debug!(open = open.len(), "discovery call postponed: a list is still arriving");
                     continue;
                 }
@@ -136,11 +136,11 @@
                     // Keeps the oldest, since a former watch may resume, and the latest of the calls.
                     open.remove(1).1.abort();
                 }
-                last += 1;
-                tracing::debug!(call = last, open = open.len(), "calling discovery");
+                last_call += 1;
+                tracing::debug!(call = last_call, open = open.len(), "calling discovery");
                 let task = sessions
-                    .spawn_local(run_session(last, gatekeeper.clone(), address, activity.clone()));
-                open.push((last, task));
+                    .spawn_local(run_session(last_call, gatekeeper.clone(), address, activity.clone()));
+                open.push((last_call, task));
                 clock.call_started(Instant::now());
             }
         }
--- a/src/bin/frostvale/main.rs
+++ b/src/bin/frostvale/main.rs
@@ -52,11 +52,12 @@
 const METRICS_PERIOD: Duration = Duration::from_secs(60);
 /// Interval at which summaries of merged log lines are written.
 const LOG_SUMMARY_INTERVAL: Duration = Duration::from_secs(1);
-/// Shares of the file descriptors, in percent, that clients and workers may hold. The rest is for the
-/// listener, discovery, peer messages and connections that are being closed. Clients hold at most a third of
-/// them for requests. A client at its own limit cannot open a connection before one of its idle connections
-/// is closed, so idle ones are evicted from this share on.
+/// Share of the file descriptors, in percent, that clients may hold. What clients and workers leave is for
+/// the listener, discovery, peer messages and connections that are being closed. Clients hold at most a third
+/// of them for requests. A client at its own limit cannot open a connection before one of its idle
+/// connections is closed, so idle ones are evicted from this share on.
 const CLIENT_SOCKETS_PERCENT: usize = 33;
+/// Share of the file descriptors, in percent, that connections to workers may hold.
 const WORKER_SOCKETS_PERCENT: usize = 45;
 
 /// Reads and checks both settings files. `reload` is false at the start of the process.
--- a/src/bin/frostvale/resp.rs
+++ b/src/bin/frostvale/resp.rs
@@ -54,7 +54,7 @@
 
 /// The line that starts at `at`: where its text ends and where the next one begins. None while it is
 /// incomplete.
-fn line(bytes: &[u8], at: usize) -> Result<Option<(usize, usize)>, ProtocolError> {
+fn parse_line(bytes: &[u8], at: usize) -> Result<Option<(usize, usize)>, ProtocolError> {
     let rest = bytes.get(at..).unwrap_or_default();
     let searched = &rest[..rest.len().min(MAX_LINE_BYTES)];
     match searched.iter().position(|b| *b == b'\n') {
@@ -67,13 +67,13 @@
 
 /// Parses a line of the type byte `sign` and a number of at least -1. Returns the number and where the next
 /// line begins.
-fn number(bytes: &[u8], at: usize, sign: u8) -> Result<Option<(i64, usize)>, ProtocolError> {
+fn parse_number(bytes: &[u8], at: usize, sign: u8) -> Result<Option<(i64, usize)>, ProtocolError> {
     match bytes.get(at) {
         None => return Ok(None),
         Some(b) if *b != sign => return Err(ProtocolError("an unexpected type")),
         Some(_) => {}
     }
-    let Some((end, next)) = line(bytes, at + 1)? else { return Ok(None) };
+    let Some((end, next)) = parse_line(bytes, at + 1)? else { return Ok(None) };
     let digits = &bytes[at + 1..end];
     if digits == b"-1" {
         return Ok(Some((-1, next)));
@@ -89,8 +89,8 @@
 type Bulk = (Option<Range<usize>>, usize);
 
 /// Parses the bulk string at `at`. None while it is incomplete.
-fn bulk(bytes: &[u8], at: usize) -> Result<Option<Bulk>, ProtocolError> {
-    let Some((len, start)) = number(bytes, at, b'$')? else { return Ok(None) };
+fn parse_bulk(bytes: &[u8], at: usize) -> Result<Option<Bulk>, ProtocolError> {
+    let Some((len, start)) = parse_number(bytes, at, b'$')? else { return Ok(None) };
     let Ok(len) = usize::try_from(len) else { return Ok(Some((None, start))) };
     if len > MAX_VALUE_BYTES {
         return Err(ProtocolError("a value is too long"));
@@ -105,12 +105,12 @@
 
 /// Parses the command at the start of `bytes`. None while it is incomplete.
 pub fn command(bytes: &[u8]) -> Result<Option<Command>, ProtocolError> {
-    let Some((count, mut at)) = number(bytes, 0, b'*')? else { return Ok(None) };
+    let Some((count, mut at)) = parse_number(bytes, 0, b'*')? else { return Ok(None) };
     let count = usize::try_from(count).ok().filter(|n| (1..=MAX_ARRAY_LENGTH).contains(n));
     let count = count.ok_or(ProtocolError("a command with no parts or too many"))?;
     let mut parts = [(0, 0); MAX_PARTS];
     for k in 0..count {
-        let Some((range, next)) = bulk(bytes, at)? else {
+        let Some((range, next)) = parse_bulk(bytes, at)? else {
             return if bytes.len() > MAX_COMMAND_BYTES {
                 Err(ProtocolError("a command is too long"))
             } else {
@@ -134,18 +134,18 @@
 pub fn reply(bytes: &[u8]) -> Result<Option<(Reply, usize)>, ProtocolError> {
     match bytes.first() {
         None => Ok(None),
-        Some(b'-') => Ok(line(bytes, 1)?.map(|(end, next)| (Reply::Error(1..end), next))),
+        Some(b'-') => Ok(parse_line(bytes, 1)?.map(|(end, next)| (Reply::Error(1..end), next))),
         Some(_) => {
-            let Some((count, start)) = number(bytes, 0, b'*')? else { return Ok(None) };
+            let Some((count, start)) = parse_number(bytes, 0, b'*')? else { return Ok(None) };
             if count != 3 {
                 return Err(ProtocolError("a reply is not an array of three parts"));
             }
-            let Some((value, value_end)) = bulk(bytes, start)? else { return Ok(None) };
+            let Some((value, value_end)) = parse_bulk(bytes, start)? else { return Ok(None) };
             value.ok_or(ProtocolError("a reply has no value"))?;
             // The value is complete. If the rest cannot be parsed, the end of the reply is unknown, but the
             // value is still valid.
-            let rest = || match bulk(bytes, value_end)? {
-                Some((_, report)) => bulk(bytes, report),
+            let rest = || match parse_bulk(bytes, value_end)? {
+                Some((_, report)) => parse_bulk(bytes, report),
                 None => Ok(None),
             };
             Ok(match rest() {
--- a/src/bin/frostvale/shutdown.rs
+++ b/src/bin/frostvale/shutdown.rs
@@ -18,7 +18,7 @@
 
 /// Time during which new connections are accepted: they arrive for up to 0.4 s after SIGTERM.
 const ACCEPT_DURATION: Duration = Duration::from_millis(500);
-/// Time after SIGTERM from which a request that is unanswered at SIGKILL counts as lost.
+/// A request that arrives later than this after SIGTERM and is unanswered at SIGKILL counts as lost.
 const GRACE: Duration = Duration::from_millis(700);
 /// Longest time that an arrived command may wait here to be processed.
 const MAX_PROCESSING_DELAY: Duration = Duration::from_millis(50);
