--- a/src/bin/frostvale/gatekeeper.rs
+++ b/src/bin/frostvale/gatekeeper.rs
@@ -152,7 +152,7 @@
     /// When the settings are invalid.
     pub fn new(config: Config, peers: Option<Peers>, connections: usize) -> Result<Shared, SettingsError> {
         let control = Control::new(config.settings.clone(), config.seed)?;
-        let memory_bytes = config.memory_part();
+        let memory_bytes = config.memory_budget();
         let gatekeeper = Rc::new_cyclic(|weak_self| {
             RefCell::new(Gatekeeper {
                 weak_self: weak_self.clone(),
