--- a/src/bin/frostvale/gatekeeper/outside.rs
+++ b/src/bin/frostvale/gatekeeper/outside.rs
@@ -66,7 +66,8 @@
         }
     }
 
-    /// Fails all pending calls, since no agent is left to deliver the outside service's answers.
+    /// Ends all pending calls, since no agent is left to deliver the outside service's answers. Their requests
+    /// are decided by the failure mode.
     pub fn link_lost(&mut self) {
         let Some(outside) = &mut self.outside else { return };
         for (id, decision) in outside.link_lost() {
