--- a/src/bin/frostvale/client.rs
+++ b/src/bin/frostvale/client.rs
@@ -64,17 +64,17 @@
     Closed,
 }
 
-/// What the connection expects from the client next.
+/// The command, or part of one, that the connection expects from the client next.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Expected {
+enum ExpectedCommand {
     /// Its first command; no byte of it has arrived.
-    FirstCommand,
+    First,
     /// The rest of its first command.
-    RestOfFirstCommand,
+    RestOfFirst,
     /// The rest of a later command.
-    RestOfCommand,
+    RestOfLater,
     /// Another command, or none.
-    NextCommand,
+    Next,
 }
 
 /// Position of one answer in the connection's answer order.
@@ -100,7 +100,7 @@
     state: Cell<ConnectionState>,
     out: RefCell<Output>,
     /// What is expected from the client, and since when.
-    expected: Cell<(Expected, Instant)>,
+    expected: Cell<(ExpectedCommand, Instant)>,
     wake: Notify,
     /// Notified when the connection no longer needs its slot in the table.
     slot_freed: Rc<Notify>,
@@ -113,8 +113,8 @@
 impl ResponseSink for Client {
     /// Writes the answer to a request, or stores it until all earlier answers are written.
     fn answer(&self, id: u64, bytes: &[u8]) {
-        if let (Expected::NextCommand, _) = self.expected.get() {
-            self.expected.set((Expected::NextCommand, Instant::now()));
+        if let (ExpectedCommand::Next, _) = self.expected.get() {
+            self.expected.set((ExpectedCommand::Next, Instant::now()));
         }
         let mut out = self.out.borrow_mut();
         let was_full = out.slots.len() >= MAX_PIPELINED_COMMANDS;
@@ -161,7 +161,7 @@
             stream,
             state: Cell::new(ConnectionState::Open),
             out: RefCell::default(),
-            expected: Cell::new((Expected::FirstCommand, Instant::now())),
+            expected: Cell::new((ExpectedCommand::First, Instant::now())),
             wake: Notify::new(),
             slot_freed,
             reading,
@@ -177,7 +177,7 @@
 
     /// Whether the client has ever sent a complete command.
     pub fn has_sent_command(&self) -> bool {
-        !matches!(self.expected.get().0, Expected::FirstCommand | Expected::RestOfFirstCommand)
+        !matches!(self.expected.get().0, ExpectedCommand::First | ExpectedCommand::RestOfFirst)
     }
 
     /// When the last answer was written or the last command arrived.
@@ -189,7 +189,7 @@
     pub fn is_idle(&self) -> bool {
         self.state.get() == ConnectionState::Open
             && self.is_drained()
-            && self.expected.get().0 != Expected::RestOfCommand
+            && self.expected.get().0 != ExpectedCommand::RestOfLater
     }
 
     /// Advances the lifecycle to `state`. Does nothing if the connection is already there or further.
@@ -306,15 +306,15 @@
             return;
         }
         match self.expected.get() {
-            (Expected::RestOfFirstCommand | Expected::RestOfCommand, since)
+            (ExpectedCommand::RestOfFirst | ExpectedCommand::RestOfLater, since)
                 if has_passed(since, COMMAND_TIMEOUT) =>
             {
                 self.close_with_error("no whole command in time")
             }
-            (Expected::FirstCommand, since) if has_passed(since, COMMAND_TIMEOUT) => {
+            (ExpectedCommand::First, since) if has_passed(since, COMMAND_TIMEOUT) => {
                 self.advance_to(ConnectionState::ClosingIdle)
             }
-            (Expected::NextCommand, since) if has_passed(since, idle_limit) => {
+            (ExpectedCommand::Next, since) if has_passed(since, idle_limit) => {
                 self.advance_to(ConnectionState::ClosingIdle)
             }
             _ => {}
@@ -379,11 +379,11 @@
                 match self.start_commands(gatekeeper, &mut bytes, received_at) {
                     Ok(true) => continue,
                     Ok(false) => match self.expected.get() {
-                        (Expected::NextCommand, _) => {
-                            self.expected.set((Expected::RestOfCommand, received_at))
+                        (ExpectedCommand::Next, _) => {
+                            self.expected.set((ExpectedCommand::RestOfLater, received_at))
                         }
-                        (Expected::FirstCommand, since) => {
-                            self.expected.set((Expected::RestOfFirstCommand, since))
+                        (ExpectedCommand::First, since) => {
+                            self.expected.set((ExpectedCommand::RestOfFirst, since))
                         }
                         _ => {}
                     },
@@ -454,7 +454,7 @@
             return;
         }
         self.state.set(ConnectionState::HalfClosed);
-        self.expected.set((Expected::NextCommand, Instant::now()));
+        self.expected.set((ExpectedCommand::Next, Instant::now()));
         self.slot_freed.notify_one();
         let drain = async {
             let mut discarded = [0u8; 4096];
@@ -510,7 +510,7 @@
             bytes.drain(..at);
         }
         if at > 0 {
-            self.expected.set((Expected::NextCommand, Instant::now()));
+            self.expected.set((ExpectedCommand::Next, Instant::now()));
         }
         result.map(|()| at > 0)
     }
