--- a/crates/owner/src/fence.rs
+++ b/crates/owner/src/fence.rs
@@ -1,4 +1,8 @@
-//! Fences: the proof of a live lease that each effect for the fleet carries, and who refuses which.
+//! Leases and fencing tokens.
+//!
+//! An agent holds a [`Lease`] for each duty that it owns. Each effect on behalf of the fleet carries a [`Fence`], which
+//! only an unexpired lease gives out. The resource that the effect acts on keeps a [`FenceTable`] and refuses the
+//! effects of former owners.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -7,12 +11,12 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// An owner: an agent, and which of its lives.
+/// One incarnation of an agent, as the owner of a session and of duties.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Owner {
-    /// The agent's name.
+    /// Name of the agent.
     pub agent: String,
-    /// Its life, which grows with each start.
+    /// Incarnation of the agent: it grows with each start and each new session.
     pub life: u64,
 }
 
@@ -22,22 +26,23 @@
     }
 }
 
-/// Until when a session holds, in ms of its agent's own monotonic clock. All leases of the session share it.
+/// Expiry of a session, in ms of the agent's monotonic clock. It is shared by all leases of the session, so that one
+/// renewal extends them all.
 #[derive(Debug, Clone, Default)]
 pub struct LeaseExpiry(Arc<AtomicU64>);
 
 impl LeaseExpiry {
-    /// The instant itself; 0 is never.
+    /// The expiry in ms; 0 means that the session is not confirmed.
     #[must_use]
     pub fn get(&self) -> u64 {
         self.0.load(Ordering::Acquire)
     }
 
-    pub(crate) fn set(&self, at: u64) {
-        self.0.store(at, Ordering::Release);
+    pub(crate) fn set(&self, expiry_ms: u64) {
+        self.0.store(expiry_ms, Ordering::Release);
     }
 
-    /// A copy that no longer hears of renewals: models copy whole hosts.
+    /// A copy that no longer follows renewals, for model checks that copy whole controllers.
     #[must_use]
     pub fn detached(&self) -> LeaseExpiry {
         LeaseExpiry(Arc::new(AtomicU64::new(self.get())))
@@ -58,90 +63,92 @@
     }
 }
 
-/// The right to do one duty, for as long as the session that it belongs to holds. Given out by [`crate::DutyController`] alone.
+/// The right to run one duty, valid until the session expires or the duty is released. Only [`crate::DutyController`]
+/// creates leases.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Lease {
     duty: String,
     epoch: u64,
     owner: Owner,
-    until: LeaseExpiry,
-    ended: LeaseExpiry,
+    expiry: LeaseExpiry,
+    released: LeaseExpiry,
 }
 
 impl Lease {
-    pub(crate) fn new(duty: &str, epoch: u64, owner: Owner, until: LeaseExpiry) -> Lease {
-        Lease { duty: duty.to_string(), epoch, owner, until, ended: LeaseExpiry::default() }
+    pub(crate) fn new(duty: &str, epoch: u64, owner: Owner, expiry: LeaseExpiry) -> Lease {
+        Lease { duty: duty.to_string(), epoch, owner, expiry, released: LeaseExpiry::default() }
     }
 
-    /// The duty.
+    /// Name of the duty.
     #[must_use]
     pub fn duty(&self) -> &str {
         &self.duty
     }
 
-    /// Its epoch.
+    /// Epoch under which the duty is owned.
     #[must_use]
     pub fn epoch(&self) -> u64 {
         self.epoch
     }
 
-    /// Whose it is.
+    /// Owner of the lease.
     #[must_use]
     pub fn owner(&self) -> &Owner {
         &self.owner
     }
 
-    /// Ends it, whatever the session does: the duty was handed over or given up.
-    pub(crate) fn end(&self) {
-        self.ended.set(1);
+    /// Ends the lease before its session expires, since the duty was handed over or released.
+    pub(crate) fn release(&self) {
+        self.released.set(1);
     }
 
-    /// A copy that shares nothing with this one but what it is given: models copy whole hosts.
-    pub(crate) fn detached_on(&self, until: &LeaseExpiry) -> Lease {
-        Lease { until: until.clone(), ended: self.ended.detached(), ..self.clone() }
+    /// A copy that follows the given expiry and shares no state with this lease, for model checks that copy whole
+    /// controllers.
+    pub(crate) fn detached_on(&self, expiry: &LeaseExpiry) -> Lease {
+        Lease { expiry: expiry.clone(), released: self.released.detached(), ..self.clone() }
     }
 
-    /// For how long it still holds at this instant, in ms.
+    /// Remaining time of the lease at `now`, in ms. `now` is in ms of the agent's monotonic clock.
     ///
     /// # Errors
-    /// When it holds no longer.
+    /// [`LeaseExpired`] if the lease has expired or was released.
     pub fn remaining_ms(&self, now: u64) -> Result<u64, LeaseExpired> {
-        let left = self.until.get().saturating_sub(now);
-        if left == 0 || self.ended.get() != 0 {
+        let remaining_ms = self.expiry.get().saturating_sub(now);
+        if remaining_ms == 0 || self.released.get() != 0 {
             return Err(LeaseExpired { duty: self.duty.clone(), epoch: self.epoch });
         }
-        Ok(left)
+        Ok(remaining_ms)
     }
 
-    /// What one effect carries. Asked for right before the effect, by the agent's monotonic clock.
+    /// The fence for one effect. Call it right before the effect; `now` is in ms of the agent's monotonic clock.
     ///
     /// # Errors
-    /// When the lease holds no longer: then the effect must not be tried.
+    /// [`LeaseExpired`] if the lease has expired or was released. The effect must not be tried then.
     pub fn fence(&self, now: u64) -> Result<Fence, LeaseExpired> {
         self.remaining_ms(now)?;
         Ok(Fence { duty: self.duty.clone(), epoch: self.epoch, owner: self.owner.to_string() })
     }
 }
 
-/// A lease that holds no longer.
+/// Error of a lease that has expired or was released.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LeaseExpired {
-    /// The duty.
+    /// Name of the duty.
     pub duty: String,
-    /// Under which epoch it was held.
+    /// Epoch of the lease.
     pub epoch: u64,
 }
 
 impl fmt::Display for LeaseExpired {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "the lease of duty {} (epoch {}) holds no longer; nothing was done", self.duty, self.epoch)
+        write!(f, "lease of duty {} (epoch {}) has expired: nothing was done", self.duty, self.epoch)
     }
 }
 
 impl std::error::Error for LeaseExpired {}
 
-/// The proof of a lease that held a moment ago. Only [`Lease::fence`] makes one, so an effect that wants a fence can't
-/// be called without a lease.
+/// Fencing token of one effect: it proves that a lease was valid a moment ago. Only [`Lease::fence`] creates one, so a
+/// function that takes a fence cannot be called without a lease.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Fence {
     duty: String,
@@ -150,99 +157,102 @@
 }
 
 impl Fence {
-    /// The duty.
+    /// Name of the duty.
     #[must_use]
     pub fn duty(&self) -> &str {
         &self.duty
     }
 
-    /// The epoch.
+    /// Epoch of the lease.
     #[must_use]
     pub fn epoch(&self) -> u64 {
         self.epoch
     }
 
-    /// Whose it is, as `agent#life`.
+    /// Owner of the lease, as `agent#life`.
     #[must_use]
     pub fn owner(&self) -> &str {
         &self.owner
     }
 }
 
-/// What stands where an effect was refused.
+/// The highest epoch of a duty that a resource has seen, and its owner.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct CurrentEpoch {
-    /// The highest epoch seen.
+    /// The highest epoch.
     pub epoch: u64,
-    /// Whose it is; empty where it was only told that it exists.
+    /// Owner of the epoch, as `agent#life`. Empty if the epoch was only announced, with no effect under it yet.
     pub owner: String,
 }
 
-/// The highest epoch of each duty that a resource has seen, and the rule by which it takes what comes. The database keeps
-/// the same in a table of its own.
+/// The highest epoch of each duty that a resource has seen, with the rule that accepts or refuses an effect. The
+/// database keeps the same data in a table of its own.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub struct FenceTable {
-    seen: BTreeMap<String, CurrentEpoch>,
-    most: usize,
+    highest: BTreeMap<String, CurrentEpoch>,
+    max_duties: usize,
 }
 
-/// Why an effect is not taken.
+/// Why an effect is refused.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum FenceError {
-    /// A higher epoch was seen, or the same one from another owner.
+    /// A higher epoch was seen, or the same epoch of another owner.
     Stale(CurrentEpoch),
-    /// More duties than there can be.
+    /// The duty is new and the table holds its maximum number of duties.
     Full,
 }
 
 impl FenceTable {
-    /// Remembers so many duties at the most.
+    /// An empty table for at most `max_duties` duties.
     #[must_use]
-    pub fn new(most: usize) -> FenceTable {
-        FenceTable { seen: BTreeMap::new(), most }
+    pub fn new(max_duties: usize) -> FenceTable {
+        FenceTable { highest: BTreeMap::new(), max_duties }
     }
 
-    /// Takes an effect in, or says what stands.
+    /// Accepts an effect and records its epoch and owner.
     ///
     /// # Errors
-    /// When it is a former owner's.
+    /// [`FenceError::Stale`] if the effect is from a former owner, with the current epoch; [`FenceError::Full`] if the
+    /// table has no room for another duty.
     pub fn admit(&mut self, duty: &str, epoch: u64, owner: &str) -> Result<(), FenceError> {
-        if let Some(stands) = self.seen.get_mut(duty) {
-            let same = stands.epoch == epoch && (stands.owner.is_empty() || stands.owner == owner);
-            if epoch < stands.epoch || (epoch == stands.epoch && !same) {
-                return Err(FenceError::Stale(stands.clone()));
+        if let Some(current) = self.highest.get_mut(duty) {
+            let is_same_owner =
+                current.epoch == epoch && (current.owner.is_empty() || current.owner == owner);
+            if epoch < current.epoch || (epoch == current.epoch && !is_same_owner) {
+                return Err(FenceError::Stale(current.clone()));
             }
-            *stands = CurrentEpoch { epoch, owner: owner.to_string() };
+            *current = CurrentEpoch { epoch, owner: owner.to_string() };
             return Ok(());
         }
-        if self.seen.len() >= self.most {
+        if self.highest.len() >= self.max_duties {
             return Err(FenceError::Full);
         }
-        self.seen.insert(duty.to_string(), CurrentEpoch { epoch, owner: owner.to_string() });
+        self.highest.insert(duty.to_string(), CurrentEpoch { epoch, owner: owner.to_string() });
         Ok(())
     }
 
-    /// Hears that an epoch was given out, with no effect of it yet: lower ones are refused from now on.
+    /// Records that an epoch was granted, before any effect under it arrives: lower ones are refused from now on. A
+    /// duty that finds no room in the table is ignored.
     pub fn raise_floor(&mut self, duty: &str, epoch: u64) {
-        let room = self.seen.len() < self.most;
-        match self.seen.get_mut(duty) {
-            Some(stands) if stands.epoch < epoch => *stands = CurrentEpoch { epoch, owner: String::new() },
-            None if room => {
-                self.seen.insert(duty.to_string(), CurrentEpoch { epoch, owner: String::new() });
+        let has_room = self.highest.len() < self.max_duties;
+        match self.highest.get_mut(duty) {
+            Some(current) if current.epoch < epoch => *current = CurrentEpoch { epoch, owner: String::new() },
+            None if has_room => {
+                self.highest.insert(duty.to_string(), CurrentEpoch { epoch, owner: String::new() });
             }
             _ => {}
         }
     }
 
-    /// What stands for a duty.
+    /// The highest epoch seen for a duty.
     #[must_use]
     pub fn current(&self, duty: &str) -> Option<&CurrentEpoch> {
-        self.seen.get(duty)
+        self.highest.get(duty)
     }
 
-    /// All of it, by duty.
+    /// All entries, ordered by duty.
     pub fn iter(&self) -> impl Iterator<Item = (&str, &CurrentEpoch)> {
-        self.seen.iter().map(|(duty, stands)| (duty.as_str(), stands))
+        self.highest.iter().map(|(duty, current)| (duty.as_str(), current))
     }
 }
 
@@ -251,37 +261,37 @@
     use super::*;
 
     #[test]
-    fn a_resource_takes_no_epoch_below_one_that_it_has_seen() {
+    fn fence_table_refuses_epochs_below_the_highest_one_seen() {
         let mut table = FenceTable::new(2);
         assert!(table.admit("export", 5, "a#1").is_ok());
-        assert!(table.admit("export", 5, "a#1").is_ok(), "the same owner goes on");
+        assert!(table.admit("export", 5, "a#1").is_ok(), "the same owner again");
         assert!(matches!(table.admit("export", 4, "b#1"), Err(FenceError::Stale(s)) if s.epoch == 5));
         assert!(
             matches!(table.admit("export", 5, "b#1"), Err(FenceError::Stale(_))),
-            "one number, two owners"
+            "the same epoch of another owner"
         );
         table.raise_floor("export", 7);
         assert!(matches!(table.admit("export", 6, "a#1"), Err(FenceError::Stale(_))));
         assert!(table.admit("export", 7, "b#1").is_ok());
         table.raise_floor("export", 3);
-        assert_eq!(table.current("export").map(|s| s.epoch), Some(7), "a floor never sinks");
+        assert_eq!(table.current("export").map(|s| s.epoch), Some(7), "a lower floor has no effect");
         assert!(table.admit("gaps", 1, "a#1").is_ok());
         assert_eq!(table.admit("roll-up", 1, "a#1"), Err(FenceError::Full));
     }
 
     #[test]
-    fn no_fence_without_a_live_lease() {
-        let until = LeaseExpiry::default();
+    fn lease_gives_no_fence_when_expired_or_released() {
+        let expiry = LeaseExpiry::default();
         let owner = Owner { agent: "a".into(), life: 3 };
-        let lease = Lease::new("export", 9, owner, until.clone());
-        assert!(lease.fence(0).is_err(), "a session that never held");
-        until.set(100);
-        let fence = lease.fence(99).expect("held");
+        let lease = Lease::new("export", 9, owner, expiry.clone());
+        assert!(lease.fence(0).is_err(), "the session was never confirmed");
+        expiry.set(100);
+        let fence = lease.fence(99).expect("the lease holds");
         assert_eq!((fence.duty(), fence.epoch(), fence.owner()), ("export", 9, "a#3"));
         assert_eq!(lease.fence(100), Err(LeaseExpired { duty: "export".into(), epoch: 9 }));
-        until.set(200);
+        expiry.set(200);
         assert!(lease.fence(100).is_ok());
-        lease.end();
+        lease.release();
         assert!(lease.fence(100).is_err());
     }
 }
--- a/crates/owner/src/lib.rs
+++ b/crates/owner/src/lib.rs
@@ -1,28 +1,31 @@
-//! One owner at a time for work on behalf of the fleet.
+//! Single ownership of duties: leader-elected tasks that one agent at a time runs on behalf of the fleet.
 //!
 //! # Why
 //!
 //! Some work is done once for a whole fleet: rolling up the ledger, publishing a plan, writing an export. If every agent
-//! does it, it is done twice; if an agreed one does it, somebody must notice when that one is gone, and the one that was
-//! only stopped for a while must not go on where it left off. A lease does not mend that by itself: who was stopped for
-//! thirty seconds still believes in its lease when it runs on, and its next write lands over the new owner's.
+//! did it, it would be done more than once. If one fixed agent did it, its failure would have to be detected, and an
+//! agent that was only paused must not continue where it stopped. A lease alone does not prevent that: a process that was
+//! paused for thirty seconds still holds its lease as valid when it resumes, and its next write overwrites that of the
+//! new owner.
 //!
-//! So three things stand together here:
+//! The crate therefore combines three parts:
 //!
-//! - [`registry`]: what the council agrees on, command by command: sessions of agents, duties, and who owns which under
-//!   which **epoch**. Epochs only grow. The registry knows no time at all.
-//! - [`host`]: what one agent does about it, by its own monotonic clock: it keeps its session, stops by itself before
-//!   anybody else may begin, ends sessions that have been silent for long enough, claims what is free.
-//! - [`fence`]: the proof of a live lease, without which no effect for the fleet can be called, and the rule by which
-//!   whatever the effect lands on (database, gatekeeper, folder) refuses the epochs of former owners.
+//! - [`registry`]: the replicated state machine that the Raft group (the council) agrees on: sessions of agents, duties,
+//!   and the owner of each duty with its **epoch**. Epochs only grow. The registry reads no clock.
+//! - [`host`]: the controller of one agent, driven by that agent's monotonic clock. It keeps the session open, stops its
+//!   duties by itself before another agent may begin them, expires sessions that were silent for long enough, and claims
+//!   free duties.
+//! - [`fence`]: the proof of a valid lease, without which no effect on behalf of the fleet can be called, and the rule by
+//!   which the resource that an effect acts on (database, gatekeeper, folder) refuses the epochs of former owners.
 //!
 //! # The bound on time
 //!
-//! A clock may run at `1 - d` to `1 + d` of true time ([`host::Settings::drift`]). A holder counts its lease `L` from the
-//! moment *before* it asked for the renewal, so it stops at most `L / (1 - d)` of true time after that. Everybody else
-//! counts from the moment at which they *saw* that renewal applied, which is later, and ends the session no sooner than
-//! `L * (1 + d) / (1 - d)` by their own clock, which is `L / (1 - d)` of true time at the least. The end is a
-//! compare-and-swap on the last renewal, so one that slips in between wins. No two hosts' clocks are ever compared.
+//! A clock may run at `1 - d` to `1 + d` of true time ([`host::Settings::drift_milli`], in thousandths). A holder counts
+//! its lease `L` from the moment *before* it requested the renewal, so it stops at most `L / (1 - d)` of true time after
+//! that. Every other agent counts from the moment at which it *saw* that renewal applied, which is later, and expires the
+//! session no sooner than `L * (1 + d) / (1 - d)` by its own clock, which is at least `L / (1 - d)` of true time. The
+//! expiry is a compare-and-swap on the last renewal, so a renewal that is applied in between wins. The clocks of two
+//! hosts are never compared.
 
 pub mod fence;
 pub mod host;
--- a/crates/owner/src/registry.rs
+++ b/crates/owner/src/registry.rs
@@ -1,261 +1,265 @@
-//! What the council agrees on: sessions, duties, owners and epochs. A state machine of commands, the same at every
-//! member, with no clock in it. Wall-clock times in it are what proposers said, for people to read; nothing is decided
-//! by them.
+//! The replicated state machine of duty ownership: sessions, duties, owners and epochs.
+//!
+//! Each member of the Raft group applies the same commands in the same order and reaches the same state, so nothing here
+//! reads a clock or draws a random number. The wall-clock times in commands and state come from the proposers and are
+//! for display only: no decision depends on them.
 
 use crate::fence::Owner;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::fmt;
 
-/// Agents with a session at once.
+/// Sessions that may be open at once, over all agents.
 pub const MAX_AGENTS: usize = 256;
-/// Lives of one agent at once: a former one stays until its silence was seen.
+/// Sessions that one agent may have at once: the session of a former process stays until the others have expired it.
 pub const MAX_LIVES: usize = 8;
-/// Duties.
+/// Duties that may be registered.
 pub const MAX_DUTIES: usize = 10_000;
-/// Changes of owner that are remembered, of all duties together.
+/// Entries of the ownership history, over all duties. The oldest entry is dropped first.
 pub const MAX_HISTORY: usize = 2_000;
-/// Bytes of a decision, and of an intent; intents of one duty.
+/// Largest body of a decision, in bytes.
 pub const MAX_DECISION_BYTES: usize = 64 * 1024;
-/// See [`MAX_DECISION_BYTES`].
+/// Largest body of an operator override, in bytes.
 pub const MAX_OVERRIDE_BYTES: usize = 1024;
-/// See [`MAX_DECISION_BYTES`].
+/// Operator overrides that one duty may have at once.
 pub const MAX_OVERRIDES: usize = 256;
-/// Bytes of a name.
+/// Longest name of an agent, a zone or a duty, in bytes.
 pub const MAX_NAME_BYTES: usize = 64;
-/// Bytes of a reason.
+/// Longest reason, operator name or override key, in bytes.
 pub const MAX_REASON_BYTES: usize = 256;
-/// Ends under one owner after another without a word of a step, after which a duty is set aside.
+/// Owners lost in a row, with no completed step reported in between, after which a duty is set aside.
 pub const MAX_CRASHES: u32 = 3;
-/// Steps that one beat may tell of.
+/// Steps that are taken from one heartbeat, and interrupted steps from one opening of a session.
 pub const MAX_STEPS_PER_BEAT: usize = 64;
 
-/// How an epoch is made up: recoveries above, grants below. After a recovery every epoch is higher than any that a
-/// member who is gone for good may have given out.
+/// Position of the recovery count within an epoch: the bits above it count recoveries, the bits below it count grants.
+/// After a recovery every epoch is therefore higher than any that a permanently lost member may have granted.
 pub const RECOVERY_SHIFT: u32 = 40;
 
-/// A proposal.
+/// A proposal to the Raft group. Commands are stored in the Raft log.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Command {
-    /// An agent begins a life.
+    /// Opens a session for a new incarnation of an agent.
     Open {
-        /// Whose.
+        /// The agent and its incarnation.
         owner: Owner,
-        /// Drawn by the process: two that use one name don't take each other's answer for their own.
+        /// Random number of the process. It tells apart two processes that use the same agent name, so that neither
+        /// takes the other's answer for its own.
         nonce: u64,
-        /// Where it stands, for people.
+        /// Zone of the agent, for display.
         zone: String,
-        /// Duties that it can do; made known where they are not yet.
+        /// Duties that the agent can run. Those not yet known are registered.
         duties: Vec<String>,
-        /// Steps that were in hand when the process of its former life died, by duty and epoch.
+        /// Steps that were running when the process of the former incarnation died, as duty and epoch.
         #[serde(default)]
         fell: Vec<(String, u64)>,
-        /// When, Unix time in ms, for people.
+        /// Time of the proposal, Unix time in ms, for display.
         #[serde(default)]
         at_ms: u64,
     },
-    /// An agent is alive.
+    /// Heartbeat of a session.
     Beat {
-        /// Whose.
+        /// Owner of the session.
         owner: Owner,
-        /// Which, from 1.
+        /// Heartbeat number, starting at 1.
         number: u64,
-        /// What it has done since.
+        /// Steps completed since the previous heartbeat.
         steps: Vec<Step>,
     },
-    /// A session was silent for long enough since this beat.
+    /// Ends a session that sent no heartbeat for long enough. It is a compare-and-swap on the heartbeat number.
     Expire {
-        /// Whose.
+        /// Owner of the session.
         owner: Owner,
-        /// The last beat that was seen.
+        /// Last heartbeat that the proposer saw. The command is refused if a later one was applied.
         number: u64,
-        /// When, Unix time in ms, for people.
+        /// Time of the proposal, Unix time in ms, for display.
         at_ms: u64,
     },
-    /// An agent ends in order.
+    /// Closes a session at an orderly shutdown.
     Close {
-        /// Whose.
+        /// Owner of the session.
         owner: Owner,
-        /// When, Unix time in ms, for people.
+        /// Time of the proposal, Unix time in ms, for display.
         at_ms: u64,
     },
-    /// A free duty is taken.
+    /// Claims a free duty.
     Claim {
-        /// Which.
+        /// The duty.
         duty: String,
-        /// By whom.
+        /// The claimant.
         owner: Owner,
-        /// The epoch that it was seen free at.
+        /// Epoch at which the claimant saw the duty free. The claim is refused if the epoch has changed.
         seen: u64,
-        /// When, Unix time in ms, for people.
+        /// Time of the proposal, Unix time in ms, for display.
         at_ms: u64,
     },
-    /// An owner gives a duty up.
+    /// Releases a duty without naming a successor.
     Release {
-        /// Which.
+        /// The duty.
         duty: String,
-        /// Who.
+        /// The current owner.
         owner: Owner,
-        /// Under which epoch.
+        /// Epoch under which the owner holds the duty.
         epoch: u64,
-        /// Why.
+        /// Reason of the release.
         why: ReleaseReason,
-        /// When, Unix time in ms, for people.
+        /// Time of the proposal, Unix time in ms, for display.
         at_ms: u64,
     },
-    /// An owner, that has stopped by itself, hands a duty to another.
+    /// Hands a duty over to another agent. The owner has already stopped running it.
     Hand {
-        /// Which.
+        /// The duty.
         duty: String,
-        /// From whom.
+        /// The current owner.
         owner: Owner,
-        /// Under which epoch.
+        /// Epoch under which the owner holds the duty.
         epoch: u64,
-        /// To whom.
+        /// The next owner.
         to: Owner,
-        /// When, Unix time in ms, for people.
+        /// Time of the proposal, Unix time in ms, for display.
         at_ms: u64,
     },
-    /// An operator wants a duty elsewhere.
+    /// Operator request to move a duty to another agent.
     Move {
-        /// Which.
+        /// The duty.
         duty: String,
-        /// The agent.
+        /// Name of the target agent.
         to: String,
-        /// Who says so.
+        /// Operator who made the request.
         by: String,
-        /// When, Unix time in ms, for people.
+        /// Time of the proposal, Unix time in ms, for display.
         at_ms: u64,
     },
-    /// An operator stops a duty.
+    /// Operator request to pause a duty.
     Pause {
-        /// Which.
+        /// The duty.
         duty: String,
-        /// Who says so.
+        /// Operator who made the request.
         by: String,
-        /// Why.
+        /// Reason of the request.
         why: String,
-        /// When, Unix time in ms, for people.
+        /// Time of the proposal, Unix time in ms, for display.
         at_ms: u64,
     },
-    /// An operator lets a duty go on, one that was set aside too.
+    /// Operator request to resume a duty that was paused or set aside.
     Resume {
-        /// Which.
+        /// The duty.
         duty: String,
-        /// Who says so.
+        /// Operator who made the request.
         by: String,
-        /// Why.
+        /// Reason of the request.
         why: String,
-        /// When, Unix time in ms, for people.
+        /// Time of the proposal, Unix time in ms, for display.
         at_ms: u64,
     },
-    /// A duty's owner has decided something for the whole fleet.
+    /// Records a decision of a duty's owner that applies to the whole fleet.
     Decide {
-        /// Which duty's.
+        /// The duty.
         duty: String,
-        /// By whom.
+        /// The current owner.
         owner: Owner,
-        /// Under which epoch.
+        /// Epoch under which the owner holds the duty.
         epoch: u64,
-        /// The version that stood when it was made: the next one is its own.
+        /// Version of the decision that this one is based on. The new decision gets the next version.
         seen: u64,
-        /// What, as the duty writes it.
+        /// The decision, in the format of the duty.
         body: String,
-        /// When, Unix time in ms, for people.
+        /// Time of the proposal, Unix time in ms, for display.
         at_ms: u64,
     },
-    /// An operator intends something that a duty takes into account. The same key again takes the place of the former.
+    /// Sets an operator override that a duty takes into account. An earlier one with the same key is replaced.
     Intend {
-        /// Which duty.
+        /// The duty.
         duty: String,
-        /// About what.
+        /// Subject of the override.
         key: String,
-        /// What.
+        /// The override.
         intent: OperatorOverride,
     },
-    /// An intent is over.
+    /// Removes an operator override.
     Withdraw {
-        /// Which duty's.
+        /// The duty.
         duty: String,
-        /// About what.
+        /// Subject of the override.
         key: String,
-        /// Who says so.
+        /// Operator who made the request.
         by: String,
-        /// When, Unix time in ms, for people.
+        /// Time of the proposal, Unix time in ms, for display.
         at_ms: u64,
     },
-    /// A resource has seen this epoch: none below it is given out any more.
+    /// Raises the last granted epoch to one that a resource has seen, so that every later grant is above it.
     Raise {
-        /// The epoch.
+        /// The epoch that the resource has seen.
         epoch: u64,
     },
-    /// The majority is gone for good: one member goes on alone, by hand.
+    /// Manual recovery after permanent loss of the majority: one member continues alone.
     Recover {
-        /// Who says so.
+        /// Operator who made the request.
         by: String,
-        /// When, Unix time in ms, for people.
+        /// Time of the proposal, Unix time in ms, for display.
         at_ms: u64,
     },
 }
 
-/// Why an owner gave a duty up.
+/// Why an owner released a duty.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum ReleaseReason {
-    /// It was asked to.
+    /// The release was requested, or the owner chose to release it. It is not counted as a crash.
     Asked,
-    /// Its step has failed or crashed, with what was said.
+    /// A step failed or crashed, with its error message.
     Crashed(String),
 }
 
-/// A step that was done, or that failed with the owner there to say so.
+/// Report of the last completed step of a duty, or of one that failed while its owner kept running.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Step {
-    /// Of which duty.
+    /// The duty.
     pub duty: String,
-    /// Under which epoch.
+    /// Epoch under which the step ran.
     pub epoch: u64,
-    /// How many in this epoch.
+    /// Number of the step within its epoch.
     pub count: u64,
-    /// When it ended, Unix time in ms, for people.
+    /// End of the step, Unix time in ms, for display.
     pub at_ms: u64,
-    /// When the next one is due, Unix time in ms, for people.
+    /// Due time of the next step, Unix time in ms, for display.
     pub next_ms: u64,
-    /// What it did, in a word or two.
+    /// Short summary of what the step did.
     pub note: String,
 }
 
-/// What became of a command.
+/// Result of applying a command.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Outcome {
-    /// Done.
+    /// The command was applied.
     Done,
-    /// A duty is owned under this epoch.
+    /// The duty is owned under this epoch.
     Granted(u64),
-    /// A decision stands under this version.
+    /// The decision was recorded under this version.
     Decided(u64),
-    /// Nothing was done.
+    /// The command was refused and changed nothing.
     Refused(Refusal),
 }
 
-/// Why a command did nothing.
+/// Why a command was refused.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Refusal {
-    /// The session is not there (any more).
+    /// The session does not exist, or has ended.
     Gone,
-    /// A life that is not above the highest one known of this agent.
+    /// The incarnation is not above the highest known one of this agent.
     OldLife {
-        /// The highest one.
+        /// The highest known incarnation.
         stands: u64,
     },
-    /// A beat has come in between, or the duty has another owner or epoch.
+    /// The state has changed since the proposer read it: a heartbeat was applied in between, or the owner, the epoch or
+    /// the version is another one.
     Changed,
     /// The duty is paused or set aside.
     Stopped,
-    /// There is no such duty, or no such agent.
+    /// The duty, agent or override does not exist.
     Unknown(String),
-    /// A field is not what it may be.
+    /// A field is out of its allowed range.
     Invalid(String),
-    /// No room.
+    /// A size limit is reached.
     Full(String),
 }
 
@@ -274,121 +278,122 @@
     }
 }
 
-/// An agent's life as long as it lasts.
+/// The open session of one incarnation of an agent.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Session {
-    /// The process that opened it.
+    /// Random number of the process that opened the session.
     pub nonce: u64,
-    /// Where it stands.
+    /// Zone of the agent.
     pub zone: String,
-    /// The duties that it can do.
+    /// Duties that the agent can run, sorted and without duplicates.
     pub duties: Vec<String>,
-    /// The last beat.
+    /// Number of the last heartbeat.
     pub number: u64,
 }
 
-/// A duty.
+/// A leader-elected task and its current owner.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Duty {
-    /// The last epoch given out; 0 where none was.
+    /// Last granted epoch of this duty, or 0 before the first grant.
     pub epoch: u64,
-    /// Whose it is.
+    /// Current owner, if any.
     pub owner: Option<Owner>,
-    /// Since when, Unix time in ms by the clock of who claimed it.
+    /// Time of the last grant, Unix time in ms by the proposer's clock.
     pub since_ms: u64,
-    /// Where an operator wants it.
+    /// Agent that an operator wants to own the duty. Cleared when that agent is granted the duty.
     pub wanted: Option<String>,
-    /// Paused: by whom, and why.
+    /// Set while the duty is paused: the operator and the reason.
     pub paused: Option<(String, String)>,
-    /// Set aside, with what was last said.
+    /// Set while the duty is set aside after losing too many owners: the cause.
     pub aside: Option<String>,
-    /// Steps that crashed their owner since one was told of.
+    /// Crashed steps since the last completed step was reported.
     pub crashes: u32,
-    /// Agents that went silent with it before they told of a step, until they are heard again.
+    /// Agents whose session expired while they owned the duty and before they reported a step. An agent is removed when
+    /// it opens a session again.
     #[serde(default)]
     pub silent: BTreeSet<String>,
-    /// The last step done.
+    /// The last reported step.
     pub step: Option<Step>,
 }
 
 impl Duty {
-    /// Whether it may have an owner.
+    /// Whether the duty may have an owner: it is neither paused nor set aside.
     #[must_use]
     pub fn is_runnable(&self) -> bool {
         self.paused.is_none() && self.aside.is_none()
     }
 }
 
-/// A change of owner.
+/// An entry of the ownership history. Operator requests and decisions are entered too.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct OwnershipChange {
-    /// Of which duty.
+    /// The duty; empty for a recovery.
     pub duty: String,
-    /// Under which epoch.
+    /// Epoch of the duty at the change.
     pub epoch: u64,
-    /// Who it is about.
+    /// The agent or operator concerned.
     pub who: String,
-    /// What happened.
+    /// Description of the change.
     pub what: String,
-    /// When, Unix time in ms by the clock of who proposed it.
+    /// Time of the change, Unix time in ms by the proposer's clock.
     pub at_ms: u64,
 }
 
-/// What stands of a duty's decisions.
+/// The decision of a duty that is currently in effect.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct StandingDecision {
-    /// The version; it only grows.
+    /// Version of the decision. It only grows.
     pub version: u64,
-    /// The epoch that it was decided under, and whose that was.
+    /// Epoch under which the decision was made.
     pub epoch: u64,
-    /// See `epoch`.
+    /// Owner of that epoch, as `agent#life`.
     pub owner: String,
-    /// When, Unix time in ms by the clock of who decided, for people.
+    /// Time of the decision, Unix time in ms by the owner's clock, for display.
     pub at_ms: u64,
-    /// What, as the duty writes it.
+    /// The decision, in the format of the duty.
     pub body: String,
 }
 
-/// What an operator intends.
+/// An operator override that a duty takes into account.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct OperatorOverride {
-    /// What, as the duty writes it.
+    /// The override, in the format of the duty.
     pub body: String,
-    /// Who says so.
+    /// Operator who set the override.
     pub by: String,
-    /// Why.
+    /// Reason of the override.
     pub why: String,
-    /// Until when, Unix time in ms; an operator's hour of the clock.
+    /// End of the override, Unix time in ms: a wall-clock time given by the operator.
     pub until_ms: u64,
-    /// When it was said, Unix time in ms.
+    /// Time at which the override was set, Unix time in ms.
     pub at_ms: u64,
 }
 
-/// All of it.
+/// The whole replicated state. It is stored in snapshots.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct State {
-    /// How often one member went on alone.
+    /// Number of manual recoveries in which one member continued alone.
     pub recoveries: u64,
-    /// The last epoch that was given out, of any duty.
+    /// Last granted epoch, over all duties.
     pub epoch: u64,
-    /// Sessions.
+    /// Open sessions by owner.
     #[serde(with = "as_pairs")]
     pub sessions: BTreeMap<Owner, Session>,
-    /// The highest life of each agent.
+    /// Highest known incarnation of each agent.
     pub lives: BTreeMap<String, u64>,
     /// Duties by name.
     pub duties: BTreeMap<String, Duty>,
-    /// Changes of owner, oldest first.
+    /// Ownership history, oldest first, at most [`MAX_HISTORY`] entries.
     pub history: VecDeque<OwnershipChange>,
-    /// What stands of each duty's decisions.
+    /// Current decision of each duty.
     #[serde(default)]
     pub decisions: BTreeMap<String, StandingDecision>,
-    /// What operators intend, by duty and by what it is about.
+    /// Operator overrides by duty and key.
     #[serde(default)]
     pub intents: BTreeMap<String, BTreeMap<String, OperatorOverride>>,
 }
 
-/// Maps whose keys are no texts, as lists.
+/// Serializes a map as a list of pairs, for formats such as JSON whose map keys have to be strings.
 mod as_pairs {
     use super::{BTreeMap, Owner, Session};
     use serde::{Deserialize, Deserializer, Serialize, Serializer};
@@ -402,14 +407,15 @@
     }
 }
 
-/// Whether a text can be a name of an agent, a zone or a duty.
+/// Whether the text is a valid name of an agent, a zone or a duty: 1 to [`MAX_NAME_BYTES`] ASCII letters, digits, dots,
+/// dashes or underscores.
 #[must_use]
 pub fn is_name(text: &str) -> bool {
-    let fits = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
-    (1..=MAX_NAME_BYTES).contains(&text.len()) && text.chars().all(fits)
+    let is_allowed = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
+    (1..=MAX_NAME_BYTES).contains(&text.len()) && text.chars().all(is_allowed)
 }
 
-fn name(field: &str, text: &str) -> Result<(), Refusal> {
+fn check_name(field: &str, text: &str) -> Result<(), Refusal> {
     if is_name(text) {
         return Ok(());
     }
@@ -418,46 +424,46 @@
     )))
 }
 
-fn told(field: &str, text: &str) -> Result<(), Refusal> {
+fn check_text(field: &str, text: &str) -> Result<(), Refusal> {
     if text.is_empty() || text.len() > MAX_REASON_BYTES || text.chars().any(char::is_control) {
         return Err(Refusal::Invalid(format!("{field}: 1 to {MAX_REASON_BYTES} bytes that can be printed")));
     }
     Ok(())
 }
 
-/// What a duty said last, as it may be kept.
-fn short(text: &str) -> String {
+/// Removes control characters and truncates the text to 80 characters, so that what is stored stays small.
+fn truncate_text(text: &str) -> String {
     text.chars().filter(|c| !c.is_control()).take(80).collect()
 }
 
 impl State {
-    /// Carries a command out.
+    /// Applies a command. The result depends on the state and the command alone. A refused command changes nothing.
     pub fn apply(&mut self, command: &Command) -> Outcome {
-        self.applied(command).unwrap_or_else(Outcome::Refused)
+        self.try_apply(command).unwrap_or_else(Outcome::Refused)
     }
 
-    fn applied(&mut self, command: &Command) -> Result<Outcome, Refusal> {
+    fn try_apply(&mut self, command: &Command) -> Result<Outcome, Refusal> {
         match command {
             Command::Open { owner, nonce, zone, duties, fell, at_ms } => {
-                if self.open(owner, *nonce, zone, duties)? {
-                    self.heard(owner, fell, *at_ms);
+                if self.open_session(owner, *nonce, zone, duties)? {
+                    self.record_agent_return(owner, fell, *at_ms);
                 }
             }
-            Command::Beat { owner, number, steps } => self.beat(owner, *number, steps)?,
+            Command::Beat { owner, number, steps } => self.record_heartbeat(owner, *number, steps)?,
             Command::Expire { owner, number, at_ms } => {
                 let session = self.sessions.get(owner).ok_or(Refusal::Gone)?;
                 if session.number != *number {
                     return Err(Refusal::Changed);
                 }
-                self.end(owner, "its session was silent", *at_ms, true);
+                self.end_session(owner, "its session was silent", *at_ms, true);
             }
             Command::Close { owner, at_ms } => {
                 self.sessions.get(owner).ok_or(Refusal::Gone)?;
-                self.end(owner, "ended in order", *at_ms, false);
+                self.end_session(owner, "ended in order", *at_ms, false);
             }
             Command::Claim { duty, owner, seen, at_ms } => {
                 self.sessions.get(owner).ok_or(Refusal::Gone)?;
-                let found = self.known(duty)?;
+                let found = self.duty_mut(duty)?;
                 if found.epoch != *seen || found.owner.is_some() {
                     return Err(Refusal::Changed);
                 }
@@ -467,83 +473,91 @@
                 self.release(duty, owner, *epoch, why, *at_ms)?
             }
             Command::Hand { duty, owner, epoch, to, at_ms } => {
-                self.held(duty, owner, *epoch)?;
+                self.owned_duty_mut(duty, owner, *epoch)?;
                 self.sessions.get(to).ok_or(Refusal::Gone)?;
                 return self.grant(duty, to, "was handed it", *at_ms);
             }
             Command::Move { duty, to, by, at_ms } => {
-                told("by", by)?;
+                check_text("by", by)?;
                 if !self.sessions.keys().any(|o| o.agent == *to) {
                     return Err(Refusal::Unknown(format!("agent {to} with a session")));
                 }
-                let found = self.known(duty)?;
+                let found = self.duty_mut(duty)?;
                 found.wanted = Some(to.clone());
                 let epoch = found.epoch;
-                self.note(duty, epoch, to, &format!("is where {by} wants it"), *at_ms);
+                self.record_change(duty, epoch, to, &format!("is where {by} wants it"), *at_ms);
             }
             Command::Pause { duty, by, why, at_ms } => {
-                told("by", by)?;
-                told("why", why)?;
-                let found = self.known(duty)?;
+                check_text("by", by)?;
+                check_text("why", why)?;
+                let found = self.duty_mut(duty)?;
                 found.paused = Some((by.clone(), why.clone()));
                 let epoch = found.epoch;
-                self.note(duty, epoch, by, &format!("paused it: {why}"), *at_ms);
+                self.record_change(duty, epoch, by, &format!("paused it: {why}"), *at_ms);
             }
             Command::Resume { duty, by, why, at_ms } => {
-                told("by", by)?;
-                told("why", why)?;
-                let found = self.known(duty)?;
+                check_text("by", by)?;
+                check_text("why", why)?;
+                let found = self.duty_mut(duty)?;
                 (found.paused, found.aside, found.crashes) = (None, None, 0);
                 found.silent.clear();
                 let epoch = found.epoch;
-                self.note(duty, epoch, by, &format!("let it go on: {why}"), *at_ms);
+                self.record_change(duty, epoch, by, &format!("let it go on: {why}"), *at_ms);
             }
             Command::Decide { duty, owner, epoch, seen, body, at_ms } => {
                 return self.decide(duty, owner, (*epoch, *seen), body, *at_ms);
             }
             Command::Intend { duty, key, intent } => {
-                told("by", &intent.by)?;
-                told("why", &intent.why)?;
-                told("key", key)?;
+                check_text("by", &intent.by)?;
+                check_text("why", &intent.why)?;
+                check_text("key", key)?;
                 if intent.body.len() > MAX_OVERRIDE_BYTES {
                     return Err(Refusal::Invalid(format!("body: {MAX_OVERRIDE_BYTES} bytes at the most")));
                 }
-                let epoch = self.known(duty)?.epoch;
+                let epoch = self.duty_mut(duty)?.epoch;
                 let intents = self.intents.entry(duty.clone()).or_default();
                 if intents.len() >= MAX_OVERRIDES && !intents.contains_key(key) {
                     return Err(Refusal::Full(format!("intents: {MAX_OVERRIDES} of one duty at the most")));
                 }
                 intents.insert(key.clone(), intent.clone());
-                self.note(duty, epoch, &intent.by, &format!("intends {key}: {}", intent.why), intent.at_ms);
+                self.record_change(
+                    duty,
+                    epoch,
+                    &intent.by,
+                    &format!("intends {key}: {}", intent.why),
+                    intent.at_ms,
+                );
             }
             Command::Withdraw { duty, key, by, at_ms } => {
-                told("by", by)?;
-                let epoch = self.known(duty)?.epoch;
-                let gone = self.intents.get_mut(duty).and_then(|all| all.remove(key));
-                if gone.is_none() {
-                    return Err(Refusal::Unknown(format!("intent about {}", short(key))));
+                check_text("by", by)?;
+                let epoch = self.duty_mut(duty)?.epoch;
+                let removed = self.intents.get_mut(duty).and_then(|all| all.remove(key));
+                if removed.is_none() {
+                    return Err(Refusal::Unknown(format!("intent about {}", truncate_text(key))));
                 }
-                self.note(duty, epoch, by, &format!("no longer intends {key}"), *at_ms);
+                self.record_change(duty, epoch, by, &format!("no longer intends {key}"), *at_ms);
             }
             Command::Raise { epoch } => {
-                // A number of a later recovery can't be one of ours: it would leave no room below it.
+                // An epoch of a recovery that was not made here cannot have been granted by this group. If it were
+                // adopted, no room would be left below it: the next recovery would set a lower epoch.
                 if epoch >> RECOVERY_SHIFT > self.recoveries {
                     return Err(Refusal::Invalid(format!("epoch: {epoch}; of a recovery that was not made")));
                 }
                 self.epoch = self.epoch.max(*epoch);
             }
             Command::Recover { by, at_ms } => {
-                told("by", by)?;
+                check_text("by", by)?;
                 self.recoveries += 1;
                 self.epoch = self.recoveries << RECOVERY_SHIFT;
-                // Whoever held a session may live on elsewhere: its silence is waited for, as ever.
-                self.note("", self.epoch, by, "had one member go on alone", *at_ms);
+                // Sessions are kept: their agents may still be running elsewhere, so each one has to expire as usual.
+                self.record_change("", self.epoch, by, "had one member go on alone", *at_ms);
             }
         }
         Ok(Outcome::Done)
     }
 
-    /// The fence of a decision: it counts only while its owner owns the duty, and after the version that it was made on.
+    /// Records a decision if its author still owns the duty under the given epoch and the current version is the one that
+    /// the decision is based on.
     fn decide(
         &mut self,
         duty: &str,
@@ -552,7 +566,7 @@
         body: &str,
         at_ms: u64,
     ) -> Result<Outcome, Refusal> {
-        self.held(duty, owner, epoch)?;
+        self.owned_duty_mut(duty, owner, epoch)?;
         if body.len() > MAX_DECISION_BYTES {
             return Err(Refusal::Invalid(format!("body: {MAX_DECISION_BYTES} bytes at the most")));
         }
@@ -563,23 +577,23 @@
         let version = seen + 1;
         let owner = owner.to_string();
         *stands = StandingDecision { version, epoch, owner: owner.clone(), at_ms, body: body.to_string() };
-        self.note(duty, epoch, &owner, &format!("decided version {version}"), at_ms);
+        self.record_change(duty, epoch, &owner, &format!("decided version {version}"), at_ms);
         Ok(Outcome::Decided(version))
     }
 
-    fn known(&mut self, duty: &str) -> Result<&mut Duty, Refusal> {
-        self.duties.get_mut(duty).ok_or_else(|| Refusal::Unknown(format!("duty {}", short(duty))))
+    fn duty_mut(&mut self, duty: &str) -> Result<&mut Duty, Refusal> {
+        self.duties.get_mut(duty).ok_or_else(|| Refusal::Unknown(format!("duty {}", truncate_text(duty))))
     }
 
-    fn held(&mut self, duty: &str, owner: &Owner, epoch: u64) -> Result<&mut Duty, Refusal> {
-        let found = self.known(duty)?;
+    fn owned_duty_mut(&mut self, duty: &str, owner: &Owner, epoch: u64) -> Result<&mut Duty, Refusal> {
+        let found = self.duty_mut(duty)?;
         if found.epoch != epoch || found.owner.as_ref() != Some(owner) {
             return Err(Refusal::Changed);
         }
         Ok(found)
     }
 
-    fn note(&mut self, duty: &str, epoch: u64, who: &str, what: &str, at_ms: u64) {
+    fn record_change(&mut self, duty: &str, epoch: u64, who: &str, what: &str, at_ms: u64) {
         if self.history.len() >= MAX_HISTORY {
             self.history.pop_front();
         }
@@ -587,11 +601,17 @@
         self.history.push_back(OwnershipChange { duty, epoch, who, what, at_ms });
     }
 
-    /// Whether it is new: one may be sent again, as its answer was lost.
-    fn open(&mut self, owner: &Owner, nonce: u64, zone: &str, duties: &[String]) -> Result<bool, Refusal> {
-        name("agent", &owner.agent)?;
-        name("zone", zone)?;
-        duties.iter().try_for_each(|d| name("duty", d))?;
+    /// Opens a session and returns whether it is new: the command is retried when its answer was lost.
+    fn open_session(
+        &mut self,
+        owner: &Owner,
+        nonce: u64,
+        zone: &str,
+        duties: &[String],
+    ) -> Result<bool, Refusal> {
+        check_name("agent", &owner.agent)?;
+        check_name("zone", zone)?;
+        duties.iter().try_for_each(|d| check_name("duty", d))?;
         let stands = self.lives.get(&owner.agent).copied().unwrap_or(0);
         if self.sessions.get(owner).is_some_and(|s| s.nonce == nonce) {
             return Ok(false);
@@ -599,14 +619,14 @@
         if owner.life <= stands {
             return Err(Refusal::OldLife { stands });
         }
-        let lives = self.sessions.keys().filter(|o| o.agent == owner.agent).count();
-        if self.sessions.len() >= MAX_AGENTS || lives >= MAX_LIVES {
+        let open_sessions = self.sessions.keys().filter(|o| o.agent == owner.agent).count();
+        if self.sessions.len() >= MAX_AGENTS || open_sessions >= MAX_LIVES {
             return Err(Refusal::Full(format!(
                 "sessions: {MAX_AGENTS} at the most, {MAX_LIVES} of one agent"
             )));
         }
-        let new = duties.iter().filter(|d| !self.duties.contains_key(*d)).count();
-        if self.duties.len() + new > MAX_DUTIES {
+        let new_duties = duties.iter().filter(|d| !self.duties.contains_key(*d)).count();
+        if self.duties.len() + new_duties > MAX_DUTIES {
             return Err(Refusal::Full(format!("duties: {MAX_DUTIES} at the most")));
         }
         for duty in duties {
@@ -620,82 +640,86 @@
         Ok(true)
     }
 
-    fn beat(&mut self, owner: &Owner, number: u64, steps: &[Step]) -> Result<(), Refusal> {
+    fn record_heartbeat(&mut self, owner: &Owner, number: u64, steps: &[Step]) -> Result<(), Refusal> {
         let session = self.sessions.get_mut(owner).ok_or(Refusal::Gone)?;
         session.number = session.number.max(number);
         for step in steps.iter().take(MAX_STEPS_PER_BEAT) {
-            if let Ok(duty) = self.held(&step.duty, owner, step.epoch) {
+            if let Ok(duty) = self.owned_duty_mut(&step.duty, owner, step.epoch) {
                 duty.crashes = 0;
                 duty.silent.clear();
-                duty.step = Some(Step { note: short(&step.note), ..step.clone() });
+                duty.step = Some(Step { note: truncate_text(&step.note), ..step.clone() });
             }
         }
         Ok(())
     }
 
-    /// Ends a session; its duties are free.
-    fn end(&mut self, owner: &Owner, what: &str, at_ms: u64, lost: bool) {
+    /// Ends a session and frees its duties. `is_silent` tells an expired session from one closed in order.
+    fn end_session(&mut self, owner: &Owner, what: &str, at_ms: u64, is_silent: bool) {
         self.sessions.remove(owner);
-        let held: Vec<String> = self
+        let owned: Vec<String> = self
             .duties
             .iter()
             .filter(|(_, d)| d.owner.as_ref() == Some(owner))
             .map(|(n, _)| n.clone())
             .collect();
-        for duty in held {
+        for duty in owned {
             let epoch = self.duties.get_mut(&duty).map_or(0, |found| {
                 found.owner = None;
                 found.epoch
             });
-            self.note(&duty, epoch, &owner.to_string(), what, at_ms);
-            if lost {
-                self.suspect(&duty, owner, at_ms);
+            self.record_change(&duty, epoch, &owner.to_string(), what, at_ms);
+            if is_silent {
+                self.record_silent_owner(&duty, owner, at_ms);
             }
         }
     }
 
-    /// An owner went silent. Whether the duty was the cause shows when its agent comes back; one that does not is held
-    /// against the duty.
-    fn suspect(&mut self, duty: &str, owner: &Owner, at_ms: u64) {
-        let back = self.sessions.keys().any(|o| o.agent == owner.agent);
+    /// Records that the session of the duty's owner expired before it reported a step. Whether the duty was the cause is
+    /// known only when the agent returns; an agent that does not return counts against the duty.
+    fn record_silent_owner(&mut self, duty: &str, owner: &Owner, at_ms: u64) {
+        let has_returned = self.sessions.keys().any(|o| o.agent == owner.agent);
         let Some(found) = self.duties.get_mut(duty) else { return };
-        if back || found.step.as_ref().is_some_and(|s| s.epoch == found.epoch) {
+        if has_returned || found.step.as_ref().is_some_and(|s| s.epoch == found.epoch) {
             return;
         }
         found.silent.insert(owner.agent.clone());
-        self.weigh(duty, "its owners went silent and did not come back", at_ms);
+        self.set_aside_if_failing(duty, "its owners went silent and did not come back", at_ms);
     }
 
-    /// An agent is heard again. The process that went silent was stopped or cut off, and the duty had no part in it; another
-    /// process knows in which steps the former one died.
-    fn heard(&mut self, owner: &Owner, fell: &[(String, u64)], at_ms: u64) {
+    /// Clears the records of silence of an agent that opened a session again, and counts a crash for each step in which
+    /// its former process died. Where no step was interrupted, the process was stopped or cut off, and the duty was not
+    /// the cause.
+    fn record_agent_return(&mut self, owner: &Owner, interrupted: &[(String, u64)], at_ms: u64) {
         for duty in self.duties.values_mut() {
             duty.silent.remove(&owner.agent);
         }
-        for (duty, epoch) in fell.iter().take(MAX_STEPS_PER_BEAT) {
+        for (duty, epoch) in interrupted.iter().take(MAX_STEPS_PER_BEAT) {
             let Some(found) = self.duties.get_mut(duty) else { continue };
-            // What a later owner did well is no crash.
+            // A step completed under this epoch or a later one shows that the duty can run.
             if found.step.as_ref().is_some_and(|s| s.epoch >= *epoch) || *epoch > found.epoch {
                 continue;
             }
             found.crashes += 1;
-            self.note(duty, *epoch, &owner.to_string(), "its process died in a step", at_ms);
-            self.weigh(duty, "its owners died in a step of it", at_ms);
+            self.record_change(duty, *epoch, &owner.to_string(), "its process died in a step", at_ms);
+            self.set_aside_if_failing(duty, "its owners died in a step of it", at_ms);
         }
     }
 
-    /// Sets a duty aside that has cost too many owners.
-    fn weigh(&mut self, duty: &str, said: &str, at_ms: u64) {
+    /// Sets the duty aside once it has lost [`MAX_CRASHES`] owners.
+    fn set_aside_if_failing(&mut self, duty: &str, cause: &str, at_ms: u64) {
         let Some(found) = self.duties.get_mut(duty) else { return };
-        // One that is silent may still be back: it is not added to those that are known to have died.
-        let lost = found.crashes.max(u32::try_from(found.silent.len()).unwrap_or(u32::MAX));
-        if lost < MAX_CRASHES || found.aside.is_some() {
+        // The maximum instead of the sum: a silent agent may still return, so it is not added to the known crashes.
+        let lost_owners = found.crashes.max(u32::try_from(found.silent.len()).unwrap_or(u32::MAX));
+        if lost_owners < MAX_CRASHES || found.aside.is_some() {
             return;
         }
-        found.aside = Some(short(said));
+        found.aside = Some(truncate_text(cause));
         let epoch = found.epoch;
-        let what = format!("it is set aside: {lost} owners were lost without a step: {}", short(said));
-        self.note(duty, epoch, "", &what, at_ms);
+        let what = format!(
+            "it is set aside: {lost_owners} owners were lost without a step: {}",
+            truncate_text(cause)
+        );
+        self.record_change(duty, epoch, "", &what, at_ms);
     }
 
     fn release(
@@ -706,51 +730,57 @@
         why: &ReleaseReason,
         at_ms: u64,
     ) -> Result<(), Refusal> {
-        self.held(duty, owner, epoch)?.owner = None;
+        self.owned_duty_mut(duty, owner, epoch)?.owner = None;
         match why {
-            ReleaseReason::Asked => self.note(duty, epoch, &owner.to_string(), "gave it up", at_ms),
-            ReleaseReason::Crashed(said) => {
-                self.note(duty, epoch, &owner.to_string(), &format!("crashed: {}", short(said)), at_ms);
-                // Whatever was done before, a step that crashes counts.
+            ReleaseReason::Asked => self.record_change(duty, epoch, &owner.to_string(), "gave it up", at_ms),
+            ReleaseReason::Crashed(cause) => {
+                self.record_change(
+                    duty,
+                    epoch,
+                    &owner.to_string(),
+                    &format!("crashed: {}", truncate_text(cause)),
+                    at_ms,
+                );
+                // A crashed step counts even when the owner completed steps before it.
                 if let Some(found) = self.duties.get_mut(duty) {
                     found.step = None;
                     found.crashes += 1;
                 }
-                self.weigh(duty, said, at_ms);
+                self.set_aside_if_failing(duty, cause, at_ms);
             }
         }
         Ok(())
     }
 
     fn grant(&mut self, duty: &str, to: &Owner, what: &str, at_ms: u64) -> Result<Outcome, Refusal> {
-        let able = self.sessions.get(to).is_some_and(|s| s.duties.iter().any(|d| d == duty));
-        if !able {
+        let can_run = self.sessions.get(to).is_some_and(|s| s.duties.iter().any(|d| d == duty));
+        if !can_run {
             return Err(Refusal::Invalid(format!("agent: {} can't do {duty}", to.agent)));
         }
         let epoch = self.epoch + 1;
-        let found = self.known(duty)?;
+        let found = self.duty_mut(duty)?;
         if !found.is_runnable() {
             return Err(Refusal::Stopped);
         }
         found.epoch = epoch;
         found.owner = Some(to.clone());
         found.since_ms = at_ms;
-        // An operator's wish holds until it is met, and then the duty is free to go where it fits.
+        // An operator's move request ends once it is met: from then on rebalancing may move the duty.
         if found.wanted.as_ref() == Some(&to.agent) {
             found.wanted = None;
         }
         self.epoch = epoch;
-        self.note(duty, epoch, &to.to_string(), what, at_ms);
+        self.record_change(duty, epoch, &to.to_string(), what, at_ms);
         Ok(Outcome::Granted(epoch))
     }
 
-    /// How many duties a session holds.
+    /// Number of duties that the owner holds.
     #[must_use]
     pub fn owned_duties(&self, owner: &Owner) -> usize {
         self.duties.values().filter(|d| d.owner.as_ref() == Some(owner)).count()
     }
 
-    /// The changes of one duty, oldest first.
+    /// History entries of one duty, oldest first.
     pub fn history_of<'a>(&'a self, duty: &'a str) -> impl Iterator<Item = &'a OwnershipChange> {
         self.history.iter().filter(move |c| c.duty == duty)
     }
@@ -764,13 +794,13 @@
         Owner { agent: agent.into(), life }
     }
 
-    fn opened(state: &mut State, owner: Owner, fell: Vec<(String, u64)>) -> Outcome {
+    fn open_after_crash(state: &mut State, owner: Owner, fell: Vec<(String, u64)>) -> Outcome {
         let (zone, duties) = ("a".into(), vec!["gaps".into()]);
         state.apply(&Command::Open { owner, nonce: 1, zone, duties, fell, at_ms: 0 })
     }
 
     fn open(state: &mut State, agent: &str, life: u64) -> Outcome {
-        opened(state, owner(agent, life), vec![])
+        open_after_crash(state, owner(agent, life), vec![])
     }
 
     fn claim(state: &mut State, agent: &str, life: u64, seen: u64) -> Outcome {
@@ -778,15 +808,19 @@
     }
 
     #[test]
-    fn an_epoch_is_given_out_once_over_ends_recoveries_and_raises() {
+    fn epoch_is_granted_once_over_expiries_recoveries_and_raises() {
         let mut state = State::default();
         open(&mut state, "a", 1);
         open(&mut state, "b", 1);
         assert_eq!(claim(&mut state, "a", 1, 0), Outcome::Granted(1));
-        assert_eq!(claim(&mut state, "b", 1, 1), Outcome::Refused(Refusal::Changed), "it has an owner");
+        assert_eq!(claim(&mut state, "b", 1, 1), Outcome::Refused(Refusal::Changed), "the duty has an owner");
         let expire = |number| Command::Expire { owner: owner("a", 1), number, at_ms: 0 };
         state.apply(&Command::Beat { owner: owner("a", 1), number: 4, steps: vec![] });
-        assert_eq!(state.apply(&expire(3)), Outcome::Refused(Refusal::Changed), "a beat slipped in");
+        assert_eq!(
+            state.apply(&expire(3)),
+            Outcome::Refused(Refusal::Changed),
+            "a heartbeat was applied in between"
+        );
         assert_eq!(state.apply(&expire(4)), Outcome::Done);
         assert_eq!(claim(&mut state, "b", 1, 1), Outcome::Granted(2));
         state.apply(&Command::Raise { epoch: 50 });
@@ -809,18 +843,22 @@
             at_ms: 0,
         };
         assert_eq!(state.apply(&hand), Outcome::Granted((1 << RECOVERY_SHIFT) + 1));
-        let far = Command::Raise { epoch: 2 << RECOVERY_SHIFT };
-        assert!(matches!(state.apply(&far), Outcome::Refused(Refusal::Invalid(_))));
+        let unmade_recovery = Command::Raise { epoch: 2 << RECOVERY_SHIFT };
+        assert!(matches!(state.apply(&unmade_recovery), Outcome::Refused(Refusal::Invalid(_))));
     }
 
     #[test]
-    fn a_life_that_is_not_new_is_refused_and_says_which_stands() {
+    fn open_is_refused_with_the_highest_incarnation_when_it_is_not_new() {
         let mut state = State::default();
         assert_eq!(open(&mut state, "a", 7), Outcome::Done);
-        assert_eq!(open(&mut state, "a", 7), Outcome::Done, "sent again");
+        assert_eq!(open(&mut state, "a", 7), Outcome::Done, "the same command retried");
         let (twin, zone) = (owner("a", 7), "a".to_string());
         let twin = Command::Open { owner: twin, nonce: 2, zone, duties: vec![], fell: vec![], at_ms: 0 };
-        assert_eq!(state.apply(&twin), Outcome::Refused(Refusal::OldLife { stands: 7 }), "another process");
+        assert_eq!(
+            state.apply(&twin),
+            Outcome::Refused(Refusal::OldLife { stands: 7 }),
+            "another process of the same name"
+        );
         assert_eq!(open(&mut state, "a", 6), Outcome::Refused(Refusal::OldLife { stands: 7 }));
         state.apply(&Command::Close { owner: owner("a", 7), at_ms: 0 });
         assert_eq!(open(&mut state, "a", 7), Outcome::Refused(Refusal::OldLife { stands: 7 }));
@@ -828,7 +866,7 @@
     }
 
     #[test]
-    fn a_duty_that_ends_three_owners_in_a_row_is_set_aside_and_comes_back_by_hand() {
+    fn duty_is_set_aside_after_three_crashes_and_runs_again_after_resume() {
         let mut state = State::default();
         open(&mut state, "a", 1);
         for round in 0..MAX_CRASHES {
@@ -852,7 +890,7 @@
     }
 
     #[test]
-    fn owners_that_did_a_step_and_went_silent_are_not_held_against_the_duty() {
+    fn silent_owners_do_not_count_when_they_reported_a_step() {
         let mut state = State::default();
         for life in 1..=6 {
             open(&mut state, "a", life);
@@ -867,10 +905,10 @@
         assert!(state.duties["gaps"].is_runnable());
     }
 
-    /// As seeds 4010 and 4015 of the schedules had it: agents killed or cut off by others, each with a duty that it had not
-    /// come to yet, and all of them back.
+    /// Seeds 4010 and 4015 of the fault schedules: agents are killed or cut off from the others before the first step of
+    /// the duty that they own, and all of them return. The duty must not be set aside.
     #[test]
-    fn owners_that_went_silent_and_came_back_are_not_held_against_the_duty() {
+    fn silent_owners_do_not_count_when_they_return() {
         let mut state = State::default();
         for (round, agent) in ["a", "b", "c", "d", "e"].into_iter().enumerate() {
             let life = 100 * (round as u64 + 1);
@@ -878,11 +916,11 @@
             let seen = state.duties["gaps"].epoch;
             assert!(matches!(claim(&mut state, agent, life, seen), Outcome::Granted(_)), "round {round}");
             state.apply(&Command::Expire { owner: owner(agent, life), number: 0, at_ms: 0 });
-            assert_eq!(state.duties["gaps"].silent.len(), 1, "until it is heard again");
+            assert_eq!(state.duties["gaps"].silent.len(), 1, "recorded until the agent returns");
             open(&mut state, agent, life + 10);
             assert_eq!(state.duties["gaps"].silent.len(), 0);
         }
-        // One that is back before its former life was seen to be silent.
+        // An agent that returns before the session of its former incarnation has expired.
         open(&mut state, "f", 1);
         let seen = state.duties["gaps"].epoch;
         claim(&mut state, "f", 1, seen);
@@ -892,14 +930,18 @@
     }
 
     #[test]
-    fn owners_that_died_in_a_step_or_never_came_back_are() {
+    fn duty_is_set_aside_when_owners_die_in_a_step_or_never_return() {
         let mut state = State::default();
         for (life, agent) in [(1, "a"), (2, "b"), (3, "c")] {
             assert!(state.duties.get("gaps").is_none_or(Duty::is_runnable));
             open(&mut state, agent, life);
             let Outcome::Granted(epoch) = claim(&mut state, agent, life, life - 1) else { panic!("{agent}") };
             state.apply(&Command::Expire { owner: owner(agent, life), number: 0, at_ms: 0 });
-            opened(&mut state, owner(agent, life + 10), vec![("gaps".into(), epoch), ("none".into(), 1)]);
+            open_after_crash(
+                &mut state,
+                owner(agent, life + 10),
+                vec![("gaps".into(), epoch), ("none".into(), 1)],
+            );
         }
         assert!(state.duties["gaps"].aside.as_ref().is_some_and(|why| why.contains("died in a step")));
 
@@ -913,7 +955,7 @@
     }
 
     #[test]
-    fn a_step_that_a_later_owner_did_outweighs_what_is_told_late() {
+    fn late_crash_report_is_ignored_when_a_later_owner_completed_a_step() {
         let mut state = State::default();
         open(&mut state, "a", 1);
         claim(&mut state, "a", 1, 0);
@@ -923,12 +965,12 @@
         let step =
             Step { duty: "gaps".into(), epoch: 2, count: 1, at_ms: 0, next_ms: 0, note: String::new() };
         state.apply(&Command::Beat { owner: owner("b", 1), number: 1, steps: vec![step] });
-        opened(&mut state, owner("a", 2), vec![("gaps".into(), 1), ("gaps".into(), 9)]);
+        open_after_crash(&mut state, owner("a", 2), vec![("gaps".into(), 1), ("gaps".into(), 9)]);
         assert_eq!(state.duties["gaps"].crashes, 0);
     }
 
     #[test]
-    fn a_decision_counts_under_its_owners_epoch_and_after_the_version_it_was_made_on() {
+    fn decision_is_refused_when_owner_epoch_or_base_version_is_stale() {
         let mut state = State::default();
         open(&mut state, "a", 1);
         open(&mut state, "b", 1);
@@ -952,14 +994,14 @@
             "a former owner"
         );
         assert_eq!(state.apply(&decide("b", 2, 1, "z")), Outcome::Decided(2));
-        let long = "z".repeat(MAX_DECISION_BYTES + 1);
-        assert!(matches!(state.apply(&decide("b", 2, 2, &long)), Outcome::Refused(Refusal::Invalid(_))));
+        let too_long = "z".repeat(MAX_DECISION_BYTES + 1);
+        assert!(matches!(state.apply(&decide("b", 2, 2, &too_long)), Outcome::Refused(Refusal::Invalid(_))));
         let stands = &state.decisions["gaps"];
         assert_eq!((stands.version, stands.epoch, stands.body.as_str()), (2, 2, "z"));
     }
 
     #[test]
-    fn intents_are_bounded_take_each_others_place_and_are_withdrawn_by_name() {
+    fn overrides_are_bounded_replaced_by_key_and_withdrawn_by_key() {
         let mut state = State::default();
         open(&mut state, "a", 1);
         let intend = |key: &str, why: &str| Command::Intend {
@@ -971,14 +1013,14 @@
         assert_eq!(state.apply(&intend("room-a", "more work")), Outcome::Done);
         assert_eq!(state.intents["gaps"]["room-a"].why, "more work");
         assert!(matches!(state.apply(&intend("room-b", "")), Outcome::Refused(Refusal::Invalid(_))));
-        let away = |key: &str| Command::Withdraw {
+        let withdraw = |key: &str| Command::Withdraw {
             duty: "gaps".into(),
             key: key.into(),
             by: "ana".into(),
             at_ms: 0,
         };
-        assert!(matches!(state.apply(&away("room-b")), Outcome::Refused(Refusal::Unknown(_))));
-        assert_eq!(state.apply(&away("room-a")), Outcome::Done);
+        assert!(matches!(state.apply(&withdraw("room-b")), Outcome::Refused(Refusal::Unknown(_))));
+        assert_eq!(state.apply(&withdraw("room-a")), Outcome::Done);
         for k in 0..2 * MAX_OVERRIDES {
             state.apply(&intend(&format!("z{k}"), "x"));
         }
@@ -986,12 +1028,12 @@
     }
 
     #[test]
-    fn bad_words_change_nothing() {
+    fn invalid_commands_are_refused_and_change_nothing() {
         let mut state = State::default();
         open(&mut state, "a", 1);
         let before = state.clone();
-        let long = "x".repeat(MAX_NAME_BYTES + 1);
-        let bad = [
+        let too_long = "x".repeat(MAX_NAME_BYTES + 1);
+        let invalid = [
             Command::Open {
                 owner: owner("", 9),
                 nonce: 1,
@@ -1001,7 +1043,7 @@
                 at_ms: 0,
             },
             Command::Open {
-                owner: owner(&long, 9),
+                owner: owner(&too_long, 9),
                 nonce: 1,
                 zone: "a".into(),
                 duties: vec![],
@@ -1031,14 +1073,14 @@
             Command::Beat { owner: owner("z", 1), number: 1, steps: vec![] },
             Command::Recover { by: String::new(), at_ms: 0 },
         ];
-        for command in bad {
+        for command in invalid {
             assert!(matches!(state.apply(&command), Outcome::Refused(_)), "{command:?}");
             assert_eq!(state, before, "{command:?}");
         }
     }
 
     #[test]
-    fn what_is_remembered_is_bounded() {
+    fn history_and_sessions_are_bounded() {
         let mut state = State::default();
         open(&mut state, "a", 1);
         for k in 0..2 * MAX_HISTORY {
