--- a/crates/owner/src/fence.rs
+++ b/crates/owner/src/fence.rs
@@ -1,8 +1,8 @@
 //! Leases and fencing tokens.
 //!
-//! An agent holds a [`Lease`] for each duty that it owns. Each effect on behalf of the fleet carries a [`Fence`], which
-//! only an unexpired lease gives out. The resource that the effect acts on keeps a [`FenceTable`] and refuses the
-//! effects of former owners.
+//! An agent holds a [`Lease`] for each duty that it owns. Each effect on behalf of the fleet carries a
+//! [`Fence`], which only an unexpired lease gives out. The resource that the effect acts on keeps a
+//! [`FenceTable`] and refuses the effects of former owners.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -26,8 +26,8 @@
     }
 }
 
-/// Expiry of a session, in ms of the agent's monotonic clock. It is shared by all leases of the session, so that one
-/// renewal extends them all.
+/// Expiry of a session, in ms of the agent's monotonic clock. It is shared by all leases of the session, so
+/// that one renewal extends them all.
 #[derive(Debug, Clone, Default)]
 pub struct LeaseExpiry(Arc<AtomicU64>);
 
@@ -63,8 +63,8 @@
     }
 }
 
-/// The right to run one duty, valid until the session expires or the duty is released. Only [`crate::DutyController`]
-/// creates leases.
+/// The right to run one duty, valid until the session expires or the duty is released. Only
+/// [`crate::DutyController`] creates leases.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Lease {
     duty: String,
@@ -102,8 +102,8 @@
         self.released.set(1);
     }
 
-    /// A copy that follows the given expiry and shares no state with this lease, for model checks that copy whole
-    /// controllers.
+    /// A copy that follows the given expiry and shares no state with this lease, for model checks that copy
+    /// whole controllers.
     pub(crate) fn detached_on(&self, expiry: &LeaseExpiry) -> Lease {
         Lease { expiry: expiry.clone(), released: self.released.detached(), ..self.clone() }
     }
@@ -120,7 +120,8 @@
         Ok(remaining_ms)
     }
 
-    /// The fence for one effect. Call it right before the effect; `now` is in ms of the agent's monotonic clock.
+    /// The fence for one effect. Call it right before the effect; `now` is in ms of the agent's monotonic
+    /// clock.
     ///
     /// # Errors
     /// [`LeaseExpired`] if the lease has expired or was released. The effect must not be tried then.
@@ -147,8 +148,8 @@
 
 impl std::error::Error for LeaseExpired {}
 
-/// Fencing token of one effect: it proves that a lease was valid a moment ago. Only [`Lease::fence`] creates one, so a
-/// function that takes a fence cannot be called without a lease.
+/// Fencing token of one effect: it proves that a lease was valid a moment ago. Only [`Lease::fence`] creates
+/// one, so a function that takes a fence cannot be called without a lease.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Fence {
     duty: String,
@@ -181,12 +182,13 @@
 pub struct CurrentEpoch {
     /// The highest epoch.
     pub epoch: u64,
-    /// Owner of the epoch, as `agent#life`. Empty if the epoch was only announced, with no effect under it yet.
+    /// Owner of the epoch, as `agent#life`. Empty if the epoch was only announced, with no effect under it
+    /// yet.
     pub owner: String,
 }
 
-/// The highest epoch of each duty that a resource has seen, with the rule that accepts or refuses an effect. The
-/// database keeps the same data in a table of its own.
+/// The highest epoch of each duty that a resource has seen, with the rule that accepts or refuses an effect.
+/// The database keeps the same data in a table of its own.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub struct FenceTable {
     highest: BTreeMap<String, CurrentEpoch>,
@@ -212,8 +214,8 @@
     /// Accepts an effect and records its epoch and owner.
     ///
     /// # Errors
-    /// [`FenceError::Stale`] if the effect is from a former owner, with the current epoch; [`FenceError::Full`] if the
-    /// table has no room for another duty.
+    /// [`FenceError::Stale`] if the effect is from a former owner, with the current epoch;
+    /// [`FenceError::Full`] if the table has no room for another duty.
     pub fn admit(&mut self, duty: &str, epoch: u64, owner: &str) -> Result<(), FenceError> {
         if let Some(current) = self.highest.get_mut(duty) {
             let is_same_owner =
@@ -231,8 +233,8 @@
         Ok(())
     }
 
-    /// Records that an epoch was granted, before any effect under it arrives: lower ones are refused from now on. A
-    /// duty that finds no room in the table is ignored.
+    /// Records that an epoch was granted, before any effect under it arrives: lower ones are refused from now
+    /// on. A duty that finds no room in the table is ignored.
     pub fn raise_floor(&mut self, duty: &str, epoch: u64) {
         let has_room = self.highest.len() < self.max_duties;
         match self.highest.get_mut(duty) {
--- a/crates/owner/src/host.rs
+++ b/crates/owner/src/host.rs
@@ -1,8 +1,9 @@
 //! The duty controller of one agent.
 //!
-//! The controller performs no input or output: the caller passes events with their time and carries out the returned
-//! actions. Times are in ms of the agent's own monotonic clock, and random numbers come from a seed, so runs can be
-//! replayed. It guarantees that the agent runs a duty only while its session is valid by its own clock.
+//! The controller performs no input or output: the caller passes events with their time and carries out the
+//! returned actions. Times are in ms of the agent's own monotonic clock, and random numbers come from a seed,
+//! so runs can be replayed. It guarantees that the agent runs a duty only while its session is valid by its
+//! own clock.
 
 use crate::fence::{Lease, LeaseExpiry, Owner};
 use crate::registry::{Command, MAX_STEPS_PER_BEAT, Outcome, Refusal, ReleaseReason, State, Step};
@@ -68,8 +69,8 @@
         Ok(())
     }
 
-    /// How long other agents wait before they expire a silent session, in ms: `lease * (1 + d) / (1 - d)`, rounded up.
-    /// See the crate documentation for the derivation.
+    /// How long other agents wait before they expire a silent session, in ms: `lease * (1 + d) / (1 - d)`,
+    /// rounded up. See the crate documentation for the derivation.
     #[must_use]
     pub fn expiry_wait_ms(&self) -> u64 {
         if self.disabled_safeguard == DisabledSafeguard::ClockDriftAllowance {
@@ -89,7 +90,8 @@
         (self.lease_ms / 10).max(1)
     }
 
-    /// Additional delay of each next candidate for a free duty, in ms, so that the candidates do not claim at once.
+    /// Additional delay of each next candidate for a free duty, in ms, so that the candidates do not claim at
+    /// once.
     fn stagger_ms(&self) -> u64 {
         (self.lease_ms / 10).max(1)
     }
@@ -102,7 +104,8 @@
     Propose(Command),
     /// Begin running a duty under this lease.
     Begin(Lease),
-    /// Stop running a duty: start no further step, and call [`DutyController::step_stopped`] when the running one is over.
+    /// Stop running a duty: start no further step, and call [`DutyController::step_stopped`] when the running
+    /// one is over.
     Stop {
         /// The duty.
         duty: String,
@@ -206,9 +209,11 @@
     next_heartbeat_ms: u64,
     leases: BTreeMap<String, Lease>,
     pending_releases: BTreeMap<String, PendingRelease>,
-    /// Sessions of other agents: the last heartbeat seen, when it was first seen, and when their expiry was last proposed.
+    /// Sessions of other agents: the last heartbeat seen, when it was first seen, and when their expiry was
+    /// last proposed.
     peer_sessions: BTreeMap<Owner, (u64, u64, Option<u64>)>,
-    /// Free duties: their epoch, when they were first seen free, and the delay in ms before this agent claims them.
+    /// Free duties: their epoch, when they were first seen free, and the delay in ms before this agent claims
+    /// them.
     free_duties: BTreeMap<String, (u64, u64, u64)>,
     /// Claims awaiting their outcome, with the time of the proposal.
     pending_claims: BTreeMap<String, u64>,
@@ -236,8 +241,8 @@
     z ^ (z >> 31)
 }
 
-/// Preference of a duty for an agent, from their names alone (rendezvous hashing with FNV-1a). All agents compute the
-/// same value.
+/// Preference of a duty for an agent, from their names alone (rendezvous hashing with FNV-1a). All agents
+/// compute the same value.
 fn rendezvous_rank(duty: &str, agent: &str) -> u64 {
     let bytes = duty.bytes().chain([0xff]).chain(agent.bytes());
     let hash = bytes.fold(0xcbf2_9ce4_8422_2325, |h, b| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3));
@@ -246,8 +251,8 @@
 }
 
 impl DutyController {
-    /// A controller without a session. `supported` lists the duties that the agent can run. `nonce` and `seed` have to be
-    /// drawn anew at each process start.
+    /// A controller without a session. `supported` lists the duties that the agent can run. `nonce` and
+    /// `seed` have to be drawn anew at each process start.
     #[must_use]
     pub fn new(
         agent: &str,
@@ -290,8 +295,8 @@
         self.wall_offset_ms = wall_offset_ms;
     }
 
-    /// Sets the steps, as duty and epoch, that were running when the process of the former incarnation died. They are
-    /// reported when the session is opened.
+    /// Sets the steps, as duty and epoch, that were running when the process of the former incarnation died.
+    /// They are reported when the session is opened.
     pub fn set_interrupted_steps(&mut self, steps: Vec<(String, u64)>) {
         self.interrupted_steps = steps;
     }
@@ -313,7 +318,8 @@
         self.session == Session::Open && now < self.expiry.get()
     }
 
-    /// The leases of this agent. Each one may have expired or been released already: [`Lease::fence`] checks that.
+    /// The leases of this agent. Each one may have expired or been released already: [`Lease::fence`] checks
+    /// that.
     pub fn leases(&self) -> impl Iterator<Item = &Lease> {
         self.leases.values()
     }
@@ -329,8 +335,8 @@
         copy
     }
 
-    /// Reacts to a changed state or to elapsed time. Call it after each change of the state, and at intervals of a few
-    /// hundredths of a lease.
+    /// Reacts to a changed state or to elapsed time. Call it after each change of the state, and at intervals
+    /// of a few hundredths of a lease.
     pub fn tick(&mut self, now: u64, state: &State) -> Vec<Action> {
         let mut out = Vec::new();
         self.observe_state(now, state, &mut out);
@@ -349,7 +355,8 @@
         out
     }
 
-    /// Handles the outcome of a proposal; `None` if its answer was lost and it may or may not have been applied.
+    /// Handles the outcome of a proposal; `None` if its answer was lost and it may or may not have been
+    /// applied.
     pub fn handle_outcome(&mut self, now: u64, command: &Command, outcome: Option<&Outcome>) -> Vec<Action> {
         let mut out = Vec::new();
         let me = self.owner();
@@ -381,7 +388,8 @@
             {
                 if let Some(pending) = self.pending_releases.get_mut(duty) {
                     match outcome {
-                        // The successor's session has just ended, or it cannot take the duty: release it instead.
+                        // The successor's session has just ended, or it cannot take the duty: release it
+                        // instead.
                         Some(Outcome::Refused(Refusal::Gone | Refusal::Invalid(_) | Refusal::Stopped)) => {
                             pending.kind = ReleaseKind::Free(ReleaseReason::Asked);
                             pending.sent_ms = None;
@@ -434,10 +442,10 @@
         out
     }
 
-    /// Handles a refusal of this agent's epoch by a resource that has seen the epoch `stands`. If the Raft group still has
-    /// this agent as the owner, the resource has seen an epoch that the group does not know, for example after the group's
-    /// own files were restored from a backup. Later epochs are then raised above it, and the duty is released so that it
-    /// is claimed under a new epoch.
+    /// Handles a refusal of this agent's epoch by a resource that has seen the epoch `stands`. If the Raft
+    /// group still has this agent as the owner, the resource has seen an epoch that the group does not know,
+    /// for example after the group's own files were restored from a backup. Later epochs are then raised
+    /// above it, and the duty is released so that it is claimed under a new epoch.
     pub fn step_fenced(&mut self, now: u64, duty: &str, epoch: u64, stands: u64) -> Vec<Action> {
         let mut out = Vec::new();
         if self.holds_session(now) && self.leases.get(duty).is_some_and(|l| l.epoch() == epoch) {
@@ -463,8 +471,8 @@
         out
     }
 
-    /// Shuts this agent down in order: hands its duties over and then closes its session. Call it until the first value
-    /// is true: the session has ended.
+    /// Shuts this agent down in order: hands its duties over and then closes its session. Call it until the
+    /// first value is true: the session has ended.
     pub fn close(&mut self, now: u64, state: &State) -> (bool, Vec<Action>) {
         self.is_closing = true;
         if self.session != Session::Open || !state.sessions.contains_key(&self.owner()) {
@@ -482,7 +490,8 @@
             self.begin_release(now, &duty, kind, "this agent shuts down", &mut out);
         }
         if self.leases.is_empty() && self.pending_releases.is_empty() {
-            // No duty that is handed to this agent may begin from here on, since the session can end at any moment.
+            // No duty that is handed to this agent may begin from here on, since the session can end at any
+            // moment.
             self.is_closed = true;
             self.expiry.set(0);
             out.push(Action::Propose(Command::Close { owner: self.owner(), at_ms: self.unix_ms(now) }));
@@ -552,8 +561,8 @@
         self.pending_claims.clear();
     }
 
-    /// Stops all duties once the session has expired by this agent's clock. Pending releases and hand-overs are kept, as
-    /// they may still be applied.
+    /// Stops all duties once the session has expired by this agent's clock. Pending releases and hand-overs
+    /// are kept, as they may still be applied.
     fn stop_if_expired(&mut self, now: u64, out: &mut Vec<Action>) {
         if !self.leases.is_empty() && now >= self.expiry.get() {
             out.push(Action::Notify(Notice::SessionExpired { duties: self.leases.len() }));
@@ -595,8 +604,9 @@
             Session::Open => {
                 match state.sessions.get(&me) {
                     Some(session) => self.heartbeat_confirmed(now, session.number),
-                    // The observed state may be older than the answer to the opening. Only a state that records this
-                    // incarnation, or a later one, without its session shows that the session has ended.
+                    // The observed state may be older than the answer to the opening. Only a state that
+                    // records this incarnation, or a later one, without its session shows that the session
+                    // has ended.
                     None if state.lives.get(&self.agent).is_some_and(|l| *l >= self.life) => {
                         return self.session_lost(out);
                     }
@@ -635,8 +645,8 @@
 
     // ---- other agents ----
 
-    /// Records the sessions of other agents and drops duties that are no longer free, with the time of observation, and
-    /// gives notice of duties that were set aside.
+    /// Records the sessions of other agents and drops duties that are no longer free, with the time of
+    /// observation, and gives notice of duties that were set aside.
     fn observe_state(&mut self, now: u64, state: &State, out: &mut Vec<Action>) {
         let me = self.owner();
         self.peer_sessions.retain(|owner, _| state.sessions.contains_key(owner));
@@ -737,7 +747,8 @@
         out.push(Action::Notify(Notice::Released { duty: duty.to_string(), epoch, why }));
     }
 
-    /// Releases duties that are paused or set aside, and hands over those that an operator moved to another agent.
+    /// Releases duties that are paused or set aside, and hands over those that an operator moved to another
+    /// agent.
     fn release_paused_or_moved(&mut self, now: u64, state: &State, out: &mut Vec<Action>) {
         let names: Vec<String> =
             self.leases.keys().filter(|d| !self.pending_releases.contains_key(*d)).cloned().collect();
@@ -765,8 +776,8 @@
         }
     }
 
-    /// Proposes the releases and hand-overs of duties that have stopped. A step that does not end is waited for no longer
-    /// than a lease.
+    /// Proposes the releases and hand-overs of duties that have stopped. A step that does not end is waited
+    /// for no longer than a lease.
     fn propose_ready_releases(&mut self, now: u64, out: &mut Vec<Action>) {
         let (me, at_ms, lease_ms) = (self.owner(), self.unix_ms(now), self.settings.lease_ms);
         for (duty, pending) in &mut self.pending_releases {
@@ -827,8 +838,8 @@
         }
     }
 
-    /// How long this agent leaves a free duty to other agents, in ms. Agents that the duty prefers claim first, and an
-    /// agent that already has its share waits longer.
+    /// How long this agent leaves a free duty to other agents, in ms. Agents that the duty prefers claim
+    /// first, and an agent that already has its share waits longer.
     fn claim_delay_ms(&mut self, name: &str, state: &State, has_full_share: bool) -> u64 {
         let duty = &state.duties[name];
         let stagger_ms = self.settings.stagger_ms();
@@ -868,7 +879,8 @@
         self.peer_sessions.get(owner).is_some_and(|(_, _, asked)| asked.is_none())
     }
 
-    /// The responsive agent with the fewest duties that can run the duty, or `None`; `loads` counts the choice.
+    /// The responsive agent with the fewest duties that can run the duty, or `None`; `loads` counts the
+    /// choice.
     fn choose_successor(
         &self,
         duty: &str,
@@ -886,8 +898,8 @@
         Some(successor)
     }
 
-    /// Hands duties from the agent that owns the most to those that own the fewest, as long as that evens out the counts.
-    /// The number per round is bounded.
+    /// Hands duties from the agent that owns the most to those that own the fewest, as long as that evens out
+    /// the counts. The number per round is bounded.
     fn rebalance(&mut self, now: u64, state: &State, out: &mut Vec<Action>) {
         if now < self.next_rebalance_ms
             || !self.pending_releases.is_empty()
--- a/crates/owner/src/registry.rs
+++ b/crates/owner/src/registry.rs
@@ -1,8 +1,8 @@
 //! The replicated state machine of duty ownership: sessions, duties, owners and epochs.
 //!
-//! Each member of the Raft group applies the same commands in the same order and reaches the same state, so nothing here
-//! reads a clock or draws a random number. The wall-clock times in commands and state come from the proposers and are
-//! for display only: no decision depends on them.
+//! Each member of the Raft group applies the same commands in the same order and reaches the same state, so
+//! nothing here reads a clock or draws a random number. The wall-clock times in commands and state come from
+//! the proposers and are for display only: no decision depends on them.
 
 use crate::fence::Owner;
 use serde::{Deserialize, Serialize};
@@ -11,7 +11,8 @@
 
 /// Sessions that may be open at once, over all agents.
 pub const MAX_AGENTS: usize = 256;
-/// Sessions that one agent may have at once: the session of a former process stays until the others have expired it.
+/// Sessions that one agent may have at once: the session of a former process stays until the others have
+/// expired it.
 pub const MAX_LIVES: usize = 8;
 /// Duties that may be registered.
 pub const MAX_DUTIES: usize = 10_000;
@@ -32,8 +33,9 @@
 /// Steps that are taken from one heartbeat, and interrupted steps from one opening of a session.
 pub const MAX_STEPS_PER_BEAT: usize = 64;
 
-/// Position of the recovery count within an epoch: the bits above it count recoveries, the bits below it count grants.
-/// After a recovery every epoch is therefore higher than any that a permanently lost member may have granted.
+/// Position of the recovery count within an epoch: the bits above it count recoveries, the bits below it
+/// count grants. After a recovery every epoch is therefore higher than any that a permanently lost member may
+/// have granted.
 pub const RECOVERY_SHIFT: u32 = 40;
 
 /// A proposal to the Raft group. Commands are stored in the Raft log.
@@ -43,8 +45,8 @@
     Open {
         /// The agent and its incarnation.
         owner: Owner,
-        /// Random number of the process. It tells apart two processes that use the same agent name, so that neither
-        /// takes the other's answer for its own.
+        /// Random number of the process. It tells apart two processes that use the same agent name, so that
+        /// neither takes the other's answer for its own.
         nonce: u64,
         /// Zone of the agent, for display.
         zone: String,
@@ -66,7 +68,8 @@
         /// Steps completed since the previous heartbeat.
         steps: Vec<Step>,
     },
-    /// Ends a session that sent no heartbeat for long enough. It is a compare-and-swap on the heartbeat number.
+    /// Ends a session that sent no heartbeat for long enough. It is a compare-and-swap on the heartbeat
+    /// number.
     Expire {
         /// Owner of the session.
         owner: Owner,
@@ -167,7 +170,8 @@
         /// Time of the proposal, Unix time in ms, for display.
         at_ms: u64,
     },
-    /// Sets an operator override that a duty takes into account. An earlier one with the same key is replaced.
+    /// Sets an operator override that a duty takes into account. An earlier one with the same key is
+    /// replaced.
     Intend {
         /// The duty.
         duty: String,
@@ -217,7 +221,7 @@
     pub duty: String,
     /// Epoch under which the step ran.
     pub epoch: u64,
-    /// Number of the step within its epoch.
+    /// Number of steps in this epoch, this one included.
     pub count: u64,
     /// End of the step, Unix time in ms, for display.
     pub at_ms: u64,
@@ -236,7 +240,7 @@
     Granted(u64),
     /// The decision was recorded under this version.
     Decided(u64),
-    /// The command was refused and changed nothing.
+    /// The command was refused, for this reason.
     Refused(Refusal),
 }
 
@@ -250,8 +254,8 @@
         /// The highest known incarnation.
         stands: u64,
     },
-    /// The state has changed since the proposer read it: a heartbeat was applied in between, or the owner, the epoch or
-    /// the version is another one.
+    /// The state has changed since the proposer read it: a heartbeat was applied in between, or the owner,
+    /// the epoch or the version is another one.
     Changed,
     /// The duty is paused or set aside.
     Stopped,
@@ -308,8 +312,8 @@
     pub aside: Option<String>,
     /// Crashed steps since the last completed step was reported.
     pub crashes: u32,
-    /// Agents whose session expired while they owned the duty and before they reported a step. An agent is removed when
-    /// it opens a session again.
+    /// Agents whose session expired while they owned the duty and before they reported a step. An agent is
+    /// removed when it opens a session again.
     #[serde(default)]
     pub silent: BTreeSet<String>,
     /// The last reported step.
@@ -407,14 +411,15 @@
     }
 }
 
-/// Whether the text is a valid name of an agent, a zone or a duty: 1 to [`MAX_NAME_BYTES`] ASCII letters, digits, dots,
-/// dashes or underscores.
+/// Whether the text is a valid name of an agent, a zone or a duty: 1 to [`MAX_NAME_BYTES`] ASCII letters,
+/// digits, dots, dashes or underscores.
 #[must_use]
 pub fn is_name(text: &str) -> bool {
     let is_allowed = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
     (1..=MAX_NAME_BYTES).contains(&text.len()) && text.chars().all(is_allowed)
 }
 
+/// Refuses a text that is not a valid name.
 fn check_name(field: &str, text: &str) -> Result<(), Refusal> {
     if is_name(text) {
         return Ok(());
@@ -424,6 +429,7 @@
     )))
 }
 
+/// Refuses a text that is empty, longer than [`MAX_REASON_BYTES`] or contains control characters.
 fn check_text(field: &str, text: &str) -> Result<(), Refusal> {
     if text.is_empty() || text.len() > MAX_REASON_BYTES || text.chars().any(char::is_control) {
         return Err(Refusal::Invalid(format!("{field}: 1 to {MAX_REASON_BYTES} bytes that can be printed")));
@@ -437,7 +443,7 @@
 }
 
 impl State {
-    /// Applies a command. The result depends on the state and the command alone. A refused command changes nothing.
+    /// Applies a command. The result depends on the state and the command alone.
     pub fn apply(&mut self, command: &Command) -> Outcome {
         self.try_apply(command).unwrap_or_else(Outcome::Refused)
     }
@@ -538,8 +544,8 @@
                 self.record_change(duty, epoch, by, &format!("no longer intends {key}"), *at_ms);
             }
             Command::Raise { epoch } => {
-                // An epoch of a recovery that was not made here cannot have been granted by this group. If it were
-                // adopted, no room would be left below it: the next recovery would set a lower epoch.
+                // An epoch of a recovery that was not made here cannot have been granted by this group. If it
+                // were adopted, no room would be left below it: the next recovery would set a lower epoch.
                 if epoch >> RECOVERY_SHIFT > self.recoveries {
                     return Err(Refusal::Invalid(format!("epoch: {epoch}; of a recovery that was not made")));
                 }
@@ -549,15 +555,16 @@
                 check_text("by", by)?;
                 self.recoveries += 1;
                 self.epoch = self.recoveries << RECOVERY_SHIFT;
-                // Sessions are kept: their agents may still be running elsewhere, so each one has to expire as usual.
+                // Sessions are kept: their agents may still be running elsewhere, so each one has to expire
+                // as usual.
                 self.record_change("", self.epoch, by, "had one member go on alone", *at_ms);
             }
         }
         Ok(Outcome::Done)
     }
 
-    /// Records a decision if its author still owns the duty under the given epoch and the current version is the one that
-    /// the decision is based on.
+    /// Records a decision if its author still owns the duty under the given epoch and the current version is
+    /// the one that the decision is based on.
     fn decide(
         &mut self,
         duty: &str,
@@ -570,13 +577,13 @@
         if body.len() > MAX_DECISION_BYTES {
             return Err(Refusal::Invalid(format!("body: {MAX_DECISION_BYTES} bytes at the most")));
         }
-        let stands = self.decisions.entry(duty.to_string()).or_default();
-        if stands.version != seen {
+        let current = self.decisions.entry(duty.to_string()).or_default();
+        if current.version != seen {
             return Err(Refusal::Changed);
         }
         let version = seen + 1;
         let owner = owner.to_string();
-        *stands = StandingDecision { version, epoch, owner: owner.clone(), at_ms, body: body.to_string() };
+        *current = StandingDecision { version, epoch, owner: owner.clone(), at_ms, body: body.to_string() };
         self.record_change(duty, epoch, &owner, &format!("decided version {version}"), at_ms);
         Ok(Outcome::Decided(version))
     }
@@ -585,6 +592,7 @@
         self.duties.get_mut(duty).ok_or_else(|| Refusal::Unknown(format!("duty {}", truncate_text(duty))))
     }
 
+    /// The duty, if the owner holds it under this epoch.
     fn owned_duty_mut(&mut self, duty: &str, owner: &Owner, epoch: u64) -> Result<&mut Duty, Refusal> {
         let found = self.duty_mut(duty)?;
         if found.epoch != epoch || found.owner.as_ref() != Some(owner) {
@@ -593,6 +601,7 @@
         Ok(found)
     }
 
+    /// Appends to the ownership history, dropping the oldest entry when it is full.
     fn record_change(&mut self, duty: &str, epoch: u64, who: &str, what: &str, at_ms: u64) {
         if self.history.len() >= MAX_HISTORY {
             self.history.pop_front();
@@ -640,6 +649,7 @@
         Ok(true)
     }
 
+    /// Records a heartbeat and its steps. Steps of duties that the owner no longer holds are ignored.
     fn record_heartbeat(&mut self, owner: &Owner, number: u64, steps: &[Step]) -> Result<(), Refusal> {
         let session = self.sessions.get_mut(owner).ok_or(Refusal::Gone)?;
         session.number = session.number.max(number);
@@ -674,8 +684,8 @@
         }
     }
 
-    /// Records that the session of the duty's owner expired before it reported a step. Whether the duty was the cause is
-    /// known only when the agent returns; an agent that does not return counts against the duty.
+    /// Records that the session of the duty's owner expired before it reported a step. Whether the duty was
+    /// the cause is known only when the agent returns; an agent that does not return counts against the duty.
     fn record_silent_owner(&mut self, duty: &str, owner: &Owner, at_ms: u64) {
         let has_returned = self.sessions.keys().any(|o| o.agent == owner.agent);
         let Some(found) = self.duties.get_mut(duty) else { return };
@@ -686,9 +696,9 @@
         self.set_aside_if_failing(duty, "its owners went silent and did not come back", at_ms);
     }
 
-    /// Clears the records of silence of an agent that opened a session again, and counts a crash for each step in which
-    /// its former process died. Where no step was interrupted, the process was stopped or cut off, and the duty was not
-    /// the cause.
+    /// Clears the records of silence of an agent that opened a session again, and counts a crash for each
+    /// step in which its former process died. Where no step was interrupted, the process was stopped or cut
+    /// off, and the duty was not the cause.
     fn record_agent_return(&mut self, owner: &Owner, interrupted: &[(String, u64)], at_ms: u64) {
         for duty in self.duties.values_mut() {
             duty.silent.remove(&owner.agent);
@@ -708,7 +718,8 @@
     /// Sets the duty aside once it has lost [`MAX_CRASHES`] owners.
     fn set_aside_if_failing(&mut self, duty: &str, cause: &str, at_ms: u64) {
         let Some(found) = self.duties.get_mut(duty) else { return };
-        // The maximum instead of the sum: a silent agent may still return, so it is not added to the known crashes.
+        // The maximum instead of the sum: a silent agent may still return, so it is not added to the known
+        // crashes.
         let lost_owners = found.crashes.max(u32::try_from(found.silent.len()).unwrap_or(u32::MAX));
         if lost_owners < MAX_CRASHES || found.aside.is_some() {
             return;
@@ -722,6 +733,7 @@
         self.record_change(duty, epoch, "", &what, at_ms);
     }
 
+    /// Frees a duty, and counts the crash if that is the reason.
     fn release(
         &mut self,
         duty: &str,
@@ -752,6 +764,7 @@
         Ok(())
     }
 
+    /// Grants a duty under the next epoch to an agent that can run it.
     fn grant(&mut self, duty: &str, to: &Owner, what: &str, at_ms: u64) -> Result<Outcome, Refusal> {
         let can_run = self.sessions.get(to).is_some_and(|s| s.duties.iter().any(|d| d == duty));
         if !can_run {
@@ -905,8 +918,8 @@
         assert!(state.duties["gaps"].is_runnable());
     }
 
-    /// Seeds 4010 and 4015 of the fault schedules: agents are killed or cut off from the others before the first step of
-    /// the duty that they own, and all of them return. The duty must not be set aside.
+    /// Seeds 4010 and 4015 of the fault schedules: agents are killed or cut off from the others before the
+    /// first step of the duty that they own, and all of them return. The duty must not be set aside.
     #[test]
     fn silent_owners_do_not_count_when_they_return() {
         let mut state = State::default();
@@ -996,8 +1009,8 @@
         assert_eq!(state.apply(&decide("b", 2, 1, "z")), Outcome::Decided(2));
         let too_long = "z".repeat(MAX_DECISION_BYTES + 1);
         assert!(matches!(state.apply(&decide("b", 2, 2, &too_long)), Outcome::Refused(Refusal::Invalid(_))));
-        let stands = &state.decisions["gaps"];
-        assert_eq!((stands.version, stands.epoch, stands.body.as_str()), (2, 2, "z"));
+        let current = &state.decisions["gaps"];
+        assert_eq!((current.version, current.epoch, current.body.as_str()), (2, 2, "z"));
     }
 
     #[test]
