--- a/crates/zones/src/decision.rs
+++ b/crates/zones/src/decision.rs
@@ -1,28 +1,29 @@
-//! A decision: how much of each zone's traffic may go where, from now and over a stated time.
+//! A failover decision: the shares of each zone's traffic that may go to each zone, as ramps over a stated
+//! time.
 
 use crate::report::MAX_ZONES;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 use std::fmt;
 
-/// Bytes of one as it is entered in the council's log.
+/// The largest size of a decision in the council's log, in bytes.
 pub const MAX_DECISION_BYTES: usize = 64 * 1024;
-/// No way back takes longer.
-const RAMP_MOST_MS: u64 = 3_600_000;
+/// The longest ramp, in ms.
+const MAX_RAMP_MS: u64 = 3_600_000;
 
-/// What is thought of a zone.
+/// The state of a zone.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ZoneState {
-    /// It serves.
+    /// The zone takes all its traffic.
     Serving,
-    /// It is sent less: it suffers, is short of room, or an operator drains it.
+    /// The zone is sent less traffic: its requests are impaired, it lacks capacity, or an operator drains it.
     Shedding,
-    /// It is sent nothing.
+    /// The zone is sent no traffic.
     Out,
-    /// It is sent more and more.
+    /// The zone is returning and its traffic grows.
     ComingBack,
-    /// It serves its own and is not reached by the others.
+    /// The zone serves its own traffic, but it and the other zones cannot reach each other.
     CutOff,
 }
 
@@ -38,23 +39,24 @@
     }
 }
 
-/// A part of a zone's traffic, in thousandths: at first, and at the end of the decision's ramp.
+/// A share of a zone's traffic in thousandths, which moves linearly from `start` to `end` over the ramp of
+/// the decision.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Share {
-    /// At first.
+    /// The share at the start of the ramp.
     pub start: u32,
-    /// At the end.
+    /// The share from the end of the ramp on.
     pub end: u32,
 }
 
 impl Share {
-    /// The same all the time.
+    /// Returns a share that stays constant.
     #[must_use]
     pub fn flat(milli: u32) -> Share {
         Share { start: milli, end: milli }
     }
 
-    /// What it is so many ms into a ramp.
+    /// The share `ms` after the start of a ramp of `ramp_ms`.
     #[must_use]
     pub fn at(&self, ms: u64, ramp_ms: u64) -> u32 {
         if ms >= ramp_ms {
@@ -66,113 +68,116 @@
     }
 }
 
-/// What may go to another zone.
+/// The traffic that may go to another zone.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Spill {
-    /// Which.
+    /// The target zone.
     pub to: String,
-    /// How much at the most.
+    /// The largest share that may go there.
     pub share: Share,
 }
 
-/// The traffic of one zone's gatekeepers.
+/// The routing of the traffic of one zone's gatekeepers.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RoutingRow {
-    /// Which zone's.
+    /// The zone of the gatekeepers.
     pub from: String,
-    /// What may stay; 1000: all there is room for.
+    /// The share that may stay in the zone; 1000 sets no limit but the zone's capacity.
     pub near: Share,
-    /// What may go elsewhere.
+    /// The shares that may go to other zones.
     pub spill: Vec<Spill>,
 }
 
 impl RoutingRow {
-    /// All that may be sent on, in thousandths; the rest is refused, what is worth least first.
+    /// The total share that may be forwarded, in thousandths, `ms` after the start of a ramp of `ramp_ms`.
+    /// The rest is refused, with the requests of the lowest worth first.
     #[must_use]
     pub fn admitted_milli(&self, ms: u64, ramp_ms: u64) -> u32 {
-        let far: u32 = self.spill.iter().map(|s| s.share.at(ms, ramp_ms)).sum();
-        (self.near.at(ms, ramp_ms) + far).min(1000)
+        let spilled: u32 = self.spill.iter().map(|s| s.share.at(ms, ramp_ms)).sum();
+        (self.near.at(ms, ramp_ms) + spilled).min(1000)
     }
 }
 
-/// What was found of a zone.
+/// The assessment of a zone, for operators.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ZoneAssessment {
-    /// Its name.
+    /// The zone's name.
     pub zone: String,
-    /// What is thought of it.
+    /// The zone's state.
     pub state: ZoneState,
-    /// Why, in a few words.
+    /// The reason for the state, as a short text; empty where none is needed.
     pub why: String,
-    /// The part of requests that suffers there, in thousandths, over all who judge it.
+    /// The fraction of attempts that fail or are late there, in thousandths, combined over the agents whose
+    /// reports count.
     pub suffers_milli: u32,
-    /// What it bears and what its own gatekeepers need, in thousandths of a request worked on at once.
+    /// The planned capacity, in thousandths of a request worked on at once.
     pub bears_milli: u64,
-    /// See `bears_milli`.
+    /// The demand of the zone's own gatekeepers, in the same unit.
     pub needs_milli: u64,
 }
 
-/// A decision. Its version and epoch stand beside it in the council's log.
+/// A failover decision. Its version and epoch are stored beside it in the council's log.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Decision {
-    /// Zones.
+    /// The assessments of all zones.
     pub zones: Vec<ZoneAssessment>,
-    /// Rows by zone of origin.
+    /// The routing rows, one for each zone of origin.
     pub rows: Vec<RoutingRow>,
-    /// How long shares take from their first value to the last, in ms.
+    /// How long shares take from their start value to their end value, in ms.
     pub ramp_ms: u64,
 }
 
 impl Decision {
-    /// Whether it can be acted on.
+    /// Checks that the decision can be applied.
     ///
     /// # Errors
-    /// With what can't be.
+    /// Returns the first invalid field.
     pub fn check(&self) -> Result<(), String> {
         if self.zones.len() > MAX_ZONES || self.rows.len() > MAX_ZONES {
-            return Err(format!("zones, rows: {MAX_ZONES} at the most"));
+            return Err(format!("zones, rows: more than {MAX_ZONES}"));
         }
-        if self.ramp_ms > RAMP_MOST_MS {
-            return Err(format!("ramp_ms: {}; 0 to {RAMP_MOST_MS}", self.ramp_ms));
+        if self.ramp_ms > MAX_RAMP_MS {
+            return Err(format!("ramp_ms: {} is out of range 0 to {MAX_RAMP_MS}", self.ramp_ms));
         }
         let known: BTreeSet<&str> = self.zones.iter().map(|z| z.zone.as_str()).collect();
         if known.len() < self.zones.len() {
-            return Err("zones: one is there twice".into());
+            return Err("zones: duplicate zone".into());
         }
-        let mut from = BTreeSet::new();
-        let share = |s: &Share| s.start <= 1000 && s.end <= 1000;
+        let mut origins = BTreeSet::new();
+        let in_range = |s: &Share| s.start <= 1000 && s.end <= 1000;
         for row in &self.rows {
-            let unknown =
-                |zone: &str| format!("rows: zone {:?} is not among the zones", crate::report::short(zone));
+            let unknown = |zone: &str| {
+                format!("rows: zone {:?} is not among the zones", crate::report::truncated(zone))
+            };
             if !known.contains(row.from.as_str()) {
                 return Err(unknown(&row.from));
             }
-            if !from.insert(row.from.as_str()) {
-                return Err(format!("rows: zone {} is there twice", row.from));
+            if !origins.insert(row.from.as_str()) {
+                return Err(format!("rows: duplicate zone {}", row.from));
             }
-            let mut to = BTreeSet::from([row.from.as_str()]);
+            let mut targets = BTreeSet::from([row.from.as_str()]);
             for spill in &row.spill {
                 if !known.contains(spill.to.as_str()) {
                     return Err(unknown(&spill.to));
                 }
-                if !to.insert(spill.to.as_str()) {
-                    return Err(format!("rows: {} to {} is there twice", row.from, spill.to));
+                if !targets.insert(spill.to.as_str()) {
+                    return Err(format!("rows: duplicate spill from {} to {}", row.from, spill.to));
                 }
             }
-            if !share(&row.near) || !row.spill.iter().all(|s| share(&s.share)) {
-                return Err(format!("rows: a share of {}: 0 to 1000", row.from));
+            if !in_range(&row.near) || !row.spill.iter().all(|s| in_range(&s.share)) {
+                return Err(format!("rows: share of {} out of range 0 to 1000", row.from));
             }
-            let all = |pick: fn(&Share) -> u32| {
+            let total = |pick: fn(&Share) -> u32| {
                 pick(&row.near) + row.spill.iter().map(|s| pick(&s.share)).sum::<u32>()
             };
-            if all(|s| s.start) == 0 && all(|s| s.end) == 0 {
-                return Err(format!("rows: the shares of {} come to nothing", row.from));
+            if total(|s| s.start) == 0 && total(|s| s.end) == 0 {
+                return Err(format!("rows: all shares of {} are 0", row.from));
             }
         }
         Ok(())
     }
 
-    /// The row of a zone.
+    /// Returns the routing row of a zone of origin.
     #[must_use]
     pub fn row(&self, from: &str) -> Option<&RoutingRow> {
         self.rows.iter().find(|r| r.from == from)
@@ -184,7 +189,7 @@
     use super::*;
 
     #[test]
-    fn shares_move_in_a_line_and_stay_at_their_end() {
+    fn share_moves_linearly_and_stays_at_its_end() {
         let share = Share { start: 100, end: 900 };
         assert_eq!([0, 500, 1000, 5000].map(|ms| share.at(ms, 1000)), [100, 500, 900, 900]);
         assert_eq!(Share { start: 900, end: 100 }.at(250, 1000), 700);
@@ -192,8 +197,8 @@
     }
 
     #[test]
-    fn bad_decisions_are_refused() {
-        let word = |zone: &str| ZoneAssessment {
+    fn check_rejects_invalid_decisions() {
+        let assessment = |zone: &str| ZoneAssessment {
             zone: zone.into(),
             state: ZoneState::Serving,
             why: String::new(),
@@ -206,29 +211,29 @@
             near: Share::flat(1000),
             spill: vec![Spill { to: to.into(), share: Share::flat(300) }],
         };
-        let sound = Decision {
-            zones: vec![word("a"), word("b")],
+        let valid = Decision {
+            zones: vec![assessment("a"), assessment("b")],
             rows: vec![row("a", "b"), row("b", "a")],
             ramp_ms: 0,
         };
-        assert_eq!(sound.check(), Ok(()));
+        assert_eq!(valid.check(), Ok(()));
         type Change = fn(&mut Decision);
         let bad: [(&str, Change); 7] = [
-            ("one is there twice", |d| d.zones[1].zone = "a".into()),
+            ("zones: duplicate zone", |d| d.zones[1].zone = "a".into()),
             ("zone \"q\" is not among", |d| d.rows[0].from = "q".into()),
             ("zone \"q\" is not among", |d| d.rows[0].spill[0].to = "q".into()),
-            ("a to a is there twice", |d| d.rows[0].spill[0].to = "a".into()),
-            ("0 to 1000", |d| d.rows[0].near = Share::flat(1001)),
-            ("come to nothing", |d| {
+            ("duplicate spill from a to a", |d| d.rows[0].spill[0].to = "a".into()),
+            ("rows: share of a out of range 0 to 1000", |d| d.rows[0].near = Share::flat(1001)),
+            ("all shares of a are 0", |d| {
                 d.rows[0].near = Share::flat(0);
                 d.rows[0].spill.clear();
             }),
             ("ramp_ms", |d| d.ramp_ms = u64::MAX),
         ];
-        for (what, change) in bad {
-            let mut decision = sound.clone();
+        for (expected, change) in bad {
+            let mut decision = valid.clone();
             change(&mut decision);
-            assert!(decision.check().is_err_and(|e| e.contains(what)), "{what}");
+            assert!(decision.check().is_err_and(|e| e.contains(expected)), "{expected}");
         }
     }
 }
--- a/crates/zones/src/failover.rs
+++ b/crates/zones/src/failover.rs
@@ -1,296 +1,346 @@
-//! From what agents report and operators intend to one decision, by the owner's own clock.
+//! The failover controller: turns agents' reports and operators' drains into one decision.
+//!
+//! It does no I/O and has no clock: the leader that runs it passes in `now`, in ms of the leader's own clock.
 
 use crate::allocation::{Allocation, AllocationInput, allocate};
 use crate::decision::{Decision, RoutingRow, Share, Spill, ZoneAssessment, ZoneState};
 use crate::report::{Drain, MAX_ZONES, RejectedReport, Report, ZoneCapacity};
 use crate::settings::Settings;
-use crate::zone_path::{PathObservation, Phase, TRIES_MILLI, ZonePath};
+use crate::zone_path::{PROBE_SHARE_MILLI, PathObservation, Phase, ZonePath};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Agents that are remembered.
-const AGENTS_MOST: usize = 1024;
-/// A class of which so few were tried says nothing.
-const CLASS_LEAST: f64 = 3.0;
-/// An agent's word counts for no more than so many times the middle one's.
-const WEIGHT_MOST: f64 = 2.0;
-/// Shares that differ by less, in thousandths, are alike; so are those of what may come on top.
-const ALIKE: u32 = 150;
-const ALIKE_MORE: u32 = 300;
-/// A share above this that goes to nothing is told soon: so many times what makes sure after the last word.
-const SHUT: u32 = 20;
-const SHUT_TIMES: u64 = 3;
-/// What may go elsewhere for a moment, at the most, in thousandths of a zone's traffic.
-const MORE_MOST: f64 = 300.0;
-/// A zone that may keep less of its own traffic than this, for want of room, is shedding.
-const NEAR_LEAST: u32 = 900;
-/// How far two hosts' clocks may run apart: a report's age is told by the time its way took beyond the shortest.
-const DRIFT: f64 = 0.1;
-/// The first report of a life may have been so long on its way, in ms.
-const JUMP_MOST: f64 = 60_000.0;
-
-/// What tries a zone that is out is little: it counts over so many windows.
-const TRIAL_TIMES: u64 = 16;
-
-/// What a zone needs is known over so many windows: in the moment of a loss all is asked twice, and takes longer.
-const NEED_TIMES: u64 = 5;
-
-/// Over which time evidence counts: the window, what makes sure, or the time of a trial.
+/// The largest number of agents that are tracked.
+const MAX_AGENTS: usize = 1024;
+/// A class with fewer attempts than this is not evaluated.
+const MIN_CLASS_ATTEMPTS: f64 = 3.0;
+/// The weight of one agent's attempts is limited to this multiple of the median weight.
+const MAX_WEIGHT_PER_MEDIAN: f64 = 2.0;
+/// Shares that stay in their zone and differ by no more than this, in thousandths, count as equal.
+const NEAR_TOLERANCE_MILLI: u32 = 150;
+/// The same for shares that may go to other zones.
+const SPILL_TOLERANCE_MILLI: u32 = 300;
+/// If a share above `CLOSING_SHARE_MILLI` drops to nothing, the new decision is made once `sure_ms` times
+/// `CLOSING_DELAY_FACTOR` has passed since the last one, without waiting for `least_ms`.
+const CLOSING_SHARE_MILLI: u32 = 20;
+/// See [`CLOSING_SHARE_MILLI`].
+const CLOSING_DELAY_FACTOR: u64 = 3;
+/// The largest burst that may go to another zone while the home zone is briefly full, in thousandths of a
+/// zone's traffic.
+const MAX_BURST_MILLI: f64 = 300.0;
+/// A zone that may keep less than this of its own traffic, in thousandths, for want of capacity is
+/// `Shedding`.
+const MIN_NEAR_MILLI: u32 = 900;
+/// The largest drift between the clocks of two hosts, as a fraction. The age of a report is its delay beyond
+/// the shortest delay seen from its agent.
+const MAX_CLOCK_DRIFT: f64 = 0.1;
+/// The largest delay of the first report of an agent process, in ms.
+const MAX_FIRST_DELAY_MS: f64 = 60_000.0;
+
+/// Probes of a zone that is out are few, so they are summed over this many windows.
+const PROBE_WINDOWS: u64 = 16;
+
+/// A zone's demand is averaged over this many windows: in the moment of a loss every request is attempted
+/// twice and takes longer, which would inflate a short average.
+const DEMAND_WINDOWS: u64 = 5;
+
+/// The period that attempts are summed over: the window, the shorter `recent_window_ms`, or the long window
+/// of probes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Over {
+enum Horizon {
     Window,
-    Quick,
-    Trial,
+    Recent,
+    Probes,
 }
 
-/// Attempts, failures and late answers, fading.
-type Sums = [f64; 3];
+/// Exponentially decaying sums of attempts, failures and late answers.
+type AttemptSums = [f64; 3];
 
+/// The last report of an agent and the decaying sums of its attempts.
 #[derive(Debug, Clone)]
-struct Agent {
-    life: u64,
+struct AgentState {
+    /// The incarnation of the agent's process; report numbers count within it.
+    incarnation: u64,
+    /// The number of its last accepted report.
     number: u64,
+    /// The zone of its gatekeepers.
     zone: String,
-    at: u64,
-    /// The least time that a report took, by the two clocks' difference, and when that was found.
-    way: (f64, u64),
-    need: f64,
-    /// How much of `need` is known: the first reports count alike, so that a burst among them is not taken for what is usual.
-    need_known: f64,
-    /// Over the window, and over the time after which something is sure: what is lost shows there first.
-    sums: BTreeMap<(String, u32), Sums>,
-    quick: BTreeMap<(String, u32), Sums>,
-    /// Over the time of a trial.
-    long: BTreeMap<(String, u32), Sums>,
-    faded: u64,
+    /// When its last accepted report was received, in ms.
+    received_at: u64,
+    /// The shortest delay of a report, as the difference of the two clocks in ms, and when it was measured.
+    min_delay: (f64, u64),
+    /// The demand of its gatekeepers, averaged over `DEMAND_WINDOWS` windows.
+    demand: f64,
+    /// The weight behind `demand`, from 0 to 1. The first reports are weighted equally, so that a burst among
+    /// them is not taken for the usual demand.
+    demand_weight: f64,
+    /// Sums by zone and class, over the window.
+    window_sums: BTreeMap<(String, u32), AttemptSums>,
+    /// The same over `recent_window_ms`, in which a lost zone shows first.
+    recent_sums: BTreeMap<(String, u32), AttemptSums>,
+    /// The same over the long window of probes.
+    probe_sums: BTreeMap<(String, u32), AttemptSums>,
+    /// When the sums were last decayed.
+    decayed_at: u64,
+    /// The capacity of each zone by that report.
     places: Vec<ZoneCapacity>,
 }
 
-impl Agent {
-    fn fade(&mut self, now: u64, s: &Settings) {
-        let ms = now.saturating_sub(self.faded) as f64;
-        self.faded = now;
-        let long = TRIAL_TIMES * s.window_ms;
-        for (sums, over) in
-            [(&mut self.sums, s.window_ms), (&mut self.quick, quick_ms(s)), (&mut self.long, long)]
-        {
-            let kept = (-ms / over.max(1) as f64).exp();
+impl AgentState {
+    /// Decays all sums to `now`.
+    fn decay(&mut self, now: u64, settings: &Settings) {
+        let elapsed_ms = now.saturating_sub(self.decayed_at) as f64;
+        self.decayed_at = now;
+        let probe_window_ms = PROBE_WINDOWS * settings.window_ms;
+        for (sums, window_ms) in [
+            (&mut self.window_sums, settings.window_ms),
+            (&mut self.recent_sums, recent_window_ms(settings)),
+            (&mut self.probe_sums, probe_window_ms),
+        ] {
+            let kept = (-elapsed_ms / window_ms.max(1) as f64).exp();
             sums.values_mut().for_each(|s| s.iter_mut().for_each(|x| *x *= kept));
             sums.retain(|_, s| s[0] > 0.01);
         }
     }
 
-    /// The part that suffers at a zone: of the class that suffers most, if enough of it was tried. With what was tried.
-    fn suffers(&self, to: &str, over: Over) -> Option<(f64, f64)> {
-        let sums = match over {
-            Over::Window => &self.sums,
-            Over::Quick => &self.quick,
-            Over::Trial => &self.long,
+    /// Returns the impaired fraction of this agent's attempts at a zone and their number. The fraction is
+    /// that of the worst class with enough attempts; `None` where no class has enough.
+    fn impaired_fraction(&self, to: &str, horizon: Horizon) -> Option<(f64, f64)> {
+        let sums = match horizon {
+            Horizon::Window => &self.window_sums,
+            Horizon::Recent => &self.recent_sums,
+            Horizon::Probes => &self.probe_sums,
         };
         let classes = || sums.iter().filter(|((zone, _), _)| zone == to).map(|(_, s)| s);
         let all: f64 = classes().map(|s| s[0]).sum();
-        if over == Over::Trial {
-            // So little is sent that classes are not told apart.
+        if horizon == Horizon::Probes {
+            // Probes are too few to be evaluated by class.
             let bad: f64 = classes().map(|s| s[1] + s[2]).sum();
-            return (all >= CLASS_LEAST).then(|| (bad / all, all));
+            return (all >= MIN_CLASS_ATTEMPTS).then(|| (bad / all, all));
         }
-        let least = CLASS_LEAST.max(0.1 * all);
-        let worst = classes().filter(|s| s[0] >= least).map(|s| (s[1] + s[2]) / s[0]).reduce(f64::max)?;
+        let min_attempts = MIN_CLASS_ATTEMPTS.max(0.1 * all);
+        let worst =
+            classes().filter(|s| s[0] >= min_attempts).map(|s| (s[1] + s[2]) / s[0]).reduce(f64::max)?;
         Some((worst, all))
     }
 }
 
-fn quick_ms(s: &Settings) -> u64 {
-    s.sure_ms.clamp(100, s.window_ms)
+/// The length of the recent window in ms: `sure_ms`, between 100 ms and the window.
+fn recent_window_ms(settings: &Settings) -> u64 {
+    settings.sure_ms.clamp(100, settings.window_ms)
 }
 
-/// Why a zone is sent less where nothing else is wrong with it.
-const SHORT: &str = "short of room";
+/// The reason given for a zone that is limited only by its capacity. Decisions in the log carry it, and
+/// `is_new` compares it.
+const SHORT_OF_CAPACITY: &str = "short of room";
 
-/// What was taken and what was not, since the start.
+/// Counts of reports since the start.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ReportCounts {
-    /// Reports taken.
+    /// Reports accepted.
     pub accepted: u64,
-    /// Reports that can't be.
+    /// Reports with invalid content, or from agents beyond the limit.
     pub rejected: u64,
-    /// Reports that were overtaken, or too long on their way.
+    /// Reports older than one already accepted, or delayed for too long.
     pub outdated: u64,
 }
 
-/// The others can't bear a zone's traffic.
+/// The other zones have too little capacity for the traffic of a drained zone. All figures are in requests
+/// worked on at once.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct CapacityShortfall {
-    /// What all zones' requests need.
+    /// The demand of all zones.
     pub demand: f64,
-    /// What the zones that are left bear.
+    /// The planned capacity of the zones that remain.
     pub capacity: f64,
-    /// What would be refused.
+    /// The demand that no remaining zone could take.
     pub shortfall: f64,
 }
 
-/// What the judge goes by, for people.
+/// The input of the controller, for operators.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct FailoverView {
-    /// Agents: name, zone, ms since their last report, and whether it still counts.
+    /// Agents: name, zone, ms since their last report, and whether that report is still fresh.
     pub agents: Vec<(String, String, u64, bool)>,
-    /// Reports.
+    /// Counts of reports.
     pub counts: ReportCounts,
 }
 
-/// An operator's drain as it takes hold, or is undone.
+/// An operator's drain, or its removal, as a linear ramp of the fraction of traffic a zone may get.
 #[derive(Debug, Clone, Copy, PartialEq)]
-struct Tap {
-    since: u64,
+struct DrainRamp {
+    started_at: u64,
+    /// The fractions at the start and at the end of the ramp, 0 to 1.
     from: f64,
     to: f64,
-    over: u64,
+    duration_ms: u64,
+    /// Whether the drain holds even if the other zones lack the capacity.
     force: bool,
 }
 
-impl Tap {
-    fn at(&self, now: u64) -> f64 {
-        let gone = (now.saturating_sub(self.since) as f64 / self.over.max(1) as f64).min(1.0);
-        self.from + (self.to - self.from) * gone
+impl DrainRamp {
+    /// The fraction at `now`, 0 to 1.
+    fn fraction_at(&self, now: u64) -> f64 {
+        let progress = (now.saturating_sub(self.started_at) as f64 / self.duration_ms.max(1) as f64).min(1.0);
+        self.from + (self.to - self.from) * progress
     }
 
-    fn left(&self, now: u64) -> u64 {
-        (self.since + self.over).saturating_sub(now)
+    /// The remaining time of the ramp in ms.
+    fn remaining_ms(&self, now: u64) -> u64 {
+        (self.started_at + self.duration_ms).saturating_sub(now)
     }
 }
 
-/// The one that decides.
+/// Makes the failover decisions of a fleet.
 #[derive(Debug, Clone)]
 pub struct FailoverController {
-    s: Settings,
-    agents: BTreeMap<String, Agent>,
-    /// By zone of origin, none for all together, and zone.
-    lanes: BTreeMap<(Option<String>, String), ZonePath>,
-    taps: BTreeMap<String, Tap>,
-    last: Option<(Decision, u64)>,
+    settings: Settings,
+    agents: BTreeMap<String, AgentState>,
+    /// Path health by zone of origin and target zone; the origin is `None` for the view of all agents
+    /// together.
+    paths: BTreeMap<(Option<String>, String), ZonePath>,
+    /// Drains by zone, and removed drains until their ramps end.
+    drains: BTreeMap<String, DrainRamp>,
+    /// The last decision and when it was made.
+    last_decision: Option<(Decision, u64)>,
     counts: ReportCounts,
 }
 
-/// A zone as it is known now.
-struct Known {
+/// A zone as the fresh reports describe it.
+struct ZoneSummary {
     name: String,
+    /// The number of servers: the median over fresh reports, as for `size` and `warm`.
     servers: u32,
+    /// The number of requests that its servers work on at once when warm, by `slots_milli`.
     size: f64,
+    /// The same at their current progress of slow start.
     warm: f64,
-    need: f64,
-    /// Whether an agent in it is heard.
-    heard: bool,
+    /// The demand of its gatekeepers with fresh reports, in requests worked on at once.
+    demand: f64,
+    /// Whether an agent in this zone has sent a fresh report.
+    has_reports: bool,
 }
 
-/// What is seen of a zone, by what is known of its servers.
-fn looked(to: &Known, tries: bool, of: impl Fn(Over) -> Option<f64>) -> PathObservation {
-    let (suffers, quick, trial) = (of(Over::Window), of(Over::Quick), of(Over::Trial));
-    PathObservation { suffers, quick, trial, tries, there: to.servers > 0 }
+/// Builds the observation of a path to a zone from the impaired fraction over each horizon.
+fn path_observation(
+    to: &ZoneSummary,
+    has_probes: bool,
+    of: impl Fn(Horizon) -> Option<f64>,
+) -> PathObservation {
+    let (impaired, impaired_recently, impaired_probes) =
+        (of(Horizon::Window), of(Horizon::Recent), of(Horizon::Probes));
+    PathObservation { impaired, impaired_recently, impaired_probes, has_probes, has_servers: to.servers > 0 }
 }
 
-fn middle(mut all: Vec<f64>) -> f64 {
+/// The median, or 0 for no values.
+fn median(mut all: Vec<f64>) -> f64 {
     all.sort_by(f64::total_cmp);
     all.get(all.len() / 2).copied().unwrap_or(0.0)
 }
 
 impl FailoverController {
-    /// Knows nothing yet.
+    /// Creates a controller without reports, drains or a previous decision.
     #[must_use]
-    pub fn new(s: Settings) -> FailoverController {
+    pub fn new(settings: Settings) -> FailoverController {
         FailoverController {
-            s,
+            settings,
             agents: BTreeMap::new(),
-            lanes: BTreeMap::new(),
-            taps: BTreeMap::new(),
-            last: None,
+            paths: BTreeMap::new(),
+            drains: BTreeMap::new(),
+            last_decision: None,
             counts: ReportCounts::default(),
         }
     }
 
-    /// A new owner goes on from the decision that stands: what is out stays out for a while, what comes back goes on.
+    /// Creates the controller of a new leader from the decision in effect: zones that are out stay out for a
+    /// hold time, and returns continue.
     #[must_use]
-    pub fn resume(s: Settings, stands: Decision, now: u64) -> FailoverController {
-        let mut judge = FailoverController::new(s);
-        for zone in &stands.zones {
+    pub fn resume(settings: Settings, current: Decision, now: u64) -> FailoverController {
+        let mut controller = FailoverController::new(settings);
+        for zone in &current.zones {
             if zone.state == ZoneState::Out {
-                judge.lanes.insert((None, zone.zone.clone()), ZonePath::out(now, &s));
-                judge.lanes.insert((Some(zone.zone.clone()), zone.zone.clone()), ZonePath::out(now, &s));
+                controller.paths.insert((None, zone.zone.clone()), ZonePath::out(now, &settings));
+                controller
+                    .paths
+                    .insert((Some(zone.zone.clone()), zone.zone.clone()), ZonePath::out(now, &settings));
             }
         }
-        // A ramp that had begun may have gone on since: its end is taken for what is in effect.
-        judge.last = Some((stands, now.saturating_sub(3_600_000)));
-        judge
+        // A ramp of that decision may have progressed since it was made, so its end values count as in
+        // effect.
+        controller.last_decision = Some((current, now.saturating_sub(3_600_000)));
+        controller
     }
 
-    /// Takes a report in.
+    /// Records a report that was sent at `sent_ms` of its sender's clock.
     ///
     /// # Errors
-    /// When it can't be, or is old: nothing has changed then.
+    /// Returns an error for an invalid or outdated report; nothing has changed then, except for the counts.
     pub fn record_report(&mut self, now: u64, sent_ms: u64, report: Report) -> Result<(), RejectedReport> {
         if let Err(why) = report.check() {
             self.counts.rejected += 1;
             return Err(why);
         }
-        let stale = self.s.stale_ms;
-        let took = now as f64 - sent_ms as f64;
-        let mut way = (took, now);
-        if let Some(known) = self.agents.get(&report.agent) {
-            let fresh = now.saturating_sub(known.at) <= stale;
-            if report.life == known.life {
-                let drift = DRIFT * now.saturating_sub(known.way.1) as f64;
-                way = if took <= known.way.0 + drift {
-                    (took.min(known.way.0 + drift), now)
+        let stale_ms = self.settings.stale_ms;
+        let delay = now as f64 - sent_ms as f64;
+        let mut min_delay = (delay, now);
+        if let Some(previous) = self.agents.get(&report.agent) {
+            let is_fresh = now.saturating_sub(previous.received_at) <= stale_ms;
+            if report.life == previous.incarnation {
+                let drift = MAX_CLOCK_DRIFT * now.saturating_sub(previous.min_delay.1) as f64;
+                min_delay = if delay <= previous.min_delay.0 + drift {
+                    (delay.min(previous.min_delay.0 + drift), now)
                 } else {
-                    known.way
+                    previous.min_delay
                 };
-                // A clock that only goes forward can't have been so far off before.
-                let jumped = took < known.way.0 - JUMP_MOST;
-                if report.number <= known.number || took - way.0 > stale as f64 || jumped {
+                // A monotonic clock cannot have been that far off before.
+                let jumped = delay < previous.min_delay.0 - MAX_FIRST_DELAY_MS;
+                if report.number <= previous.number || delay - min_delay.0 > stale_ms as f64 || jumped {
                     self.counts.outdated += 1;
                     return Err(RejectedReport(format!(
                         "number: {}; it was overtaken, or too long on its way",
                         report.number
                     )));
                 }
-            } else if fresh && report.life < known.life {
+            } else if is_fresh && report.life < previous.incarnation {
                 self.counts.outdated += 1;
                 return Err(RejectedReport(format!(
                     "life: {}; that of {} is {}",
-                    report.life, report.agent, known.life
+                    report.life, report.agent, previous.incarnation
                 )));
             }
-        } else if self.agents.len() >= AGENTS_MOST {
+        } else if self.agents.len() >= MAX_AGENTS {
             self.counts.rejected += 1;
-            return Err(RejectedReport(format!("agent: {AGENTS_MOST} at the most")));
+            return Err(RejectedReport(format!("agent: {MAX_AGENTS} at the most")));
         }
         self.counts.accepted += 1;
-        let s = self.s;
-        let agent = self.agents.entry(report.agent.clone()).or_insert_with(|| Agent {
-            life: report.life,
+        let settings = self.settings;
+        let agent = self.agents.entry(report.agent.clone()).or_insert_with(|| AgentState {
+            incarnation: report.life,
             number: 0,
             zone: report.zone.clone(),
-            at: now,
-            way,
-            need: report.need,
-            need_known: 0.0,
-            sums: BTreeMap::new(),
-            quick: BTreeMap::new(),
-            long: BTreeMap::new(),
-            faded: now,
+            received_at: now,
+            min_delay,
+            demand: report.need,
+            demand_weight: 0.0,
+            window_sums: BTreeMap::new(),
+            recent_sums: BTreeMap::new(),
+            probe_sums: BTreeMap::new(),
+            decayed_at: now,
             places: Vec::new(),
         });
-        agent.fade(now, &s);
-        let gone = now.saturating_sub(agent.at).max(1) as f64;
-        let moves = 1.0 - (-gone / (NEED_TIMES * s.window_ms) as f64).exp();
-        agent.need_known += moves * (1.0 - agent.need_known);
-        agent.need += (report.need - agent.need) * moves / agent.need_known;
-        (agent.life, agent.number, agent.at, agent.way) = (report.life, report.number, now, way);
+        agent.decay(now, &settings);
+        let elapsed = now.saturating_sub(agent.received_at).max(1) as f64;
+        let weight = 1.0 - (-elapsed / (DEMAND_WINDOWS * settings.window_ms) as f64).exp();
+        agent.demand_weight += weight * (1.0 - agent.demand_weight);
+        agent.demand += (report.need - agent.demand) * weight / agent.demand_weight;
+        (agent.incarnation, agent.number, agent.received_at, agent.min_delay) =
+            (report.life, report.number, now, min_delay);
         agent.zone = report.zone;
         for line in report.lines {
             let key = (line.to, line.class);
-            for sums in [&mut agent.sums, &mut agent.quick, &mut agent.long] {
+            for sums in [&mut agent.window_sums, &mut agent.recent_sums, &mut agent.probe_sums] {
                 let sums = sums.entry(key.clone()).or_default();
-                for (sum, more) in sums.iter_mut().zip([line.attempts, line.bad, line.late]) {
-                    *sum += f64::from(more);
+                for (sum, count) in sums.iter_mut().zip([line.attempts, line.bad, line.late]) {
+                    *sum += f64::from(count);
                 }
             }
         }
@@ -298,258 +348,312 @@
         Ok(())
     }
 
-    /// What operators intend now.
+    /// Sets the drains that operators want now. New drains and removed ones begin their ramps.
     pub fn set_drains(&mut self, now: u64, drains: &[Drain]) {
         for drain in drains.iter().take(MAX_ZONES) {
-            let known = self.taps.get(&drain.zone);
-            if known.is_some_and(|t| t.to == 0.0 && t.force == drain.force) {
+            let existing = self.drains.get(&drain.zone);
+            if existing.is_some_and(|ramp| ramp.to == 0.0 && ramp.force == drain.force) {
                 continue;
             }
-            let from = known.map_or(1.0, |t| t.at(now));
-            let tap = Tap { since: now, from, to: 0.0, over: self.s.drain_ms, force: drain.force };
-            self.taps.insert(drain.zone.clone(), tap);
+            let from = existing.map_or(1.0, |ramp| ramp.fraction_at(now));
+            let ramp = DrainRamp {
+                started_at: now,
+                from,
+                to: 0.0,
+                duration_ms: self.settings.drain_ms,
+                force: drain.force,
+            };
+            self.drains.insert(drain.zone.clone(), ramp);
         }
         let wanted: BTreeSet<&str> = drains.iter().map(|d| d.zone.as_str()).collect();
-        for (zone, tap) in &mut self.taps {
-            if tap.to == 0.0 && !wanted.contains(zone.as_str()) {
-                *tap = Tap { since: now, from: tap.at(now), to: 1.0, over: self.s.ramp_ms, force: false };
+        for (zone, ramp) in &mut self.drains {
+            if ramp.to == 0.0 && !wanted.contains(zone.as_str()) {
+                *ramp = DrainRamp {
+                    started_at: now,
+                    from: ramp.fraction_at(now),
+                    to: 1.0,
+                    duration_ms: self.settings.ramp_ms,
+                    force: false,
+                };
             }
         }
-        self.taps.retain(|_, t| t.to == 0.0 || t.at(now) < 1.0);
+        self.drains.retain(|_, ramp| ramp.to == 0.0 || ramp.fraction_at(now) < 1.0);
     }
 
-    fn fresh(&self, now: u64) -> impl Iterator<Item = &Agent> {
-        let stale = self.s.stale_ms;
-        self.agents.values().filter(move |a| now.saturating_sub(a.at) <= stale)
+    /// Agents whose last report is not stale.
+    fn fresh_agents(&self, now: u64) -> impl Iterator<Item = &AgentState> {
+        let stale_ms = self.settings.stale_ms;
+        self.agents.values().filter(move |a| now.saturating_sub(a.received_at) <= stale_ms)
     }
 
-    /// The zones that anybody speaks of, with what is known of them.
-    fn known(&self, now: u64) -> Vec<Known> {
+    /// All zones that any agent reports, with the median of the capacities and the sum of the demands in
+    /// fresh reports.
+    fn zone_summaries(&self, now: u64) -> Vec<ZoneSummary> {
         let mut names: BTreeSet<&str> = BTreeSet::new();
         for agent in self.agents.values() {
             names.insert(&agent.zone);
             names.extend(agent.places.iter().map(|p| p.zone.as_str()));
         }
-        let mut known = Vec::new();
+        let mut summaries = Vec::new();
         for name in names.into_iter().take(MAX_ZONES) {
             let places: Vec<&ZoneCapacity> =
-                self.fresh(now).flat_map(|a| a.places.iter().filter(|p| p.zone == name)).collect();
-            let of = |pick: fn(&ZoneCapacity) -> f64| middle(places.iter().map(|p| pick(p)).collect());
-            known.push(Known {
+                self.fresh_agents(now).flat_map(|a| a.places.iter().filter(|p| p.zone == name)).collect();
+            let of = |pick: fn(&ZoneCapacity) -> f64| median(places.iter().map(|p| pick(p)).collect());
+            summaries.push(ZoneSummary {
                 name: name.to_string(),
                 servers: of(|p| f64::from(p.servers)) as u32,
-                size: of(|p| p.size) * f64::from(self.s.slots_milli) / 1000.0,
-                warm: of(|p| p.warm) * f64::from(self.s.slots_milli) / 1000.0,
-                need: self.fresh(now).filter(|a| a.zone == name).map(|a| a.need).sum(),
-                heard: self.fresh(now).any(|a| a.zone == name),
+                size: of(|p| p.size) * f64::from(self.settings.slots_milli) / 1000.0,
+                warm: of(|p| p.warm) * f64::from(self.settings.slots_milli) / 1000.0,
+                demand: self.fresh_agents(now).filter(|a| a.zone == name).map(|a| a.demand).sum(),
+                has_reports: self.fresh_agents(now).any(|a| a.zone == name),
             });
         }
-        known
+        summaries
     }
 
-    /// What those whose agent is silent are still expected to send, anywhere.
-    fn ghosts(&self, now: u64) -> f64 {
-        let age = |a: &&Agent| {
-            let ms = now.saturating_sub(a.at);
-            ms > self.s.stale_ms && ms <= self.s.forget_ms
+    /// The demand of the gatekeepers whose agents are silent: they may still send that much to any zone.
+    fn silent_demand(&self, now: u64) -> f64 {
+        let is_silent = |a: &&AgentState| {
+            let age_ms = now.saturating_sub(a.received_at);
+            age_ms > self.settings.stale_ms && age_ms <= self.settings.forget_ms
         };
-        self.agents.values().filter(age).map(|a| a.need).sum()
+        self.agents.values().filter(is_silent).map(|a| a.demand).sum()
     }
 
-    /// The part that suffers at a zone as those see it who judge it: who stands in it, where they tried enough. If they are
-    /// well and others are not, the way is at fault and not the zone, or somebody lies; that is for the others' own lanes.
-    fn judged(&self, now: u64, cut: &BTreeSet<String>, to: &str, least: f64, over: Over) -> Option<f64> {
-        let own = self.suffers(self.fresh(now).filter(|a| a.zone == to), to, least, over);
-        let others = || self.fresh(now).filter(|a| a.zone != to && !cut.contains(a.zone.as_str()));
-        own.or_else(|| self.suffers(others(), to, least, over))
+    /// The impaired fraction of a zone as measured by its own agents, if they made enough attempts, and
+    /// otherwise by those of the other zones that are not cut off. Where the zone's own agents measure no
+    /// failures and others do, the path is at fault and not the zone, or a report is false; the paths of the
+    /// other zones take care of that.
+    fn zone_impairment(
+        &self,
+        now: u64,
+        cut_off: &BTreeSet<String>,
+        to: &str,
+        min_attempts: f64,
+        horizon: Horizon,
+    ) -> Option<f64> {
+        let own = self.combined_impairment(
+            self.fresh_agents(now).filter(|a| a.zone == to),
+            to,
+            min_attempts,
+            horizon,
+        );
+        let others = || self.fresh_agents(now).filter(|a| a.zone != to && !cut_off.contains(a.zone.as_str()));
+        own.or_else(|| self.combined_impairment(others(), to, min_attempts, horizon))
     }
 
-    /// Attempts that say anything: few do where little is sent.
-    fn least(&self, lane: &(Option<String>, String)) -> f64 {
-        let few = self.lanes.get(lane).is_some_and(|l| l.phase() != Phase::Serving);
-        if few { CLASS_LEAST } else { f64::from(self.s.least_attempts) }
+    /// The least number of attempts that count as a measurement: fewer where little traffic is sent.
+    fn min_attempts(&self, path: &(Option<String>, String)) -> f64 {
+        let has_little_traffic = self.paths.get(path).is_some_and(|path| path.phase() != Phase::Serving);
+        if has_little_traffic { MIN_CLASS_ATTEMPTS } else { f64::from(self.settings.least_attempts) }
     }
 
-    /// The part that suffers at a zone as these agents see it. Of two the better word counts; of three or more the two
-    /// farthest out don't, and none counts for much more than the middle one.
-    fn suffers<'a>(
+    /// The impaired fraction of a zone as measured by these agents, weighted by attempts. Of two agents the
+    /// lower value counts; of three or more the highest and the lowest are dropped. No agent's weight exceeds
+    /// `MAX_WEIGHT_PER_MEDIAN` times the median.
+    fn combined_impairment<'a>(
         &self,
-        agents: impl Iterator<Item = &'a Agent>,
+        agents: impl Iterator<Item = &'a AgentState>,
         to: &str,
-        least: f64,
-        over: Over,
+        min_attempts: f64,
+        horizon: Horizon,
     ) -> Option<f64> {
-        let mut said: Vec<(f64, f64)> = agents.filter_map(|a| a.suffers(to, over)).collect();
-        let tried: f64 = said.iter().map(|s| s.1).sum();
-        if tried < least {
+        let mut measured: Vec<(f64, f64)> = agents.filter_map(|a| a.impaired_fraction(to, horizon)).collect();
+        let attempts: f64 = measured.iter().map(|s| s.1).sum();
+        if attempts < min_attempts {
             return None;
         }
-        let most = WEIGHT_MOST * middle(said.iter().map(|s| s.1).collect());
-        said.iter_mut().for_each(|s| s.1 = s.1.min(most));
-        said.sort_by(|a, b| a.0.total_cmp(&b.0));
-        if said.len() >= 2 {
-            said.pop();
+        let max_weight = MAX_WEIGHT_PER_MEDIAN * median(measured.iter().map(|s| s.1).collect());
+        measured.iter_mut().for_each(|s| s.1 = s.1.min(max_weight));
+        measured.sort_by(|a, b| a.0.total_cmp(&b.0));
+        if measured.len() >= 2 {
+            measured.pop();
         }
-        if said.len() >= 2 {
-            said.remove(0);
+        if measured.len() >= 2 {
+            measured.remove(0);
         }
-        let weight: f64 = said.iter().map(|s| s.1).sum();
-        (weight > 0.0).then(|| said.iter().map(|s| s.0 * s.1).sum::<f64>() / weight)
+        let weight: f64 = measured.iter().map(|s| s.1).sum();
+        (weight > 0.0).then(|| measured.iter().map(|s| s.0 * s.1).sum::<f64>() / weight)
     }
 
-    /// Time has passed. Gives a decision when there is a new one to make.
+    /// Advances to `now`. Returns a decision if a new one is due.
     pub fn tick(&mut self, now: u64) -> Option<Decision> {
-        let s = self.s;
-        self.agents.values_mut().for_each(|a| a.fade(now, &s));
-        let forget = self.s.forget_ms;
-        self.agents.retain(|_, a| now.saturating_sub(a.at) <= forget);
-        let known = self.known(now);
-        // One zone alone has nothing to fail over to.
-        if known.len() < 2 || self.fresh(now).next().is_none() {
+        let settings = self.settings;
+        self.agents.values_mut().for_each(|a| a.decay(now, &settings));
+        let forget_ms = self.settings.forget_ms;
+        self.agents.retain(|_, a| now.saturating_sub(a.received_at) <= forget_ms);
+        let summaries = self.zone_summaries(now);
+        // A single zone has no zone to fail over to.
+        if summaries.len() < 2 || self.fresh_agents(now).next().is_none() {
             return None;
         }
-        self.look(now, &known);
-        let new = self.decide(now, &known);
+        self.update_paths(now, &summaries);
+        let new = self.build_decision(now, &summaries);
         if !self.is_new(now, &new) {
             return None;
         }
-        self.last = Some((new.clone(), now));
+        self.last_decision = Some((new.clone(), now));
         Some(new)
     }
 
-    /// Brings all lanes up to now.
-    fn look(&mut self, now: u64, known: &[Known]) {
-        let names: BTreeSet<&str> = known.iter().map(|k| k.name.as_str()).collect();
-        self.lanes.retain(|(from, to), _| {
+    /// Applies the current observations to all paths.
+    fn update_paths(&mut self, now: u64, summaries: &[ZoneSummary]) {
+        let names: BTreeSet<&str> = summaries.iter().map(|summary| summary.name.as_str()).collect();
+        self.paths.retain(|(from, to), _| {
             names.contains(to.as_str()) && from.as_ref().is_none_or(|f| names.contains(f.as_str()))
         });
-        let s = self.s;
-        for to in known {
-            for from in known.iter().filter(|f| f.heard) {
+        let settings = self.settings;
+        for to in summaries {
+            for from in summaries.iter().filter(|f| f.has_reports) {
                 let key = (Some(from.name.clone()), to.name.clone());
-                let least = self.least(&key);
-                let of = |over| {
-                    self.suffers(self.fresh(now).filter(|a| a.zone == from.name), &to.name, least, over)
+                let min_attempts = self.min_attempts(&key);
+                let of = |horizon| {
+                    self.combined_impairment(
+                        self.fresh_agents(now).filter(|a| a.zone == from.name),
+                        &to.name,
+                        min_attempts,
+                        horizon,
+                    )
                 };
-                let seen = looked(to, from.name == to.name, of);
-                self.lanes.entry(key).or_default().look(now, seen, &s);
+                let observed = path_observation(to, from.name == to.name, of);
+                self.paths.entry(key).or_default().observe(now, observed, &settings);
             }
         }
-        let cut = self.cut_off(known);
-        for to in known {
+        let cut_off = self.cut_off_zones(summaries);
+        for to in summaries {
             let key = (None, to.name.clone());
-            let least = self.least(&key);
-            let seen = looked(to, to.heard, |over| self.judged(now, &cut, &to.name, least, over));
-            self.lanes.entry(key).or_default().look(now, seen, &s);
+            let min_attempts = self.min_attempts(&key);
+            let observed = path_observation(to, to.has_reports, |horizon| {
+                self.zone_impairment(now, &cut_off, &to.name, min_attempts, horizon)
+            });
+            self.paths.entry(key).or_default().observe(now, observed, &settings);
         }
-        // What was seen before a zone was left alone says nothing of how it comes back.
-        let begun: Vec<(Option<String>, String)> =
-            self.lanes.iter().filter(|(_, l)| l.begins(now)).map(|(k, _)| k.clone()).collect();
-        for (from, to) in begun {
+        // Attempts from before the probing or the return began do not show how the zone is now.
+        let started: Vec<(Option<String>, String)> =
+            self.paths.iter().filter(|(_, path)| path.just_started(now)).map(|(k, _)| k.clone()).collect();
+        for (from, to) in started {
             for agent in self.agents.values_mut().filter(|a| from.as_ref().is_none_or(|f| *f == a.zone)) {
-                agent.sums.retain(|(zone, _), _| *zone != to);
-                agent.quick.retain(|(zone, _), _| *zone != to);
-                agent.long.retain(|(zone, _), _| *zone != to);
+                agent.window_sums.retain(|(zone, _), _| *zone != to);
+                agent.recent_sums.retain(|(zone, _), _| *zone != to);
+                agent.probe_sums.retain(|(zone, _), _| *zone != to);
             }
         }
     }
 
-    /// Whether a zone's own gatekeepers only try it: it is out for them.
-    fn tries(&self, zone: &str) -> bool {
-        let own = self.lanes.get(&(Some(zone.to_string()), zone.to_string()));
+    /// Whether a zone's own gatekeepers only probe it, as the zone is out for them.
+    fn is_probed(&self, zone: &str) -> bool {
+        let own = self.paths.get(&(Some(zone.to_string()), zone.to_string()));
         own.is_some_and(|l| matches!(l.phase(), Phase::Out { .. }))
     }
 
-    fn shut(&self, from: Option<&str>, to: &str) -> bool {
-        self.lanes.get(&(from.map(str::to_string), to.to_string())).is_some_and(ZonePath::shut)
+    /// Whether the path from `from` (`None`: all zones together) to `to` is closed.
+    fn is_path_closed(&self, from: Option<&str>, to: &str) -> bool {
+        self.paths.get(&(from.map(str::to_string), to.to_string())).is_some_and(ZonePath::is_closed)
     }
 
-    /// Zones that reach their own servers and none of the others', while some other is well by its own word.
-    fn cut_off(&self, known: &[Known]) -> BTreeSet<String> {
-        let well = |k: &Known| k.heard && k.servers > 0 && !self.shut(Some(&k.name), &k.name);
-        let one = |k: &&Known| {
-            let mut others = known.iter().filter(|o| o.name != k.name && o.servers > 0).peekable();
+    /// The zones that are cut off: they reach their own servers but none of the other zones', while at least
+    /// one other zone is healthy by the measurements of its own agents.
+    fn cut_off_zones(&self, summaries: &[ZoneSummary]) -> BTreeSet<String> {
+        let is_healthy = |summary: &ZoneSummary| {
+            summary.has_reports
+                && summary.servers > 0
+                && !self.is_path_closed(Some(&summary.name), &summary.name)
+        };
+        let is_cut_off = |summary: &&ZoneSummary| {
+            let mut others = summaries.iter().filter(|o| o.name != summary.name && o.servers > 0).peekable();
             others.peek().is_some()
-                && well(k)
-                && others.all(|o| self.shut(Some(&k.name), &o.name))
-                && known.iter().any(|o| o.name != k.name && well(o))
+                && is_healthy(summary)
+                && others.all(|o| self.is_path_closed(Some(&summary.name), &o.name))
+                && summaries.iter().any(|o| o.name != summary.name && is_healthy(o))
         };
-        known.iter().filter(one).map(|k| k.name.clone()).collect()
+        summaries.iter().filter(is_cut_off).map(|summary| summary.name.clone()).collect()
     }
 
-    /// What goes where, now or at the end of all ways back.
-    fn flows(
+    /// Allocates the traffic of all zones, either for now or for the end of all ramps (`at_end`). `drained`
+    /// names a zone to treat as fully drained.
+    fn allocate_traffic(
         &self,
         now: u64,
-        known: &[Known],
+        summaries: &[ZoneSummary],
         at_end: bool,
         drained: Option<&str>,
     ) -> (AllocationInput, Allocation) {
-        let n = known.len();
-        let fill = f64::from(self.s.fill_milli) / 1000.0;
+        let n = summaries.len();
+        let fill = f64::from(self.settings.fill_milli) / 1000.0;
         let pick = |(start, end): (f64, f64)| if at_end { end } else { start };
-        let part = |from: &Known, to: &Known| {
-            let own = self.lanes.get(&(Some(from.name.clone()), to.name.clone()));
-            let all = self.lanes.get(&(None, to.name.clone())).filter(|_| from.name != to.name);
-            own.into_iter().chain(all).map(|lane| pick(lane.part(now))).fold(1.0, f64::min)
+        let usable_fraction = |from: &ZoneSummary, to: &ZoneSummary| {
+            let own = self.paths.get(&(Some(from.name.clone()), to.name.clone()));
+            let all = self.paths.get(&(None, to.name.clone())).filter(|_| from.name != to.name);
+            own.into_iter().chain(all).map(|path| pick(path.fraction(now))).fold(1.0, f64::min)
         };
-        let mut parts: Vec<Vec<f64>> =
-            known.iter().map(|from| known.iter().map(|to| part(from, to)).collect()).collect();
-        for row in &mut parts {
-            // Where nothing is left, all that is listed is open: a guess is better than none.
-            let open = row.iter().zip(known).any(|(p, k)| *p > 0.0 && k.size > 0.0);
+        let mut usable_fractions: Vec<Vec<f64>> = summaries
+            .iter()
+            .map(|from| summaries.iter().map(|to| usable_fraction(from, to)).collect())
+            .collect();
+        for row in &mut usable_fractions {
+            // If no listed zone is open to a zone's traffic, all of them are opened: an arbitrary choice is
+            // better than none.
+            let open = row.iter().zip(summaries).any(|(p, summary)| *p > 0.0 && summary.size > 0.0);
             if !open {
                 row.iter_mut().for_each(|p| *p = 1.0);
             }
         }
-        let ghosts = self.ghosts(now) / n.max(1) as f64;
-        let bears = known.iter().map(|k| ((if at_end { k.size } else { k.warm }) * fill - ghosts).max(0.0));
-        let tap = |k: &Known| match self.taps.get(&k.name) {
-            _ if drained == Some(k.name.as_str()) => 0.0,
-            Some(tap) => pick((tap.at(now), tap.to)),
+        let silent_demand = self.silent_demand(now) / n.max(1) as f64;
+        let capacity = summaries.iter().map(|summary| {
+            ((if at_end { summary.size } else { summary.warm }) * fill - silent_demand).max(0.0)
+        });
+        let drain_fraction = |summary: &ZoneSummary| match self.drains.get(&summary.name) {
+            _ if drained == Some(summary.name.as_str()) => 0.0,
+            Some(ramp) => pick((ramp.fraction_at(now), ramp.to)),
             None => 1.0,
         };
-        let given = AllocationInput {
-            need: known.iter().map(|k| k.need).collect(),
-            bears: bears.collect(),
-            part: parts,
-            drained: known.iter().map(tap).collect(),
-            forced: known.iter().map(|k| self.taps.get(&k.name).is_some_and(|t| t.force)).collect(),
+        let input = AllocationInput {
+            demand: summaries.iter().map(|summary| summary.demand).collect(),
+            capacity: capacity.collect(),
+            usable: usable_fractions,
+            undrained: summaries.iter().map(drain_fraction).collect(),
+            drain_forced: summaries
+                .iter()
+                .map(|summary| self.drains.get(&summary.name).is_some_and(|ramp| ramp.force))
+                .collect(),
         };
-        let flows = allocate(&given);
-        (given, flows)
+        let allocation = allocate(&input);
+        (input, allocation)
     }
 
-    /// The shares of one zone's traffic, in thousandths: near, elsewhere, and of that what may only come on top.
-    fn shares(
+    /// The shares of one zone's traffic in thousandths: of the zone itself, and of each zone elsewhere,
+    /// bursts included.
+    fn row_shares(
         &self,
-        known: &[Known],
-        given: &AllocationInput,
-        flows: &Allocation,
-        f: usize,
+        summaries: &[ZoneSummary],
+        input: &AllocationInput,
+        allocation: &Allocation,
+        from: usize,
     ) -> (u32, Vec<u32>) {
-        let need = given.need[f].max(1e-6);
+        let demand = input.demand[from].max(1e-6);
         let milli = |x: f64| (1000.0 * x).clamp(0.0, 1000.0);
-        let idle = given.need[f] < 0.01;
-        let near = match (idle, known[f].size > 0.0) {
+        let is_idle = input.demand[from] < 0.01;
+        let near = match (is_idle, summaries[from].size > 0.0) {
             (_, false) => 0.0,
-            (true, true) => milli(given.part[f][f] * given.drained[f]),
-            (false, true) => milli(flows.sent[f][f] / need),
+            (true, true) => milli(input.usable[from][from] * input.undrained[from]),
+            (false, true) => milli(allocation.assigned[from][from] / demand),
         };
-        let far: Vec<f64> = (0..known.len())
-            .map(|t| {
-                let sent = if idle { 0.0 } else { flows.sent[f][t] / need };
-                let more = milli(flows.more[f][t] / need).min(MORE_MOST);
-                if t == f { 0.0 } else { milli(sent) + more }
+        let far: Vec<f64> = (0..summaries.len())
+            .map(|to| {
+                let assigned = if is_idle { 0.0 } else { allocation.assigned[from][to] / demand };
+                let burst = milli(allocation.burst[from][to] / demand).min(MAX_BURST_MILLI);
+                if to == from { 0.0 } else { milli(assigned) + burst }
             })
             .collect();
-        // Nothing is refused for want of room where all is well: what a server bears is no more than a guess, and each
-        // gatekeeper's own word on its servers is better. Nor where nothing at all is left.
-        let all: f64 = near + far.iter().sum::<f64>();
-        let well = self.taps.is_empty() && self.lanes.values().all(|l| l.phase() == Phase::Serving);
-        let scale = match all {
-            _ if all <= 0.0 => return (1000, vec![0; known.len()]),
-            _ if well && all < 1000.0 => 1000.0 / all,
+        // While all paths are healthy and no zone is drained, no traffic is refused for want of capacity: the
+        // capacity of a server is only an estimate, and each gatekeeper measures its own servers better. The
+        // same holds where no zone at all is left.
+        let total: f64 = near + far.iter().sum::<f64>();
+        let all_healthy =
+            self.drains.is_empty() && self.paths.values().all(|path| path.phase() == Phase::Serving);
+        let scale = match total {
+            _ if total <= 0.0 => return (1000, vec![0; summaries.len()]),
+            _ if all_healthy && total < 1000.0 => 1000.0 / total,
             _ => 1.0,
         };
         let whole = |x: f64| (x * scale).round().clamp(0.0, 1000.0) as u32;
@@ -557,18 +661,18 @@
         (near, far.into_iter().map(whole).collect())
     }
 
-    /// What is thought of a zone, by its lanes and by hand.
-    fn state(&self, zone: &str, cut: Option<&BTreeSet<String>>) -> ZoneState {
-        if cut.is_some_and(|c| c.contains(zone)) {
+    /// The state of a zone, by its paths and drains.
+    fn zone_state(&self, zone: &str, cut_off: Option<&BTreeSet<String>>) -> ZoneState {
+        if cut_off.is_some_and(|c| c.contains(zone)) {
             return ZoneState::CutOff;
         }
         let of = |from: Option<&str>| {
-            let lane = self.lanes.get(&(from.map(str::to_string), zone.to_string()));
-            match lane.map_or(Phase::Serving, ZonePath::phase) {
+            let path = self.paths.get(&(from.map(str::to_string), zone.to_string()));
+            match path.map_or(Phase::Serving, ZonePath::phase) {
                 Phase::Serving => ZoneState::Serving,
                 Phase::Shedding(_) => ZoneState::Shedding,
                 Phase::Out { .. } => ZoneState::Out,
-                Phase::Coming { .. } => ZoneState::ComingBack,
+                Phase::ComingBack { .. } => ZoneState::ComingBack,
             }
         };
         let rank = |s: ZoneState| {
@@ -578,147 +682,164 @@
         };
         let (own, all) = (of(Some(zone)), of(None));
         let worst = if rank(own) > rank(all) { own } else { all };
-        match self.taps.get(zone) {
-            Some(tap) if tap.to == 0.0 && worst != ZoneState::Out => ZoneState::Shedding,
+        match self.drains.get(zone) {
+            Some(ramp) if ramp.to == 0.0 && worst != ZoneState::Out => ZoneState::Shedding,
             Some(_) if worst == ZoneState::Serving => ZoneState::ComingBack,
             _ => worst,
         }
     }
 
-    fn decide(&self, now: u64, known: &[Known]) -> Decision {
-        let cut = self.cut_off(known);
-        let (given, first) = self.flows(now, known, false, None);
-        let (at_end, last) = self.flows(now, known, true, None);
-        let cold = |k: &Known| match k.size > 0.0 && k.warm < 0.95 * k.size {
-            true => (self.s.warm_ms as f64 * (1.0 - k.warm / k.size)) as u64,
-            false => 0,
-        };
-        let ways = self.lanes.values().map(|l| l.left(now));
-        let taps = self.taps.values().map(|t| t.left(now));
-        let ramp_ms = ways.chain(taps).chain(known.iter().map(cold)).max().unwrap_or(0);
+    /// Builds the decision for `now`.
+    fn build_decision(&self, now: u64, summaries: &[ZoneSummary]) -> Decision {
+        let cut_off = self.cut_off_zones(summaries);
+        let (input, allocation) = self.allocate_traffic(now, summaries, false, None);
+        let (input_at_end, allocation_at_end) = self.allocate_traffic(now, summaries, true, None);
+        let warm_up_ms =
+            |summary: &ZoneSummary| match summary.size > 0.0 && summary.warm < 0.95 * summary.size {
+                true => (self.settings.warm_ms as f64 * (1.0 - summary.warm / summary.size)) as u64,
+                false => 0,
+            };
+        let returns = self.paths.values().map(|path| path.remaining_ms(now));
+        let drains = self.drains.values().map(|ramp| ramp.remaining_ms(now));
+        let ramp_ms = returns.chain(drains).chain(summaries.iter().map(warm_up_ms)).max().unwrap_or(0);
         let mut rows = Vec::new();
         let mut zones = Vec::new();
-        for (f, k) in known.iter().enumerate() {
-            let (near, far) = self.shares(known, &given, &first, f);
-            let (near_end, far_end) = self.shares(known, &at_end, &last, f);
-            let spill = (0..known.len()).filter(|t| *t != f && (far[*t] > 0 || far_end[*t] > 0)).map(|t| {
-                Spill { to: known[t].name.clone(), share: Share { start: far[t], end: far_end[t] } }
-            });
+        for (from, summary) in summaries.iter().enumerate() {
+            let (near, far) = self.row_shares(summaries, &input, &allocation, from);
+            let (near_end, far_end) = self.row_shares(summaries, &input_at_end, &allocation_at_end, from);
+            let spill = (0..summaries.len())
+                .filter(|to| *to != from && (far[*to] > 0 || far_end[*to] > 0))
+                .map(|to| Spill {
+                    to: summaries[to].name.clone(),
+                    share: Share { start: far[to], end: far_end[to] },
+                });
             let spill = spill.collect();
-            let tried = |milli: u32| {
-                if k.servers > 0 && self.tries(&k.name) { milli.max(TRIES_MILLI) } else { milli }
+            let with_probes = |milli: u32| {
+                if summary.servers > 0 && self.is_probed(&summary.name) {
+                    milli.max(PROBE_SHARE_MILLI)
+                } else {
+                    milli
+                }
             };
-            let shares = Share { start: tried(near), end: tried(near_end) };
-            rows.push(RoutingRow { from: k.name.clone(), near: shares, spill });
-            let suffers = self.judged(now, &cut, &k.name, CLASS_LEAST, Over::Window);
-            let mut state = self.state(&k.name, Some(&cut));
-            let tight = k.size > 0.0 && near < NEAR_LEAST && near_end < NEAR_LEAST;
-            let short = state == ZoneState::Serving && tight;
-            if short {
+            let shares = Share { start: with_probes(near), end: with_probes(near_end) };
+            rows.push(RoutingRow { from: summary.name.clone(), near: shares, spill });
+            let impaired =
+                self.zone_impairment(now, &cut_off, &summary.name, MIN_CLASS_ATTEMPTS, Horizon::Window);
+            let mut state = self.zone_state(&summary.name, Some(&cut_off));
+            let lacks_capacity = summary.size > 0.0 && near < MIN_NEAR_MILLI && near_end < MIN_NEAR_MILLI;
+            let is_short = state == ZoneState::Serving && lacks_capacity;
+            if is_short {
                 state = ZoneState::Shedding;
             }
-            let why = match (state, suffers) {
-                _ if self.taps.get(&k.name).is_some_and(|t| t.to == 0.0) => "drained by hand".into(),
+            let why = match (state, impaired) {
+                _ if self.drains.get(&summary.name).is_some_and(|ramp| ramp.to == 0.0) => {
+                    "drained by hand".into()
+                }
                 (ZoneState::Serving | ZoneState::ComingBack, _) => String::new(),
                 (ZoneState::CutOff, _) => "it reaches its own servers alone".into(),
-                _ if k.servers == 0 => "no server is listed".into(),
-                _ if short => SHORT.into(),
+                _ if summary.servers == 0 => "no server is listed".into(),
+                _ if is_short => SHORT_OF_CAPACITY.into(),
                 (_, Some(x)) => format!("{:.0}% of its requests suffer", 100.0 * x),
                 _ => "its requests suffered".into(),
             };
             let milli = |x: f64| (x.max(0.0) * 1000.0).round() as u64;
             zones.push(ZoneAssessment {
-                zone: k.name.clone(),
+                zone: summary.name.clone(),
                 state,
                 why,
-                suffers_milli: (suffers.unwrap_or(0.0) * 1000.0).round() as u32,
-                bears_milli: milli(given.bears[f]),
-                needs_milli: milli(k.need),
+                suffers_milli: (impaired.unwrap_or(0.0) * 1000.0).round() as u32,
+                bears_milli: milli(input.capacity[from]),
+                needs_milli: milli(summary.demand),
             });
         }
         Decision { zones, rows, ramp_ms }
     }
 
-    /// Whether it says something that the one in effect does not.
+    /// Whether `new` differs enough from the decision in effect to be published.
     fn is_new(&self, now: u64, new: &Decision) -> bool {
-        let Some((last, at)) = &self.last else { return true };
+        let Some((last, at)) = &self.last_decision else { return true };
         let states = |d: &Decision| -> Vec<(String, ZoneState)> {
-            // Who comes back is there at the end of its way, without another word; who is short of room is told by figures.
-            let plain = |z: &ZoneAssessment| match z.state {
+            // A returning zone becomes `Serving` at the end of its ramp without another decision, and a zone
+            // that is short of capacity is compared by its shares.
+            let comparable_state = |z: &ZoneAssessment| match z.state {
                 ZoneState::ComingBack => ZoneState::Serving,
-                ZoneState::Shedding if z.why == SHORT => ZoneState::Serving,
+                ZoneState::Shedding if z.why == SHORT_OF_CAPACITY => ZoneState::Serving,
                 s => s,
             };
-            d.zones.iter().map(|z| (z.zone.clone(), plain(z))).collect()
+            d.zones.iter().map(|z| (z.zone.clone(), comparable_state(z))).collect()
         };
         if states(last) != states(new) {
             return true;
         }
-        let gone = now.saturating_sub(*at);
-        // A way that is shut is told soon, whatever is thought of its zone; several that shut together in one word.
-        let none = Share::default();
-        let of = |r: &RoutingRow, to: &str| r.spill.iter().find(|s| s.to == to).map_or(none, |s| s.share);
-        let shuts = |row: &RoutingRow| {
+        let elapsed = now.saturating_sub(*at);
+        // A path that closes is published soon, whatever the state of its zone, and paths that close together
+        // share one decision.
+        let no_share = Share::default();
+        let of = |r: &RoutingRow, to: &str| r.spill.iter().find(|s| s.to == to).map_or(no_share, |s| s.share);
+        let closes = |row: &RoutingRow| {
             let Some(old) = last.row(&row.from) else { return false };
-            let shut =
-                |was: Share, is: Share| was.at(gone, last.ramp_ms) > SHUT && is.start == 0 && is.end == 0;
-            shut(old.near, row.near) || old.spill.iter().any(|s| shut(s.share, of(row, &s.to)))
+            let closed = |was: Share, is: Share| {
+                was.at(elapsed, last.ramp_ms) > CLOSING_SHARE_MILLI && is.start == 0 && is.end == 0
+            };
+            closed(old.near, row.near) || old.spill.iter().any(|s| closed(s.share, of(row, &s.to)))
         };
-        if gone >= SHUT_TIMES * self.s.sure_ms && new.rows.iter().any(shuts) {
+        if elapsed >= CLOSING_DELAY_FACTOR * self.settings.sure_ms && new.rows.iter().any(closes) {
             return true;
         }
-        if gone < self.s.least_ms {
+        if elapsed < self.settings.least_ms {
             return false;
         }
-        let far = |a: u32, b: u32, alike: u32| a.abs_diff(b) > alike;
-        let differs = |old: &Share, new: &Share, alike: u32| {
-            far(old.at(gone, last.ramp_ms), new.start, alike) || far(old.end, new.end, alike)
+        let exceeds = |a: u32, b: u32, tolerance: u32| a.abs_diff(b) > tolerance;
+        let differs = |old: &Share, new: &Share, tolerance: u32| {
+            exceeds(old.at(elapsed, last.ramp_ms), new.start, tolerance)
+                || exceeds(old.end, new.end, tolerance)
         };
         new.rows.iter().any(|row| {
             let Some(old) = last.row(&row.from) else { return true };
             let to: BTreeSet<&str> = row.spill.iter().chain(&old.spill).map(|s| s.to.as_str()).collect();
-            differs(&old.near, &row.near, ALIKE)
-                || to.into_iter().any(|t| differs(&of(old, t), &of(row, t), ALIKE_MORE))
+            differs(&old.near, &row.near, NEAR_TOLERANCE_MILLI)
+                || to.into_iter().any(|t| differs(&of(old, t), &of(row, t), SPILL_TOLERANCE_MILLI))
         })
     }
 
-    /// Whether the others could bear a zone's traffic.
+    /// Whether the other zones have capacity for a zone's traffic.
     ///
     /// # Errors
-    /// With the figures, when they can't.
+    /// Returns the figures if they have not.
     pub fn can_drain(&self, now: u64, zone: &str) -> Result<(), CapacityShortfall> {
-        let known = self.known(now);
-        let (mut given, _) = self.flows(now, &known, false, Some(zone));
-        // A zone that is being drained already is no help.
-        for (k, forced) in known.iter().zip(&mut given.forced) {
-            *forced |= k.name == zone || self.taps.get(&k.name).is_some_and(|t| t.to == 0.0);
+        let summaries = self.zone_summaries(now);
+        let (mut input, _) = self.allocate_traffic(now, &summaries, false, Some(zone));
+        // A zone that is already being drained cannot take any of it.
+        for (summary, forced) in summaries.iter().zip(&mut input.drain_forced) {
+            *forced |=
+                summary.name == zone || self.drains.get(&summary.name).is_some_and(|ramp| ramp.to == 0.0);
         }
-        let flows = allocate(&given);
-        let shortfall: f64 = flows.left.iter().sum();
+        let allocation = allocate(&input);
+        let shortfall: f64 = allocation.unassigned.iter().sum();
         if shortfall <= 1e-6 {
             return Ok(());
         }
-        let others = given.bears.iter().zip(&given.forced).filter(|(_, gone)| !**gone);
+        let others = input.capacity.iter().zip(&input.drain_forced).filter(|(_, forced)| !**forced);
         Err(CapacityShortfall {
-            demand: given.need.iter().sum(),
+            demand: input.demand.iter().sum(),
             capacity: others.map(|(b, _)| b).sum(),
             shortfall,
         })
     }
 
-    /// Whether a zone is known.
+    /// Whether any agent reports this zone.
     #[must_use]
     pub fn knows_zone(&self, now: u64, zone: &str) -> bool {
-        self.known(now).iter().any(|k| k.name == zone)
+        self.zone_summaries(now).iter().any(|summary| summary.name == zone)
     }
 
-    /// What it goes by.
+    /// Returns the input of the controller, for operators.
     #[must_use]
     pub fn view(&self, now: u64) -> FailoverView {
-        let one = |(name, a): (&String, &Agent)| {
-            let age = now.saturating_sub(a.at);
-            (name.clone(), a.zone.clone(), age, age <= self.s.stale_ms)
+        let agent_row = |(name, a): (&String, &AgentState)| {
+            let age_ms = now.saturating_sub(a.received_at);
+            (name.clone(), a.zone.clone(), age_ms, age_ms <= self.settings.stale_ms)
         };
-        FailoverView { agents: self.agents.iter().map(one).collect(), counts: self.counts }
+        FailoverView { agents: self.agents.iter().map(agent_row).collect(), counts: self.counts }
     }
 }
--- a/crates/zones/src/lib.rs
+++ b/crates/zones/src/lib.rs
@@ -1,19 +1,20 @@
-//! Failover between zones, decided in common.
+//! Failover between zones, decided by one leader for the whole fleet.
 //!
-//! # Why
+//! A gatekeeper on its own detects a lost zone only from its few requests. A hundred gatekeepers would reach
+//! a hundred conclusions at different times, and none of them would check whether the zones that take over
+//! have the capacity. Here one leader receives the observations of all of them and makes one numbered
+//! decision: how much of each zone's traffic may go where. The crate does no I/O and reads no clock.
 //!
-//! Each gatekeeper finds out about a lost zone by itself, from its own few requests; a hundred of them come to a hundred
-//! answers at different instants, and nobody asks whether those who take over can bear it. Here one owner hears what all of
-//! them saw and makes one numbered decision: how much of each zone's traffic may go where.
+//! - [`Report`]: the observations of one agent's gatekeepers. A report may be lost, outdated or false; one
+//!   with impossible content is rejected as a whole.
+//! - [`FailoverController`]: turns reports and operators' drains into a [`Decision`], by the leader's own
+//!   clock.
+//! - [`Decision`]: a row for each zone of origin. Its shares move from one value to another over a stated
+//!   time, so that a gradual return is one decision and not many.
 //!
-//! - [`Report`]: evidence. It may be lost, old or false; what can't be is refused whole.
-//! - [`FailoverController`]: from reports and operators' intents to a [`Decision`], by the owner's own clock.
-//! - [`Decision`]: a row for each zone that traffic comes from, as shares that move from one value to another over a stated
-//!   time, so that a way back in steps is one decision and not many.
-//!
-//! A zone that can't see the others is the one that is cut off, and does not judge them. An intent narrows, evidence weighs,
-//! and a floor has the last word: no zone is sent more than it bears by what is known of it, and where no zone is left all
-//! are open.
+//! A zone that cannot reach the other zones counts as cut off, and its measurements of them are ignored.
+//! Drains and path health limit what a zone is sent, and capacity limits it last: no zone is assigned more
+//! than its estimated capacity, and if no zone is left to a zone's traffic, all zones are opened to it.
 
 mod allocation;
 mod decision;
--- a/crates/zones/src/report.rs
+++ b/crates/zones/src/report.rs
@@ -1,94 +1,101 @@
-//! Evidence: what the gatekeepers of one host saw since their last report. It is taken whole or not at all.
+//! Reports: what the gatekeepers of one host observed since their last report. A report is accepted or
+//! rejected as a whole.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 
-/// Zones of one fleet.
+/// The largest number of zones of one fleet.
 pub const MAX_ZONES: usize = 64;
-/// Classes of requests.
-const CLASSES_MOST: u32 = 64;
-/// More of anything within one report can't be.
-const COUNT_MOST: u32 = 10_000_000;
-const AMOUNT_MOST: f64 = 1e7;
-const NAME_MOST: usize = 64;
+/// The number of request classes.
+const MAX_CLASSES: u32 = 64;
+/// The largest count of anything within one report.
+const MAX_COUNT: u32 = 10_000_000;
+/// The largest amount of demand or capacity.
+const MAX_AMOUNT: f64 = 1e7;
+/// The longest name of an agent or zone, in bytes.
+const MAX_NAME_BYTES: usize = 64;
 
-/// Attempts of one class at the servers of one zone.
+/// Attempts of one request class at the servers of one zone.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct AttemptCounts {
-    /// The servers' zone.
+    /// The zone of the servers.
     pub to: String,
-    /// The class's number.
+    /// The number of the class, below 64.
     pub class: u32,
     /// Attempts that ended.
     pub attempts: u32,
-    /// Those of them that failed: errors, no answer, no connection, resets. Who was turned away for want of room is none.
+    /// The attempts that failed: errors, no answer, no connection, resets. Refusals for want of capacity do
+    /// not count.
     pub bad: u32,
-    /// Answers that came far later than such answers do.
+    /// Answers that took far longer than answers of this class usually do.
     pub late: u32,
 }
 
-/// A zone as it is listed.
+/// The capacity of a zone by the endpoint list.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ZoneCapacity {
-    /// Its name.
+    /// The zone's name.
     pub zone: String,
-    /// Servers that may be sent to.
+    /// The number of servers that may be sent to.
     pub servers: u32,
-    /// Requests that they work on at once when warm.
+    /// The number of requests that these servers work on at once when warm.
     pub size: f64,
-    /// The same as warm as they are now.
+    /// The same at their current progress of slow start.
     pub warm: f64,
 }
 
-/// What one agent's gatekeepers saw.
+/// The observations of the gatekeepers of one agent.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Report {
-    /// The agent.
+    /// The agent's name.
     pub agent: String,
-    /// One process of it: a number within it is told apart from those of the one before.
+    /// The incarnation of the agent's process; it tells the numbers of this process from those of its
+    /// predecessor.
     pub life: u64,
-    /// Which, from 1.
+    /// The number of the report within its incarnation, from 1.
     pub number: u64,
-    /// Where its gatekeepers stand.
+    /// The zone of the agent's gatekeepers.
     pub zone: String,
-    /// How many it speaks for.
+    /// The number of gatekeepers that the report covers.
     pub gatekeepers: u32,
-    /// What their requests need, whether or not they were sent on: requests worked on at once, on average.
+    /// The demand of their requests, forwarded or not: the average number of requests worked on at once.
     pub need: f64,
-    /// Attempts.
+    /// Attempts by zone and class.
     pub lines: Vec<AttemptCounts>,
-    /// Zones.
+    /// The capacity of each zone; it has to contain every zone of `lines`.
     pub places: Vec<ZoneCapacity>,
 }
 
-/// Why a report is not taken: the field, and what it may be.
+/// The reason why a report is rejected: the field, and its range.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RejectedReport(pub String);
 
-fn name(field: &str, text: &str) -> Result<(), RejectedReport> {
-    let fits = |c: char| !c.is_control() && c != '/';
-    if (1..=NAME_MOST).contains(&text.len()) && text.chars().all(fits) {
+/// Checks the length and characters of a name.
+fn check_name(field: &str, text: &str) -> Result<(), RejectedReport> {
+    let is_allowed = |c: char| !c.is_control() && c != '/';
+    if (1..=MAX_NAME_BYTES).contains(&text.len()) && text.chars().all(is_allowed) {
         return Ok(());
     }
-    Err(RejectedReport(format!("{field}: 1 to {NAME_MOST} bytes that can be printed, without a slash")))
+    Err(RejectedReport(format!("{field}: 1 to {MAX_NAME_BYTES} bytes that can be printed, without a slash")))
 }
 
-fn amount(field: &str, value: f64) -> Result<(), RejectedReport> {
-    if value.is_finite() && (0.0..=AMOUNT_MOST).contains(&value) {
+/// Checks the range of an amount.
+fn check_amount(field: &str, value: f64) -> Result<(), RejectedReport> {
+    if value.is_finite() && (0.0..=MAX_AMOUNT).contains(&value) {
         return Ok(());
     }
-    Err(RejectedReport(format!("{field}: {value}; 0 to {AMOUNT_MOST}")))
+    Err(RejectedReport(format!("{field}: {value}; 0 to {MAX_AMOUNT}")))
 }
 
 impl Report {
-    /// Whether it can be.
+    /// Checks the content of the report.
     ///
     /// # Errors
-    /// With the first field that can't.
+    /// Returns the first invalid field.
     pub fn check(&self) -> Result<(), RejectedReport> {
-        name("agent", &self.agent)?;
-        name("zone", &self.zone)?;
-        amount("need", self.need)?;
+        check_name("agent", &self.agent)?;
+        check_name("zone", &self.zone)?;
+        check_amount("need", self.need)?;
         if self.number == 0 {
             return Err(RejectedReport("number: from 1".into()));
         }
@@ -97,13 +104,13 @@
         }
         let mut zones = BTreeSet::new();
         for p in &self.places {
-            name("places.zone", &p.zone)?;
-            amount("places.size", p.size)?;
-            amount("places.warm", p.warm)?;
+            check_name("places.zone", &p.zone)?;
+            check_amount("places.size", p.size)?;
+            check_amount("places.warm", p.warm)?;
             if !zones.insert(p.zone.as_str()) {
                 return Err(RejectedReport(format!("places: zone {} is there twice", p.zone)));
             }
-            if p.warm > p.size * 1.001 || p.servers > COUNT_MOST || (p.servers == 0 && p.size > 0.0) {
+            if p.warm > p.size * 1.001 || p.servers > MAX_COUNT || (p.servers == 0 && p.size > 0.0) {
                 return Err(RejectedReport(format!(
                     "places: zone {}: more warm than there is, or no servers",
                     p.zone
@@ -115,11 +122,11 @@
             if !zones.contains(l.to.as_str()) {
                 return Err(RejectedReport(format!(
                     "lines.to: zone {:?} is not among the places",
-                    short(&l.to)
+                    truncated(&l.to)
                 )));
             }
-            if l.class >= CLASSES_MOST {
-                return Err(RejectedReport(format!("lines.class: {}; below {CLASSES_MOST}", l.class)));
+            if l.class >= MAX_CLASSES {
+                return Err(RejectedReport(format!("lines.class: {}; below {MAX_CLASSES}", l.class)));
             }
             if !lines.insert((l.to.as_str(), l.class)) {
                 return Err(RejectedReport(format!(
@@ -127,8 +134,8 @@
                     l.to, l.class
                 )));
             }
-            let sum = u64::from(l.bad) + u64::from(l.late);
-            if l.attempts > COUNT_MOST || sum > u64::from(l.attempts) {
+            let failed_or_late = u64::from(l.bad) + u64::from(l.late);
+            if l.attempts > MAX_COUNT || failed_or_late > u64::from(l.attempts) {
                 return Err(RejectedReport(format!("lines: zone {}: more failed than were tried", l.to)));
             }
         }
@@ -136,16 +143,17 @@
     }
 }
 
-pub(crate) fn short(text: &str) -> String {
+/// Returns the first 40 characters without control characters, for error messages.
+pub(crate) fn truncated(text: &str) -> String {
     text.chars().filter(|c| !c.is_control()).take(40).collect()
 }
 
-/// An operator wants a zone to be used no more.
+/// An operator's request to take a zone out of use.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Drain {
-    /// Which.
+    /// The zone to drain.
     pub zone: String,
-    /// Whether even where the others can't bear it.
+    /// Whether the drain holds even if the other zones lack the capacity.
     pub force: bool,
 }
 
@@ -153,7 +161,7 @@
 mod tests {
     use super::*;
 
-    pub(crate) fn sound() -> Report {
+    pub(crate) fn valid_report() -> Report {
         let place = |zone: &str| ZoneCapacity { zone: zone.into(), servers: 2, size: 4.0, warm: 4.0 };
         Report {
             agent: "a1".into(),
@@ -168,8 +176,8 @@
     }
 
     #[test]
-    fn what_cannot_be_is_refused_whole_with_the_field() {
-        assert_eq!(sound().check(), Ok(()));
+    fn check_rejects_invalid_report_and_names_field() {
+        assert_eq!(valid_report().check(), Ok(()));
         type Change = fn(&mut Report);
         let bad: [(&str, Change); 13] = [
             ("agent", |r| r.agent.clear()),
@@ -186,10 +194,14 @@
             ("more failed", |r| r.lines[0].bad = 4),
             ("lines: zone b, class 0 is there twice", |r| r.lines.push(r.lines[0].clone())),
         ];
-        for (word, change) in bad {
-            let mut report = sound();
+        for (expected, change) in bad {
+            let mut report = valid_report();
             change(&mut report);
-            assert!(report.check().is_err_and(|e| e.0.contains(word)), "{word}: {:?}", report.check());
+            assert!(
+                report.check().is_err_and(|e| e.0.contains(expected)),
+                "{expected}: {:?}",
+                report.check()
+            );
         }
     }
 }
--- a/crates/zones/src/zone_path.rs
+++ b/crates/zones/src/zone_path.rs
@@ -1,97 +1,108 @@
-//! What is thought of a way from gatekeepers to a zone's servers, and for how long: one lane for each pair of zones, and one
-//! for each zone as all see it together.
+//! The health of a path from gatekeepers to the servers of a zone, as a state machine with hold times.
+//!
+//! The failover controller keeps one [`ZonePath`] for each pair of zones and one for each zone as all
+//! gatekeepers together see it.
 
 use crate::settings::Settings;
 
-/// How it is.
+/// The state of a path.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Phase {
-    /// As it should be.
+    /// The path is healthy and takes all traffic.
     Serving,
-    /// This part of what would go is sent.
+    /// The path is impaired: only this fraction (0 to 1) of the traffic that would take it is sent.
     Shedding(f64),
-    /// Nothing is sent until then, at the least.
+    /// No traffic is sent until `until` at the earliest.
     Out {
-        /// In ms of the judge's clock.
+        /// In ms of the controller's clock.
         until: u64,
     },
-    /// More and more is sent.
-    Coming {
-        /// Since then.
+    /// The path is returning: its traffic grows linearly from `INITIAL_FRACTION` to all.
+    ComingBack {
+        /// When the return began, in ms of the controller's clock.
         since: u64,
-        /// Over so many ms.
-        ramp: u64,
+        /// How long the return takes, in ms.
+        ramp_ms: u64,
     },
 }
 
-/// Where a way back begins: enough to see something by, little enough to do no harm.
-const FIRST: f64 = 0.05;
-/// A zone that is nearly all grey is still sent this part, so that its mending is seen.
-const TRICKLE: f64 = 0.05;
-/// Parts are told apart in such steps.
-const STEP: f64 = 0.15;
+/// The fraction of traffic at which a return begins: enough to measure failures by, and too little to do
+/// harm.
+const INITIAL_FRACTION: f64 = 0.05;
+/// The lowest fraction that an impaired path still gets, so that its recovery can be observed.
+const MIN_FRACTION: f64 = 0.05;
+/// The smallest further cut of the fraction of an impaired path; smaller ones are not applied.
+const MIN_FRACTION_STEP: f64 = 0.15;
 
-/// What is grey has to be so for so many times as long as what is lost.
-const GREY_TIMES: u64 = 3;
-const GREY_TIMES_BACK: u64 = 8;
-/// Where so little is sent that nothing is seen for so many times the hold, the way back is tried.
-const BLIND_TIMES: u64 = 4;
-/// A trial that went badly has cost next to nothing: the next one comes after this part of the least hold.
-const AGAIN_PART: u64 = 4;
-/// The part of a zone's own traffic that goes on trying it while it is out, in thousandths: a failed trial takes no decision.
-pub(crate) const TRIES_MILLI: u32 = 30;
+/// An impaired path is confirmed only after `sure_ms` times this factor, and a lost one after `sure_ms`.
+const GREY_CONFIRM_FACTOR: u64 = 3;
+/// The same factor while the path is returning.
+const GREY_CONFIRM_FACTOR_RETURNING: u64 = 8;
+/// If too few attempts are seen for `hold_ms` times this factor, the return begins without a measurement.
+const NO_DATA_HOLD_FACTOR: u64 = 4;
+/// A failed probe has cost almost no requests, so the next one follows after `hold_ms` divided by this.
+const PROBE_RETRY_HOLD_DIVISOR: u64 = 4;
+/// The share of a zone's own traffic, in thousandths, that probes the zone while it is out. A failed probe
+/// therefore needs no decision.
+pub(crate) const PROBE_SHARE_MILLI: u32 = 30;
 
-/// What is seen of a lane.
+/// What is observed of a path at one instant. Fractions are of attempts that failed or were late, 0 to 1.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct PathObservation {
-    /// The part that suffers, over the window and of late, where enough was tried.
-    pub suffers: Option<f64>,
-    /// See `suffers`.
-    pub quick: Option<f64>,
-    /// While it is out: the part that suffers of what still tries it, over a long time.
-    pub trial: Option<f64>,
-    /// Whether anything tries it while it is out.
-    pub tries: bool,
-    /// Whether there are servers at all.
-    pub there: bool,
+    /// The impaired fraction over the window; `None` where too few attempts were made.
+    pub impaired: Option<f64>,
+    /// The impaired fraction over the recent, shorter window; `None` where too few attempts were made.
+    pub impaired_recently: Option<f64>,
+    /// The impaired fraction of the probes while the path is out, over the long probe window.
+    pub impaired_probes: Option<f64>,
+    /// Whether any traffic probes the path while it is out.
+    pub has_probes: bool,
+    /// Whether any server is listed at the far end.
+    pub has_servers: bool,
 }
 
-/// One lane.
+/// The health of one path, updated by [`ZonePath::observe`].
 #[derive(Debug, Clone, PartialEq)]
 pub struct ZonePath {
     phase: Phase,
-    /// Since when what is seen speaks for another phase.
-    bad_since: Option<u64>,
+    /// Since when the observations have been at or above `out_milli` without a break.
+    lost_since: Option<u64>,
+    /// Since when they have been at or above `shed_milli` without a break.
     grey_since: Option<u64>,
-    fine_since: Option<u64>,
+    /// Since when they have been at or below `clear_milli`, or missing, without a break.
+    clear_since: Option<u64>,
+    /// Whether at least one observation since `clear_since` had enough attempts.
     clear_seen: bool,
-    /// How long it was out the last time, and when it last was.
-    hold: u64,
-    last_out: Option<u64>,
-    stepped: u64,
-    /// Since when what tries it counts, while it is out.
-    trying: Option<u64>,
+    /// How long the path was held out the last time, in ms.
+    hold_ms: u64,
+    /// When the path last went out.
+    last_out_at: Option<u64>,
+    /// When the fraction was last reduced.
+    reduced_at: u64,
+    /// Since when probes count, while the path is out.
+    probing_since: Option<u64>,
 }
 
 impl Default for ZonePath {
     fn default() -> Self {
         ZonePath {
             phase: Phase::Serving,
-            bad_since: None,
+            lost_since: None,
             grey_since: None,
-            fine_since: None,
+            clear_since: None,
             clear_seen: false,
-            hold: 0,
-            last_out: None,
-            stepped: 0,
-            trying: None,
+            hold_ms: 0,
+            last_out_at: None,
+            reduced_at: 0,
+            probing_since: None,
         }
     }
 }
 
-/// Since when something has been so without a break.
-fn since(at: &mut Option<u64>, now: u64, so: bool) -> Option<u64> {
-    if so {
+/// Updates the start `at` of an uninterrupted condition and returns how long it has lasted, in ms; `None`
+/// where it does not hold.
+fn track_duration(at: &mut Option<u64>, now: u64, holds: bool) -> Option<u64> {
+    if holds {
         at.get_or_insert(now);
     } else {
         *at = None;
@@ -100,142 +111,168 @@
 }
 
 impl ZonePath {
-    /// One that a former owner's decision left out: this owner does not know since when, so it is held anew.
+    /// A path that the decision of a former leader took out. When it went out is unknown, so the hold time
+    /// starts over.
     #[must_use]
-    pub fn out(now: u64, s: &Settings) -> ZonePath {
-        let until = now + s.hold_ms;
-        ZonePath { phase: Phase::Out { until }, hold: s.hold_ms, last_out: Some(now), ..ZonePath::default() }
+    pub fn out(now: u64, settings: &Settings) -> ZonePath {
+        let until = now + settings.hold_ms;
+        ZonePath {
+            phase: Phase::Out { until },
+            hold_ms: settings.hold_ms,
+            last_out_at: Some(now),
+            ..ZonePath::default()
+        }
     }
 
-    /// How it is.
+    /// The current state.
     #[must_use]
     pub fn phase(&self) -> Phase {
         self.phase
     }
 
-    /// Whether nothing, or next to nothing, is sent.
+    /// Whether no traffic is sent, or no more than the least fraction of an impaired path.
     #[must_use]
-    pub fn shut(&self) -> bool {
+    pub fn is_closed(&self) -> bool {
         match self.phase {
             Phase::Out { .. } => true,
-            Phase::Shedding(part) => part <= TRICKLE,
+            Phase::Shedding(fraction) => fraction <= MIN_FRACTION,
             _ => false,
         }
     }
 
-    /// The part that may go now, and at the end of a way back.
+    /// The fraction of traffic allowed now, and the one at the end of a return.
     #[must_use]
-    pub fn part(&self, now: u64) -> (f64, f64) {
+    pub fn fraction(&self, now: u64) -> (f64, f64) {
         match self.phase {
             Phase::Serving => (1.0, 1.0),
-            Phase::Shedding(part) => (part, part),
+            Phase::Shedding(fraction) => (fraction, fraction),
             Phase::Out { .. } => (0.0, 0.0),
-            Phase::Coming { since, ramp } => {
-                let gone = now.saturating_sub(since) as f64 / ramp.max(1) as f64;
-                (FIRST + (1.0 - FIRST) * gone.min(1.0), 1.0)
+            Phase::ComingBack { since, ramp_ms } => {
+                let progress = now.saturating_sub(since) as f64 / ramp_ms.max(1) as f64;
+                (INITIAL_FRACTION + (1.0 - INITIAL_FRACTION) * progress.min(1.0), 1.0)
             }
         }
     }
 
-    /// How long a way back still takes; 0 where none is made.
+    /// The remaining time of a return in ms; 0 where there is none.
     #[must_use]
-    pub fn left(&self, now: u64) -> u64 {
+    pub fn remaining_ms(&self, now: u64) -> u64 {
         match self.phase {
-            Phase::Coming { since, ramp } => (since + ramp).saturating_sub(now),
+            Phase::ComingBack { since, ramp_ms } => (since + ramp_ms).saturating_sub(now),
             _ => 0,
         }
     }
 
-    fn go_out(&mut self, now: u64, s: &Settings) {
-        let soon = self.last_out.is_some_and(|at| now.saturating_sub(at) <= self.hold + s.flap_ms);
-        self.hold = if soon { (self.hold * 2).clamp(s.hold_ms, s.hold_most_ms) } else { s.hold_ms };
-        self.last_out = Some(now);
-        self.phase = Phase::Out { until: now + self.hold };
-        self.trying = None;
-        (self.bad_since, self.grey_since, self.fine_since) = (None, None, None);
+    /// Takes the path out. The hold time doubles, up to `hold_most_ms`, if the path fails again within
+    /// `flap_ms` after the previous hold time.
+    fn go_out(&mut self, now: u64, settings: &Settings) {
+        let is_flapping =
+            self.last_out_at.is_some_and(|at| now.saturating_sub(at) <= self.hold_ms + settings.flap_ms);
+        self.hold_ms = if is_flapping {
+            (self.hold_ms * 2).clamp(settings.hold_ms, settings.hold_most_ms)
+        } else {
+            settings.hold_ms
+        };
+        self.last_out_at = Some(now);
+        self.phase = Phase::Out { until: now + self.hold_ms };
+        self.probing_since = None;
+        (self.lost_since, self.grey_since, self.clear_since) = (None, None, None);
     }
 
-    /// Whether a way back, or what tries it, has only now begun: what was seen before does not count.
+    /// Whether a return or probing began at `now`: attempts from before do not count for it.
     #[must_use]
-    pub fn begins(&self, now: u64) -> bool {
-        self.trying == Some(now) || matches!(self.phase, Phase::Coming { since, .. } if since == now)
+    pub fn just_started(&self, now: u64) -> bool {
+        self.probing_since == Some(now)
+            || matches!(self.phase, Phase::ComingBack { since, .. } if since == now)
     }
 
-    /// Whether it goes back, by what tries it.
-    fn tried(&mut self, now: u64, seen: PathObservation, s: &Settings) -> bool {
-        if !seen.tries {
+    /// Evaluates the probes of a path that is out; true where its return may begin.
+    fn evaluate_probes(&mut self, now: u64, observed: PathObservation, settings: &Settings) -> bool {
+        if !observed.has_probes {
             return true;
         }
-        let Some(since) = self.trying else {
-            self.trying = Some(now);
+        let Some(since) = self.probing_since else {
+            self.probing_since = Some(now);
             return false;
         };
         let milli = |m: u32| f64::from(m) / 1000.0;
-        match seen.trial {
-            Some(x) if x <= milli(s.clear_milli) => true,
-            Some(x) if x >= milli(s.shed_milli) => {
-                self.trying = None;
-                self.phase = Phase::Out { until: now + s.hold_ms / AGAIN_PART };
+        match observed.impaired_probes {
+            Some(x) if x <= milli(settings.clear_milli) => true,
+            Some(x) if x >= milli(settings.shed_milli) => {
+                self.probing_since = None;
+                self.phase = Phase::Out { until: now + settings.hold_ms / PROBE_RETRY_HOLD_DIVISOR };
                 false
             }
-            _ => now.saturating_sub(since) >= BLIND_TIMES * s.hold_ms,
+            _ => now.saturating_sub(since) >= NO_DATA_HOLD_FACTOR * settings.hold_ms,
         }
     }
 
-    /// Takes in what is seen now. True if the phase is another one.
-    pub fn look(&mut self, now: u64, seen: PathObservation, s: &Settings) -> bool {
-        let PathObservation { suffers, quick, there, .. } = seen;
+    /// Applies an observation. Returns whether the state changed.
+    pub fn observe(&mut self, now: u64, observed: PathObservation, settings: &Settings) -> bool {
+        let PathObservation { impaired, impaired_recently, has_servers, .. } = observed;
         let milli = |m: u32| f64::from(m) / 1000.0;
-        let (grey_at, out_at) = (milli(s.grey_milli), milli(s.out_milli));
-        let bad = [suffers, quick].into_iter().flatten().any(|x| x >= out_at);
-        let grey = suffers.is_some_and(|x| x >= milli(s.shed_milli));
-        // Where little is sent most looks see nothing: that speaks against nobody.
-        let fine = suffers.is_none_or(|x| x <= milli(s.clear_milli));
-        self.clear_seen = fine && (self.clear_seen || suffers.is_some());
-        let bad_for = since(&mut self.bad_since, now, bad);
-        let grey_for = since(&mut self.grey_since, now, grey);
-        let fine_for = since(&mut self.fine_since, now, fine);
-        let over = |for_ms: Option<u64>, ms: u64| for_ms.is_some_and(|x| x >= ms);
-        // What is lost is grey on its way there: it is waited for a little, so that one decision is made and not two.
-        // On its way back it is cold, and not all know that yet: it is given longer.
-        let times = if matches!(self.phase, Phase::Coming { .. }) { GREY_TIMES_BACK } else { GREY_TIMES };
-        let (lost, greyed) = (over(bad_for, s.sure_ms), over(grey_for, times * s.sure_ms));
+        let (grey_at, out_at) = (milli(settings.grey_milli), milli(settings.out_milli));
+        let lost = [impaired, impaired_recently].into_iter().flatten().any(|x| x >= out_at);
+        let grey = impaired.is_some_and(|x| x >= milli(settings.shed_milli));
+        // With little traffic most observations have no measurement, which does not count as a failure.
+        let clear = impaired.is_none_or(|x| x <= milli(settings.clear_milli));
+        self.clear_seen = clear && (self.clear_seen || impaired.is_some());
+        let lost_for = track_duration(&mut self.lost_since, now, lost);
+        let grey_for = track_duration(&mut self.grey_since, now, grey);
+        let clear_for = track_duration(&mut self.clear_since, now, clear);
+        let lasts = |lasted_ms: Option<u64>, ms: u64| lasted_ms.is_some_and(|x| x >= ms);
+        // A path that is being lost passes through the impaired range first. The impaired state is confirmed
+        // more slowly, so that one decision is made and not two. A returning zone has cold servers, and not
+        // every gatekeeper has that information yet, so it gets more time.
+        let confirm_factor = if matches!(self.phase, Phase::ComingBack { .. }) {
+            GREY_CONFIRM_FACTOR_RETURNING
+        } else {
+            GREY_CONFIRM_FACTOR
+        };
+        let (is_lost, is_grey) =
+            (lasts(lost_for, settings.sure_ms), lasts(grey_for, confirm_factor * settings.sure_ms));
         let before = self.phase;
-        // What was lost may have been started anew, and not all know of that yet: it is taken for cold.
-        let ramp = s.warm_ms.max(s.ramp_ms);
-        let part = |x: f64| (1.0 - x / grey_at).max(TRICKLE);
-        let now_part = suffers.map_or(TRICKLE, part);
+        // The servers of a lost zone may have been restarted, which not every gatekeeper has observed yet, so
+        // they are assumed to be cold.
+        let ramp_ms = settings.warm_ms.max(settings.ramp_ms);
+        let fraction = |x: f64| (1.0 - x / grey_at).max(MIN_FRACTION);
+        let new_fraction = impaired.map_or(MIN_FRACTION, fraction);
         match self.phase {
             Phase::Out { until } => {
-                // Judged anew, by what is seen from here on.
-                (self.bad_since, self.grey_since, self.fine_since) = (None, None, None);
-                if there && now >= until && self.tried(now, seen, s) {
-                    self.trying = None;
-                    self.phase = Phase::Coming { since: now, ramp };
+                // While the path is out, earlier observations are discarded.
+                (self.lost_since, self.grey_since, self.clear_since) = (None, None, None);
+                if has_servers && now >= until && self.evaluate_probes(now, observed, settings) {
+                    self.probing_since = None;
+                    self.phase = Phase::ComingBack { since: now, ramp_ms };
                 }
             }
-            _ if !there || lost => self.go_out(now, s),
-            // What fails on its way back is not well yet, however little of it does.
-            Phase::Coming { .. } if greyed && suffers.is_some_and(|x| x >= grey_at) => self.go_out(now, s),
-            Phase::Serving | Phase::Coming { .. } if greyed => {
-                self.stepped = now;
-                self.phase = Phase::Shedding(now_part);
+            _ if !has_servers || is_lost => self.go_out(now, settings),
+            // A returning path that fails this often has not recovered, however little traffic it carries.
+            Phase::ComingBack { .. } if is_grey && impaired.is_some_and(|x| x >= grey_at) => {
+                self.go_out(now, settings)
             }
-            Phase::Coming { since, ramp } if now >= since + ramp => self.phase = Phase::Serving,
+            Phase::Serving | Phase::ComingBack { .. } if is_grey => {
+                self.reduced_at = now;
+                self.phase = Phase::Shedding(new_fraction);
+            }
+            Phase::ComingBack { since, ramp_ms } if now >= since + ramp_ms => self.phase = Phase::Serving,
             Phase::Shedding(_)
-                if self.clear_seen && over(fine_for, s.hold_ms)
-                    || over(fine_for, BLIND_TIMES * s.hold_ms) =>
+                if self.clear_seen && lasts(clear_for, settings.hold_ms)
+                    || lasts(clear_for, NO_DATA_HOLD_FACTOR * settings.hold_ms) =>
             {
-                self.phase = Phase::Coming { since: now, ramp: s.ramp_ms };
+                self.phase = Phase::ComingBack { since: now, ramp_ms: settings.ramp_ms };
             }
-            Phase::Shedding(old) => {
-                // Less at once, more by the way back alone.
-                if old - now_part >= STEP && suffers.is_some() && now >= self.stepped + s.hold_ms {
-                    self.stepped = now;
-                    self.phase = Phase::Shedding(now_part);
+            Phase::Shedding(old_fraction) => {
+                // The fraction is reduced at once and grows only through a return.
+                if old_fraction - new_fraction >= MIN_FRACTION_STEP
+                    && impaired.is_some()
+                    && now >= self.reduced_at + settings.hold_ms
+                {
+                    self.reduced_at = now;
+                    self.phase = Phase::Shedding(new_fraction);
                 }
             }
-            Phase::Serving | Phase::Coming { .. } => {}
+            Phase::Serving | Phase::ComingBack { .. } => {}
         }
         before != self.phase
     }
@@ -245,33 +282,39 @@
 mod tests {
     use super::*;
 
-    fn s() -> Settings {
+    fn settings() -> Settings {
         Settings::default()
     }
 
-    fn tried(suffers: Option<f64>) -> PathObservation {
-        PathObservation { suffers, quick: suffers, trial: None, tries: false, there: true }
+    fn observation(impaired: Option<f64>) -> PathObservation {
+        PathObservation {
+            impaired,
+            impaired_recently: impaired,
+            impaired_probes: None,
+            has_probes: false,
+            has_servers: true,
+        }
     }
 
-    fn play(
-        lane: &mut ZonePath,
+    fn observe_over(
+        path: &mut ZonePath,
         from: u64,
         to: u64,
-        suffers: impl Fn(u64) -> Option<f64>,
+        impaired: impl Fn(u64) -> Option<f64>,
     ) -> Vec<(u64, Phase)> {
         let mut seen = Vec::new();
         for now in (from..to).step_by(100) {
-            if lane.look(now, tried(suffers(now)), &s()) {
-                seen.push((now, lane.phase()));
+            if path.observe(now, observation(impaired(now)), &settings()) {
+                seen.push((now, path.phase()));
             }
         }
         seen
     }
 
     #[test]
-    fn a_lost_zone_goes_out_once_and_comes_back_in_one_way() {
-        let mut lane = ZonePath::default();
-        let seen = play(&mut lane, 0, 27_000, |now| match now {
+    fn lost_path_goes_out_once_and_returns_in_one_ramp() {
+        let mut path = ZonePath::default();
+        let seen = observe_over(&mut path, 0, 27_000, |now| match now {
             1000..3500 => Some(1.0),
             3500..6000 => None,
             _ => Some(0.0),
@@ -280,58 +323,70 @@
             .iter()
             .map(|(_, p)| match p {
                 Phase::Out { .. } => "out",
-                Phase::Coming { .. } => "coming",
+                Phase::ComingBack { .. } => "coming back",
                 Phase::Serving => "serving",
                 Phase::Shedding(_) => "shedding",
             })
             .collect();
-        assert_eq!(kinds, ["out", "coming", "serving"], "{seen:?}");
-        assert_eq!(seen[0].0, 1300, "once it is sure");
+        assert_eq!(kinds, ["out", "coming back", "serving"], "{seen:?}");
+        assert_eq!(seen[0].0, 1300, "after sure_ms");
     }
 
-    /// Nothing is decided on while it is tried in vain: a loss and a way back are two changes, however long it takes.
+    /// Failed probes must not cause decisions: a loss and a return are two state changes, however long the
+    /// outage lasts.
     #[test]
-    fn one_that_is_tried_in_vain_stays_out_and_comes_back_when_a_trial_goes_well() {
-        let mut lane = ZonePath::default();
+    fn path_with_failing_probes_stays_out_and_returns_when_a_probe_succeeds() {
+        let mut path = ZonePath::default();
         let mut kinds = Vec::new();
         for now in (0..60_000).step_by(100) {
-            let well = !(1000..20_000).contains(&now);
-            let suffers = Some(if well { 0.0 } else { 1.0 });
-            let looked =
-                PathObservation { suffers, quick: suffers, trial: suffers, tries: true, there: true };
-            let before = matches!(lane.phase(), Phase::Out { .. });
-            lane.look(now, looked, &s());
-            let out = matches!(lane.phase(), Phase::Out { .. });
+            let is_healthy = !(1000..20_000).contains(&now);
+            let impaired = Some(if is_healthy { 0.0 } else { 1.0 });
+            let observed = PathObservation {
+                impaired,
+                impaired_recently: impaired,
+                impaired_probes: impaired,
+                has_probes: true,
+                has_servers: true,
+            };
+            let before = matches!(path.phase(), Phase::Out { .. });
+            path.observe(now, observed, &settings());
+            let out = matches!(path.phase(), Phase::Out { .. });
             if before != out {
                 kinds.push((now, out));
             }
         }
         assert_eq!(kinds.len(), 2, "{kinds:?}");
         assert!(kinds[0] == (1300, true) && (20_000..22_000).contains(&kinds[1].0), "{kinds:?}");
-        // Where the trial shows nothing for long, the way back is tried all the same.
-        let mut lane = ZonePath::out(0, &s());
-        let blind = PathObservation { suffers: None, quick: None, trial: None, tries: true, there: true };
+        // If the probes give no measurement for long, the return begins all the same.
+        let mut path = ZonePath::out(0, &settings());
+        let no_data = PathObservation {
+            impaired: None,
+            impaired_recently: None,
+            impaired_probes: None,
+            has_probes: true,
+            has_servers: true,
+        };
         let back = (0..60_000).step_by(100).find(|now| {
-            lane.look(*now, blind, &s());
-            !matches!(lane.phase(), Phase::Out { .. })
+            path.observe(*now, no_data, &settings());
+            !matches!(path.phase(), Phase::Out { .. })
         });
         assert_eq!(back, Some(20_000));
     }
 
     #[test]
-    fn one_bad_look_is_not_enough_and_few_attempts_say_nothing() {
-        let mut lane = ZonePath::default();
-        assert!(!lane.look(0, tried(Some(1.0)), &s()));
-        assert!(!lane.look(200, tried(Some(0.0)), &s()));
-        assert!(!lane.look(400, tried(None), &s()));
-        assert_eq!(lane.phase(), Phase::Serving);
+    fn path_stays_serving_after_one_bad_observation_or_without_measurements() {
+        let mut path = ZonePath::default();
+        assert!(!path.observe(0, observation(Some(1.0)), &settings()));
+        assert!(!path.observe(200, observation(Some(0.0)), &settings()));
+        assert!(!path.observe(400, observation(None), &settings()));
+        assert_eq!(path.phase(), Phase::Serving);
     }
 
     #[test]
-    fn one_that_flaps_is_held_out_for_growing_times() {
-        let mut lane = ZonePath::default();
-        // Down for three seconds in every six, for a minute.
-        let seen = play(&mut lane, 0, 60_000, |now| Some(if now % 6000 < 3000 { 1.0 } else { 0.0 }));
+    fn flapping_path_is_held_out_for_growing_times() {
+        let mut path = ZonePath::default();
+        // The path fails for three seconds in every six, for a minute.
+        let seen = observe_over(&mut path, 0, 60_000, |now| Some(if now % 6000 < 3000 { 1.0 } else { 0.0 }));
         let outs: Vec<u64> =
             seen.iter().filter(|(_, p)| matches!(p, Phase::Out { .. })).map(|(at, _)| *at).collect();
         assert!((2..=5).contains(&outs.len()), "{seen:?}");
@@ -339,29 +394,35 @@
     }
 
     #[test]
-    fn one_that_is_shed_so_far_that_nothing_is_seen_is_tried_again() {
-        let mut lane = ZonePath::default();
-        play(&mut lane, 0, 2000, |_| Some(0.6));
-        assert!(lane.shut());
-        let after = play(&mut lane, 2000, 30_000, |_| None);
-        assert!(matches!(after[0], (18_000, Phase::Coming { .. })), "{after:?}");
+    fn path_shed_until_nothing_is_measured_returns_after_a_while() {
+        let mut path = ZonePath::default();
+        observe_over(&mut path, 0, 2000, |_| Some(0.6));
+        assert!(path.is_closed());
+        let after = observe_over(&mut path, 2000, 30_000, |_| None);
+        assert!(matches!(after[0], (18_000, Phase::ComingBack { .. })), "{after:?}");
     }
 
     #[test]
-    fn a_grey_zone_is_sent_less_and_one_without_servers_is_out() {
-        let mut lane = ZonePath::default();
-        play(&mut lane, 0, 1000, |_| Some(0.3));
-        assert!(matches!(lane.phase(), Phase::Shedding(part) if (0.3..0.5).contains(&part)), "{lane:?}");
-        play(&mut lane, 1000, 6000, |_| Some(0.6));
-        assert_eq!(lane.phase(), Phase::Shedding(TRICKLE));
-        assert!(lane.shut());
-        play(&mut lane, 6000, 16_000, |_| Some(0.0));
-        assert_eq!(lane.phase(), Phase::Serving);
-        let none = PathObservation { there: false, ..tried(None) };
-        assert!(lane.look(16_000, none, &s()));
-        assert!(matches!(lane.phase(), Phase::Out { .. }));
-        assert!(!lane.look(24_000, none, &s()), "as long as it has none");
-        assert!(lane.look(24_100, tried(None), &s()));
-        assert!(matches!(lane.phase(), Phase::Coming { ramp: 17_000, .. }), "a cold one comes back slowly");
+    fn impaired_path_gets_less_traffic_and_path_without_servers_goes_out() {
+        let mut path = ZonePath::default();
+        observe_over(&mut path, 0, 1000, |_| Some(0.3));
+        assert!(
+            matches!(path.phase(), Phase::Shedding(fraction) if (0.3..0.5).contains(&fraction)),
+            "{path:?}"
+        );
+        observe_over(&mut path, 1000, 6000, |_| Some(0.6));
+        assert_eq!(path.phase(), Phase::Shedding(MIN_FRACTION));
+        assert!(path.is_closed());
+        observe_over(&mut path, 6000, 16_000, |_| Some(0.0));
+        assert_eq!(path.phase(), Phase::Serving);
+        let no_servers = PathObservation { has_servers: false, ..observation(None) };
+        assert!(path.observe(16_000, no_servers, &settings()));
+        assert!(matches!(path.phase(), Phase::Out { .. }));
+        assert!(!path.observe(24_000, no_servers, &settings()), "stays out while no server is listed");
+        assert!(path.observe(24_100, observation(None), &settings()));
+        assert!(
+            matches!(path.phase(), Phase::ComingBack { ramp_ms: 17_000, .. }),
+            "cold servers return over warm_ms"
+        );
     }
 }
