--- a/crates/council/src/file.rs
+++ b/crates/council/src/file.rs
@@ -1,9 +1,11 @@
-//! An agent's own file: who it is in the council, its vote, its log and its snapshot. An SQLite database that is synced
-//! before anything is promised, held by one process alone.
+//! The council file: an SQLite database with an agent's identity in the group, its vote, its log and its
+//! snapshot. Each write is synced before it is acknowledged, and one process at a time may open the file.
 //!
-//! Beside it stands a small mark that says how many writes the file has seen. It is written after each of them, so it is
-//! never ahead of the file, unless somebody put an older copy of the file in its place: such a member must not vote, as it
-//! has forgotten what it promised. Other members remember the same number for as long as they run.
+//! A small mark file beside it holds the number of writes to the database. It is written after each of them,
+//! so it is never ahead of the database, unless the database was replaced by an older copy. A member with an
+//! older copy must not vote, since its earlier votes and acknowledgements may be missing. Other members also
+//! keep the highest number reported to them, in memory, and detect an older copy where the mark file was
+//! replaced too.
 
 use openraft::{LogId, SnapshotMeta, StoredMembership, Vote};
 use rusqlite::{Connection, OpenFlags, OptionalExtension, Transaction, params};
@@ -16,36 +18,36 @@
 
 use crate::store::{AgreedState, Entry, Member};
 
-/// Who a member is.
+/// The identity of a member, as its file holds it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Identity {
-    /// The fleet.
+    /// The fleet's name.
     pub fleet: String,
-    /// Its number, never given out twice.
+    /// Its member number; numbers are never reused.
     pub id: u64,
-    /// Its name.
+    /// Its agent's name.
     pub name: String,
-    /// How often the council was taken up by one member alone.
+    /// How many times the group was recovered from one member alone.
     pub generation: u64,
 }
 
-/// Why a file can't be used, or a write was not done.
+/// Why a council file can't be used, or a write failed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum FileError {
-    /// It can't be opened, read or written: what the system says.
+    /// It can't be opened, read or written, with the error of SQLite or the system.
     Unusable(String),
-    /// Another process holds it.
+    /// Another process has it open.
     Locked,
-    /// It is damaged.
+    /// It is damaged, with what is wrong.
     Corrupt(String),
-    /// It is older than what this agent has promised.
+    /// It is an older copy: later writes are known of.
     Outdated {
-        /// Writes that it has seen.
+        /// The number of writes to the file.
         has: u64,
-        /// Writes that are known of.
+        /// The highest number of writes that the mark file or another member has.
         known: u64,
     },
-    /// It is of another fleet or another agent.
+    /// It belongs to another fleet or another agent, named here.
     Foreign(String),
 }
 
@@ -58,22 +60,26 @@
             }
             FileError::Corrupt(what) => write!(
                 f,
-                "council.file: it is damaged ({what}); this agent does not vote: move the file away, and have this agent \
-                 removed and added anew"
+                "council.file: the file is damaged ({what}); this agent does not vote: move the file away, then \
+                 remove and add this agent"
             ),
             FileError::Outdated { has, known } => write!(
                 f,
-                "council.file: an older copy: it has seen {has} writes, and {known} are known of; it has forgotten what \
-                 it promised, so this agent does not vote: move it away, and have this agent removed and added anew"
+                "council.file: the file is an older copy: it has {has} of {known} known writes; acknowledged \
+                 votes or entries may be missing, so this agent does not vote: move the file away, then remove \
+                 and add this agent"
             ),
-            FileError::Foreign(what) => write!(f, "council.file: it is of {what}, not of this agent"),
+            FileError::Foreign(what) => {
+                write!(f, "council.file: the file belongs to {what}, not to this agent")
+            }
         }
     }
 }
 
 impl std::error::Error for FileError {}
 
-fn meaning(e: &rusqlite::Error) -> FileError {
+/// Converts an error of SQLite.
+fn from_sqlite_error(e: &rusqlite::Error) -> FileError {
     use rusqlite::ErrorCode;
     match e.sqlite_error_code() {
         Some(ErrorCode::DatabaseBusy | ErrorCode::DatabaseLocked) => FileError::Locked,
@@ -82,31 +88,33 @@
     }
 }
 
-fn unreadable(e: &serde_json::Error) -> FileError {
+/// Converts an error of reading or writing JSON.
+fn from_json_error(e: &serde_json::Error) -> FileError {
     FileError::Corrupt(e.to_string())
 }
 
-/// The log as far as it is there.
+/// The bounds of the stored log.
 #[derive(Debug, Clone, Default)]
 pub struct LogBounds {
-    /// The last entry that was let go.
+    /// The last purged entry.
     pub purged: Option<LogId<u64>>,
-    /// The last entry there is or was.
+    /// The last entry; the last purged one where the log is empty.
     pub last: Option<LogId<u64>>,
 }
 
-/// A snapshot: what it is of, and the whole as JSON.
+/// A snapshot: its metadata, and the replicated state as JSON.
 pub(crate) type StoredSnapshot = (SnapshotMeta<u64, Member>, Vec<u8>);
 
-struct Open {
+struct OpenFile {
     db: Connection,
     mark: fs::File,
 }
 
-/// The file.
+/// An open council file; clones share it.
 #[derive(Clone)]
 pub struct CouncilFile {
-    open: Arc<Mutex<Open>>,
+    inner: Arc<Mutex<OpenFile>>,
+    /// The number of writes so far.
     writes: Arc<AtomicU64>,
     path: PathBuf,
 }
@@ -119,52 +127,54 @@
     CREATE TABLE IF NOT EXISTS snapshot (id INTEGER PRIMARY KEY CHECK (id = 1), meta TEXT NOT NULL, whole TEXT NOT NULL);
 ";
 
+/// The path of the mark file.
 fn mark_path(path: &Path) -> PathBuf {
     let mut name = path.as_os_str().to_os_string();
     name.push(".mark");
     name.into()
 }
 
+/// Overwrites the mark file; it is not synced.
 fn set_mark(mark: &mut fs::File, writes: u64) -> std::io::Result<()> {
     mark.seek(SeekFrom::Start(0))?;
     mark.write_all(format!("{writes:020}\n").as_bytes())
 }
 
 impl CouncilFile {
-    /// Opens or makes it; looks whether it is whole and no older than its mark.
+    /// Opens the file or creates it, and checks that it is sound and not older than its mark file.
     ///
     /// # Errors
-    /// When it can't be used; then this agent must not take part.
+    /// When it can't be used; this agent must not vote then.
     pub fn open(path: &Path) -> Result<CouncilFile, FileError> {
         CouncilFile::open_with_mode(path, false)
     }
 
-    /// The same, if so wanted as on a disk that can't be written.
+    /// As [`CouncilFile::open`], read-only if asked for, as on a disk that can't be written.
     ///
     /// # Errors
-    /// When it can't be used; on such a disk it never can.
+    /// When it can't be used; a read-only file never can.
     pub fn open_with_mode(path: &Path, read_only: bool) -> Result<CouncilFile, FileError> {
-        let at = |what: String| FileError::Unusable(format!("{}: {what}", path.display()));
+        let with_path = |what: String| FileError::Unusable(format!("{}: {what}", path.display()));
         let access = match read_only {
             true => OpenFlags::SQLITE_OPEN_READ_ONLY,
             false => OpenFlags::SQLITE_OPEN_READ_WRITE | OpenFlags::SQLITE_OPEN_CREATE,
         };
         let flags = access | OpenFlags::SQLITE_OPEN_NO_MUTEX;
-        let db = Connection::open_with_flags(path, flags).map_err(|e| at(e.to_string()))?;
-        let ready = || -> rusqlite::Result<String> {
+        let db = Connection::open_with_flags(path, flags).map_err(|e| with_path(e.to_string()))?;
+        let prepare = || -> rusqlite::Result<String> {
             db.busy_timeout(std::time::Duration::from_millis(200))?;
             db.pragma_update(None, "locking_mode", "EXCLUSIVE")?;
             db.pragma_update(None, "journal_mode", "WAL")?;
             db.pragma_update(None, "synchronous", "FULL")?;
             db.execute_batch(SCHEMA)?;
-            // Takes the lock, and shows that it can be written.
+            // Takes the exclusive lock, and fails where the file can't be written.
             db.execute("UPDATE meta SET writes = writes WHERE id = 1", [])?;
             db.query_row("PRAGMA quick_check(1)", [], |r| r.get(0))
         };
-        match ready() {
-            Ok(said) if said == "ok" => {}
-            Ok(said) => return Err(FileError::Corrupt(said)),
-            Err(e) => return Err(meaning(&e)),
+        match prepare() {
+            Ok(result) if result == "ok" => {}
+            Ok(result) => return Err(FileError::Corrupt(result)),
+            Err(e) => return Err(from_sqlite_error(&e)),
         }
         let mut mark = fs::OpenOptions::new()
             .read(true)
@@ -173,39 +183,39 @@
             .truncate(false)
             .mode(0o600)
             .open(mark_path(path))
-            .map_err(|e| at(e.to_string()))?;
+            .map_err(|e| with_path(e.to_string()))?;
         let mut text = String::new();
-        mark.read_to_string(&mut text).map_err(|e| at(e.to_string()))?;
-        // One that is torn says nothing.
+        mark.read_to_string(&mut text).map_err(|e| with_path(e.to_string()))?;
+        // A damaged mark file counts as 0: it then proves nothing about the file's age.
         let known: u64 = text.trim().parse().unwrap_or(0);
         let has: u64 = db
             .query_row("SELECT writes FROM meta WHERE id = 1", [], |r| r.get::<_, i64>(0))
-            .map_err(|e| meaning(&e))?
+            .map_err(|e| from_sqlite_error(&e))?
             .try_into()
             .unwrap_or(0);
         if known > has {
             return Err(FileError::Outdated { has, known });
         }
-        let open = Arc::new(Mutex::new(Open { db, mark }));
-        let file = CouncilFile { open, writes: Arc::new(AtomicU64::new(has)), path: path.to_path_buf() };
-        file.look_through()?;
+        let inner = Arc::new(Mutex::new(OpenFile { db, mark }));
+        let file = CouncilFile { inner, writes: Arc::new(AtomicU64::new(has)), path: path.to_path_buf() };
+        file.check_log()?;
         Ok(file)
     }
 
-    fn lock(&self) -> MutexGuard<'_, Open> {
-        self.open.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, OpenFile> {
+        self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The log has to be of one piece, and to begin where the purged part ends.
-    fn look_through(&self) -> Result<(), FileError> {
+    /// Checks that the log has no gaps and begins right after the last purged entry.
+    fn check_log(&self) -> Result<(), FileError> {
         let open = self.lock();
         let (first, last, count): (Option<i64>, Option<i64>, i64) = open
             .db
             .query_row("SELECT MIN(at), MAX(at), COUNT(*) FROM log", [], |r| {
                 Ok((r.get(0)?, r.get(1)?, r.get(2)?))
             })
-            .map_err(|e| meaning(&e))?;
-        let purged: Option<LogId<u64>> = word(&open.db, "purged")?;
+            .map_err(|e| from_sqlite_error(&e))?;
+        let purged: Option<LogId<u64>> = read_meta_column(&open.db, "purged")?;
         if let (Some(first), Some(last)) = (first, last) {
             if last - first + 1 != count {
                 return Err(FileError::Corrupt(format!(
@@ -220,36 +230,38 @@
         Ok(())
     }
 
-    /// Where it is.
+    /// The file's path.
     #[must_use]
     pub fn path(&self) -> &Path {
         &self.path
     }
 
-    /// How many writes it has seen.
+    /// The number of writes to the file since it was created.
     #[must_use]
     pub fn writes(&self) -> u64 {
         self.writes.load(Ordering::Acquire)
     }
 
-    /// Does something in one transaction, which counts as a write.
+    /// Runs `work` in one transaction, which counts as one write.
     fn write<T>(&self, work: impl FnOnce(&Transaction<'_>) -> Result<T, FileError>) -> Result<T, FileError> {
         let mut open = self.lock();
-        let Open { db, mark } = &mut *open;
-        let tx = db.transaction().map_err(|e| meaning(&e))?;
+        let OpenFile { db, mark } = &mut *open;
+        let tx = db.transaction().map_err(|e| from_sqlite_error(&e))?;
         let done = work(&tx)?;
-        tx.execute("UPDATE meta SET writes = writes + 1 WHERE id = 1", []).map_err(|e| meaning(&e))?;
-        tx.commit().map_err(|e| meaning(&e))?;
+        tx.execute("UPDATE meta SET writes = writes + 1 WHERE id = 1", [])
+            .map_err(|e| from_sqlite_error(&e))?;
+        tx.commit().map_err(|e| from_sqlite_error(&e))?;
         let writes = self.writes.fetch_add(1, Ordering::AcqRel) + 1;
-        // A mark that can't be written stays behind, which is no harm: it is never ahead.
+        // A failure to write the mark file is ignored: the mark then lags behind, which is harmless. It must
+        // never be ahead.
         let _ = set_mark(mark, writes);
         Ok(done)
     }
 
-    /// Who this is; nobody yet in a new file.
+    /// The identity of the member that the file belongs to; none in a new file.
     ///
     /// # Errors
-    /// When it can't be read.
+    /// When the file can't be read.
     pub fn identity(&self) -> Result<Option<Identity>, FileError> {
         let open = self.lock();
         let row =
@@ -264,13 +276,13 @@
                     generation: generation.unsigned_abs(),
                 }))
             });
-        row.map_err(|e| meaning(&e))
+        row.map_err(|e| from_sqlite_error(&e))
     }
 
-    /// Makes it somebody's.
+    /// Assigns the file to a member; nothing is written where it is that member's already.
     ///
     /// # Errors
-    /// When it is another's already, or can't be written.
+    /// When it belongs to another member, or can't be read or written.
     pub fn set_identity(&self, identity: &Identity) -> Result<(), FileError> {
         if let Some(known) = self.identity()? {
             if known == *identity {
@@ -283,48 +295,53 @@
         }
         self.write(|tx| {
             let Identity { fleet, id, name, generation } = identity;
-            let args = params![fleet, int(*id), name, int(*generation)];
+            let args = params![fleet, sql_integer(*id), name, sql_integer(*generation)];
             tx.execute(
                 "UPDATE meta SET fleet = ?1, member = ?2, name = ?3, generation = ?4 WHERE id = 1",
                 args,
             )
             .map(drop)
-            .map_err(|e| meaning(&e))
+            .map_err(|e| from_sqlite_error(&e))
         })
     }
 
     pub(crate) fn vote(&self) -> Result<Option<Vote<u64>>, FileError> {
-        word(&self.lock().db, "vote")
+        read_meta_column(&self.lock().db, "vote")
     }
 
     pub(crate) fn set_vote(&self, vote: &Vote<u64>) -> Result<(), FileError> {
-        self.write(|tx| set_word(tx, "vote", &serde_json::to_string(vote).map_err(|e| unreadable(&e))?))
+        self.write(|tx| {
+            write_meta_column(tx, "vote", &serde_json::to_string(vote).map_err(|e| from_json_error(&e))?)
+        })
     }
 
     pub(crate) fn committed(&self) -> Result<Option<LogId<u64>>, FileError> {
-        Ok(word::<Option<LogId<u64>>>(&self.lock().db, "committed")?.flatten())
+        Ok(read_meta_column::<Option<LogId<u64>>>(&self.lock().db, "committed")?.flatten())
     }
 
-    /// Only saves work at a start: it is not synced, nor counted.
+    /// Stores the committed index, neither synced nor counted as a write: it only saves work at the next
+    /// start.
     pub(crate) fn set_committed(&self, committed: Option<LogId<u64>>) -> Result<(), FileError> {
-        let text = serde_json::to_string(&committed).map_err(|e| unreadable(&e))?;
+        let text = serde_json::to_string(&committed).map_err(|e| from_json_error(&e))?;
         let open = self.lock();
         let _ = open.db.pragma_update(None, "synchronous", "OFF");
         let done = open.db.execute("UPDATE meta SET committed = ?1 WHERE id = 1", [text]);
         let synced = open.db.pragma_update(None, "synchronous", "FULL");
-        done.and(synced).map_err(|e| meaning(&e))
+        done.and(synced).map_err(|e| from_sqlite_error(&e))
     }
 
     pub(crate) fn log_bounds(&self) -> Result<LogBounds, FileError> {
         let open = self.lock();
-        let purged: Option<LogId<u64>> = word(&open.db, "purged")?;
+        let purged: Option<LogId<u64>> = read_meta_column(&open.db, "purged")?;
         let last: Option<String> = open
             .db
             .query_row("SELECT entry FROM log ORDER BY at DESC LIMIT 1", [], |r| r.get(0))
             .optional()
-            .map_err(|e| meaning(&e))?;
-        let last =
-            last.map(|text| serde_json::from_str::<Entry>(&text)).transpose().map_err(|e| unreadable(&e))?;
+            .map_err(|e| from_sqlite_error(&e))?;
+        let last = last
+            .map(|text| serde_json::from_str::<Entry>(&text))
+            .transpose()
+            .map_err(|e| from_json_error(&e))?;
         Ok(LogBounds { purged, last: last.map(|e| e.log_id).or(purged) })
     }
 
@@ -333,12 +350,13 @@
         let mut rows = open
             .db
             .prepare_cached("SELECT entry FROM log WHERE at >= ?1 AND at < ?2 ORDER BY at")
-            .map_err(|e| meaning(&e))?;
-        let texts =
-            rows.query_map([int(from), int(to)], |r| r.get::<_, String>(0)).map_err(|e| meaning(&e))?;
+            .map_err(|e| from_sqlite_error(&e))?;
+        let texts = rows
+            .query_map([sql_integer(from), sql_integer(to)], |r| r.get::<_, String>(0))
+            .map_err(|e| from_sqlite_error(&e))?;
         let read = |text: rusqlite::Result<String>| {
-            let text = text.map_err(|e| meaning(&e))?;
-            serde_json::from_str(&text).map_err(|e| unreadable(&e))
+            let text = text.map_err(|e| from_sqlite_error(&e))?;
+            serde_json::from_str(&text).map_err(|e| from_json_error(&e))
         };
         texts.map(read).collect()
     }
@@ -346,27 +364,31 @@
     pub(crate) fn append(&self, entries: &[Entry]) -> Result<(), FileError> {
         self.write(|tx| {
             for entry in entries {
-                let text = serde_json::to_string(entry).map_err(|e| unreadable(&e))?;
+                let text = serde_json::to_string(entry).map_err(|e| from_json_error(&e))?;
                 tx.prepare_cached("INSERT OR REPLACE INTO log (at, entry) VALUES (?1, ?2)")
-                    .and_then(|mut s| s.execute(params![int(entry.log_id.index), text]))
-                    .map_err(|e| meaning(&e))?;
+                    .and_then(|mut s| s.execute(params![sql_integer(entry.log_id.index), text]))
+                    .map_err(|e| from_sqlite_error(&e))?;
             }
             Ok(())
         })
     }
 
-    /// Lets go of this entry and those after it.
+    /// Deletes the entry at this index and all after it.
     pub(crate) fn truncate(&self, from: u64) -> Result<(), FileError> {
         self.write(|tx| {
-            tx.execute("DELETE FROM log WHERE at >= ?1", [int(from)]).map(drop).map_err(|e| meaning(&e))
+            tx.execute("DELETE FROM log WHERE at >= ?1", [sql_integer(from)])
+                .map(drop)
+                .map_err(|e| from_sqlite_error(&e))
         })
     }
 
-    /// Lets go of this entry and those before it.
+    /// Deletes the entry with this id and all before it, and records it as the last purged one.
     pub(crate) fn purge(&self, to: &LogId<u64>) -> Result<(), FileError> {
         self.write(|tx| {
-            set_word(tx, "purged", &serde_json::to_string(to).map_err(|e| unreadable(&e))?)?;
-            tx.execute("DELETE FROM log WHERE at <= ?1", [int(to.index)]).map(drop).map_err(|e| meaning(&e))
+            write_meta_column(tx, "purged", &serde_json::to_string(to).map_err(|e| from_json_error(&e))?)?;
+            tx.execute("DELETE FROM log WHERE at <= ?1", [sql_integer(to.index)])
+                .map(drop)
+                .map_err(|e| from_sqlite_error(&e))
         })
     }
 
@@ -376,9 +398,9 @@
             .db
             .query_row("SELECT meta, whole FROM snapshot WHERE id = 1", [], |r| Ok((r.get(0)?, r.get(1)?)))
             .optional()
-            .map_err(|e| meaning(&e))?;
-        row.map(|(meta, whole)| {
-            Ok((serde_json::from_str(&meta).map_err(|e| unreadable(&e))?, whole.into_bytes()))
+            .map_err(|e| from_sqlite_error(&e))?;
+        row.map(|(meta, state)| {
+            Ok((serde_json::from_str(&meta).map_err(|e| from_json_error(&e))?, state.into_bytes()))
         })
         .transpose()
     }
@@ -386,44 +408,49 @@
     pub(crate) fn set_snapshot(
         &self,
         meta: &SnapshotMeta<u64, Member>,
-        whole: &[u8],
+        state: &[u8],
     ) -> Result<(), FileError> {
-        let meta = serde_json::to_string(meta).map_err(|e| unreadable(&e))?;
-        let whole = std::str::from_utf8(whole).map_err(|e| FileError::Corrupt(e.to_string()))?;
-        self.write(|tx| put_snapshot(tx, &meta, whole))
+        let meta = serde_json::to_string(meta).map_err(|e| from_json_error(&e))?;
+        let state = std::str::from_utf8(state).map_err(|e| FileError::Corrupt(e.to_string()))?;
+        self.write(|tx| insert_snapshot(tx, &meta, state))
     }
 
-    /// The majority is gone for good: this member goes on alone, from all that it has, entries that nobody knows to be
-    /// agreed on too. Epochs jump above all that others may have given out.
+    /// Recovers the group after the permanent loss of its majority: makes this member the only voter, with
+    /// all entries of its log, including those not known to be committed. Epochs jump above all that the lost
+    /// members may have given out, and the generation is raised, so that messages of the lost members are
+    /// rejected.
     ///
     /// # Errors
-    /// When the file is nobody's yet, or can't be written.
+    /// When the file has no identity, this agent is no member of the stored membership, or the file can't be
+    /// written.
     pub fn recover(&self, by: &str, at_ms: u64) -> Result<Identity, FileError> {
         let Some(identity) = self.identity()? else {
-            return Err(FileError::Unusable("it is of no member: there is nothing to go on from".into()));
+            return Err(FileError::Unusable(
+                "the file belongs to no member: there is nothing to recover".into(),
+            ));
         };
-        let mut whole = AgreedState::default();
+        let mut state = AgreedState::default();
         let mut membership = StoredMembership::<u64, Member>::default();
         let mut last = None;
         if let Some((meta, text)) = self.snapshot()? {
-            whole = serde_json::from_slice(&text).map_err(|e| unreadable(&e))?;
+            state = serde_json::from_slice(&text).map_err(|e| from_json_error(&e))?;
             (membership, last) = (meta.last_membership, meta.last_log_id);
         }
         let from = last.map_or(0, |l: LogId<u64>| l.index + 1);
         for entry in self.entries(from, u64::MAX >> 1)? {
             last = Some(entry.log_id);
             match entry.payload {
-                openraft::EntryPayload::Normal(request) => drop(whole.apply(&request)),
+                openraft::EntryPayload::Normal(request) => drop(state.apply(&request)),
                 openraft::EntryPayload::Membership(m) => membership = StoredMembership::new(last, m),
                 openraft::EntryPayload::Blank => {}
             }
         }
         let me = membership.nodes().find(|(id, _)| **id == identity.id).map(|(_, node)| node.clone());
         let Some(me) = me else {
-            return Err(FileError::Unusable("this agent is no member of the council it knows".into()));
+            return Err(FileError::Unusable("this agent is no member of the stored membership".into()));
         };
         let recover = frostvale_owner::Command::Recover { by: by.to_string(), at_ms };
-        if let frostvale_owner::Outcome::Refused(why) = whole.owner.apply(&recover) {
+        if let frostvale_owner::Outcome::Refused(why) = state.owner.apply(&recover) {
             return Err(FileError::Unusable(why.to_string()));
         }
         let voters = std::collections::BTreeSet::from([identity.id]);
@@ -431,54 +458,63 @@
         let membership = StoredMembership::new(last, openraft::Membership::new(vec![voters], nodes));
         let meta =
             SnapshotMeta { last_log_id: last, last_membership: membership, snapshot_id: "recovered".into() };
-        let meta = serde_json::to_string(&meta).map_err(|e| unreadable(&e))?;
-        let text = serde_json::to_string(&whole).map_err(|e| unreadable(&e))?;
-        let purged = serde_json::to_string(&last).map_err(|e| unreadable(&e))?;
+        let meta = serde_json::to_string(&meta).map_err(|e| from_json_error(&e))?;
+        let text = serde_json::to_string(&state).map_err(|e| from_json_error(&e))?;
+        let purged = serde_json::to_string(&last).map_err(|e| from_json_error(&e))?;
         let generation = identity.generation + 1;
         self.write(|tx| {
-            put_snapshot(tx, &meta, &text)?;
-            set_word(tx, "purged", &purged)?;
-            tx.execute("DELETE FROM log", []).map_err(|e| meaning(&e))?;
-            tx.execute("UPDATE meta SET committed = NULL, generation = ?1 WHERE id = 1", [int(generation)])
-                .map(drop)
-                .map_err(|e| meaning(&e))
+            insert_snapshot(tx, &meta, &text)?;
+            write_meta_column(tx, "purged", &purged)?;
+            tx.execute("DELETE FROM log", []).map_err(|e| from_sqlite_error(&e))?;
+            tx.execute(
+                "UPDATE meta SET committed = NULL, generation = ?1 WHERE id = 1",
+                [sql_integer(generation)],
+            )
+            .map(drop)
+            .map_err(|e| from_sqlite_error(&e))
         })?;
         Ok(Identity { generation, ..identity })
     }
 
-    /// Its size, with what has not been folded in yet, in bytes.
+    /// The size of the database and its write-ahead log, in bytes.
     #[must_use]
-    pub fn size(&self) -> u64 {
+    pub fn size_bytes(&self) -> u64 {
         let mut wal = self.path.as_os_str().to_os_string();
         wal.push("-wal");
         [self.path.clone(), wal.into()].iter().filter_map(|p| fs::metadata(p).ok()).map(|m| m.len()).sum()
     }
 
-    /// Lets it grow to so many pages, so that a full disk can be tried.
+    /// Limits the database to this many pages, so that drills and tests can simulate a full disk.
     ///
     /// # Errors
-    /// As the database says.
+    /// When SQLite refuses the limit.
     pub fn limit_pages(&self, pages: u32) -> Result<(), FileError> {
-        self.lock().db.pragma_update(None, "max_page_count", pages).map_err(|e| meaning(&e))
+        self.lock().db.pragma_update(None, "max_page_count", pages).map_err(|e| from_sqlite_error(&e))
     }
 }
 
-fn int(n: u64) -> i64 {
+/// SQLite's integers are signed: larger values are capped.
+fn sql_integer(n: u64) -> i64 {
     i64::try_from(n).unwrap_or(i64::MAX)
 }
 
-fn word<T: serde::de::DeserializeOwned>(db: &Connection, column: &str) -> Result<Option<T>, FileError> {
+/// Reads a JSON column of the `meta` row.
+fn read_meta_column<T: serde::de::DeserializeOwned>(
+    db: &Connection,
+    column: &str,
+) -> Result<Option<T>, FileError> {
     let sql = format!("SELECT {column} FROM meta WHERE id = 1");
-    let text: Option<String> = db.query_row(&sql, [], |r| r.get(0)).map_err(|e| meaning(&e))?;
-    text.map(|t| serde_json::from_str(&t)).transpose().map_err(|e| unreadable(&e))
+    let text: Option<String> = db.query_row(&sql, [], |r| r.get(0)).map_err(|e| from_sqlite_error(&e))?;
+    text.map(|t| serde_json::from_str(&t)).transpose().map_err(|e| from_json_error(&e))
 }
 
-fn set_word(tx: &Transaction<'_>, column: &str, text: &str) -> Result<(), FileError> {
+/// Writes a JSON column of the `meta` row.
+fn write_meta_column(tx: &Transaction<'_>, column: &str, text: &str) -> Result<(), FileError> {
     let sql = format!("UPDATE meta SET {column} = ?1 WHERE id = 1");
-    tx.execute(&sql, [text]).map(drop).map_err(|e| meaning(&e))
+    tx.execute(&sql, [text]).map(drop).map_err(|e| from_sqlite_error(&e))
 }
 
-fn put_snapshot(tx: &Transaction<'_>, meta: &str, whole: &str) -> Result<(), FileError> {
+fn insert_snapshot(tx: &Transaction<'_>, meta: &str, state: &str) -> Result<(), FileError> {
     let sql = "INSERT OR REPLACE INTO snapshot (id, meta, whole) VALUES (1, ?1, ?2)";
-    tx.execute(sql, [meta, whole]).map(drop).map_err(|e| meaning(&e))
+    tx.execute(sql, [meta, state]).map(drop).map_err(|e| from_sqlite_error(&e))
 }
--- a/crates/council/src/lib.rs
+++ b/crates/council/src/lib.rs
@@ -1,20 +1,21 @@
-//! The council: one, three or five agents that agree on numbers and intents of the fleet, one command after the other.
+//! The council: a Raft group of one, three or five agents that agrees on the commands of a fleet, in one
+//! order.
 //!
 //! # Why
 //!
-//! What is done once for a whole fleet needs somebody to say by whom, and that word has to outlive whoever gave it. A row
-//! in the database would do until the database fails over to a copy that lacks the last second, and an advisory lock goes
-//! with its connection. So the agents keep a replicated log of their own (Raft, by `openraft`); the database, gatekeepers
-//! and folders only refuse what is old.
+//! Work that is done once for a whole fleet needs one owner, and the record of who owns it has to survive the
+//! failure of any agent. A row in the database would do until the database fails over to a replica that lacks
+//! the last second, and an advisory lock is lost with its connection. So the agents replicate a log of their
+//! own (Raft, by `openraft`); the database, gatekeepers and folders only refuse what carries an old epoch.
 //!
-//! - [`file`]: an agent's own file: who it is, its vote, log and snapshot, synced before anything is promised, and how an
-//!   older copy of it is told.
-//! - [`member`]: one member: forming, joining, proposing, reading, changes of members, and coming back when the majority is
-//!   gone for good.
-//! - [`wire`]: what goes between members, and what is refused before it is looked into.
-//! - [`Transport`]: how it goes there. The agent has gRPC for it; tests have ways that can be cut.
+//! - [`file`]: the council file of an agent: identity, vote, log and snapshot, synced before they are
+//!   acknowledged, and the detection of an older copy of the file.
+//! - [`member`]: one member: forming and joining the group, proposals, reads, changes of members, and
+//!   recovery after the permanent loss of the majority.
+//! - [`wire`]: the messages between members, and the checks that reject them before their bodies are decoded.
+//! - [`Transport`]: sends the messages. The agent's is gRPC; tests use one whose links can be cut.
 //!
-//! Nothing here is in the way of a request: gatekeepers never wait for the council.
+//! The council is not on the path of a request: gatekeepers never wait for it.
 
 pub mod file;
 pub mod member;
@@ -29,12 +30,12 @@
 
 use async_trait::async_trait;
 
-/// How messages get to another member.
+/// Sends messages to other members.
 #[async_trait]
 pub trait Transport: Send + Sync + 'static {
-    /// Sends one and waits for its answer. Late answers are as good as none.
+    /// Sends a message to the member at an address and waits for the answer. The caller sets the time-out.
     ///
     /// # Errors
-    /// When there is no answer; with why, in a few words.
+    /// When there is no answer, with the cause.
     async fn call(&self, at: &str, message: Envelope) -> Result<Envelope, String>;
 }
--- a/crates/council/src/net.rs
+++ b/crates/council/src/net.rs
@@ -1,4 +1,4 @@
-//! Raft's own messages over the transport.
+//! Sends the messages of `openraft` over the [`Transport`](crate::Transport).
 
 use crate::member::Shared;
 use crate::store::{Member, TypeConfig};
@@ -15,7 +15,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Makes ways to members.
+/// Creates the clients through which `openraft` reaches other members.
 pub struct NetworkFactory(pub Arc<Shared>);
 
 impl RaftNetworkFactory<TypeConfig> for NetworkFactory {
@@ -26,35 +26,42 @@
     }
 }
 
-/// A way to one member.
+/// Sends messages to one member.
 pub struct NetworkClient {
     shared: Arc<Shared>,
     target: u64,
     at: String,
 }
 
-/// After a member could not be reached it is left alone for so long.
-const PAUSE: Duration = Duration::from_millis(100);
+/// The pause before the next message to a member that could not be reached.
+const UNREACHABLE_BACKOFF: Duration = Duration::from_millis(100);
 
-type Lost<E> = RPCError<u64, Member, E>;
+type RpcError<E> = RPCError<u64, Member, E>;
 
 impl NetworkClient {
-    async fn send<Q, A, E>(&self, kind: MessageKind, ask: &Q, option: &RPCOption) -> Result<A, Lost<E>>
+    /// Sends a message and decodes the answer. While too few voters answer, a leader's messages fail without
+    /// being sent.
+    async fn send<Q, A, E>(
+        &self,
+        kind: MessageKind,
+        request: &Q,
+        option: &RPCOption,
+    ) -> Result<A, RpcError<E>>
     where
         Q: Serialize,
         A: DeserializeOwned,
         E: Error + DeserializeOwned,
     {
-        if kind != MessageKind::Vote && !self.shared.may_lead() {
-            let silent = std::io::Error::other("it leads, and too few answer: it falls silent");
-            return Err(RPCError::Unreachable(Unreachable::new(&silent)));
+        if kind != MessageKind::Vote && !self.shared.may_send_as_leader() {
+            let cause = std::io::Error::other("this leader sends nothing: too few voters answer it");
+            return Err(RPCError::Unreachable(Unreachable::new(&cause)));
         }
-        let body = wire::body(ask);
-        let answer = self.shared.ask(&self.at, self.target, kind, body, option.hard_ttl()).await;
+        let body = wire::encode_body(request);
+        let answer = self.shared.send_request(&self.at, self.target, kind, body, option.hard_ttl()).await;
         let answer =
             answer.map_err(|e| RPCError::Unreachable(Unreachable::new(&std::io::Error::other(e))))?;
         let answer: Result<A, E> =
-            wire::read(&answer.body).map_err(|e| RPCError::Network(NetworkError::new(&e)))?;
+            wire::decode_body(&answer.body).map_err(|e| RPCError::Network(NetworkError::new(&e)))?;
         if kind != MessageKind::Vote {
             self.shared.record_answer(self.target);
         }
@@ -67,7 +74,7 @@
         &mut self,
         rpc: AppendEntriesRequest<TypeConfig>,
         option: RPCOption,
-    ) -> Result<AppendEntriesResponse<u64>, Lost<RaftError<u64>>> {
+    ) -> Result<AppendEntriesResponse<u64>, RpcError<RaftError<u64>>> {
         self.send(MessageKind::Append, &rpc, &option).await
     }
 
@@ -75,7 +82,7 @@
         &mut self,
         rpc: InstallSnapshotRequest<TypeConfig>,
         option: RPCOption,
-    ) -> Result<InstallSnapshotResponse<u64>, Lost<RaftError<u64, InstallSnapshotError>>> {
+    ) -> Result<InstallSnapshotResponse<u64>, RpcError<RaftError<u64, InstallSnapshotError>>> {
         self.send(MessageKind::Snapshot, &rpc, &option).await
     }
 
@@ -83,11 +90,11 @@
         &mut self,
         rpc: VoteRequest<u64>,
         option: RPCOption,
-    ) -> Result<VoteResponse<u64>, Lost<RaftError<u64>>> {
+    ) -> Result<VoteResponse<u64>, RpcError<RaftError<u64>>> {
         self.send(MessageKind::Vote, &rpc, &option).await
     }
 
     fn backoff(&self) -> Backoff {
-        Backoff::new(std::iter::repeat(PAUSE))
+        Backoff::new(std::iter::repeat(UNREACHABLE_BACKOFF))
     }
 }
--- a/crates/council/src/quorum_check.rs
+++ b/crates/council/src/quorum_check.rs
@@ -1,61 +1,76 @@
-//! A leader that is heard by the others and hears none of their answers can have nothing agreed on, and keeps them from
-//! choosing another for as long as they hear from it. Such a leader falls silent: the others then choose one that both
-//! hears and is heard. Now and then it tries whether it is answered again.
+//! Keeps a leader from sending while too few voters answer it.
+//!
+//! With a failure in one direction only, a leader's heartbeats arrive and the answers do not. Such a leader
+//! can commit nothing, and its heartbeats keep the other members from electing another. It therefore stops
+//! sending, so that they elect a leader with connections in both directions. At intervals it sends for a
+//! short time, to find out whether it is answered again.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 
-/// Who has answered a leader, and when.
+/// Tracks when each voter last answered this member as the leader.
 #[derive(Debug)]
 pub struct QuorumCheck {
-    /// The longest time after which others choose a leader when they hear of none.
-    election: Duration,
-    beat: Duration,
+    /// The longest election time-out of other members.
+    election_timeout: Duration,
+    heartbeat: Duration,
+    /// Since when this member has led; none while it does not.
     leads_since: Option<Instant>,
+    /// The other voters.
     voters: BTreeSet<u64>,
-    answered: BTreeMap<u64, Instant>,
+    last_answers: BTreeMap<u64, Instant>,
 }
 
 impl QuorumCheck {
-    /// Of a member that does not lead.
-    pub fn new(beat: Duration, election: Duration) -> QuorumCheck {
-        QuorumCheck { election, beat, leads_since: None, voters: BTreeSet::new(), answered: BTreeMap::new() }
+    /// The check of a member that does not lead.
+    pub fn new(heartbeat: Duration, election_timeout: Duration) -> QuorumCheck {
+        QuorumCheck {
+            election_timeout,
+            heartbeat,
+            leads_since: None,
+            voters: BTreeSet::new(),
+            last_answers: BTreeMap::new(),
+        }
     }
 
-    /// Whether it leads, and whom.
-    pub fn set_leadership(&mut self, now: Instant, leads: bool, others: BTreeSet<u64>) {
-        match (leads, self.leads_since) {
+    /// Sets whether this member leads, and the other voters. Answers to an earlier leadership are dropped.
+    pub fn set_leadership(&mut self, now: Instant, is_leader: bool, other_voters: BTreeSet<u64>) {
+        match (is_leader, self.leads_since) {
             (true, None) => {
                 self.leads_since = Some(now);
-                self.answered.clear();
+                self.last_answers.clear();
             }
             (false, _) => self.leads_since = None,
             _ => {}
         }
-        self.voters = others;
+        self.voters = other_voters;
     }
 
-    /// A member has answered.
+    /// Records an answer; those of members that are no voters do not count.
     pub fn record_answer(&mut self, now: Instant, id: u64) {
         if self.voters.contains(&id) {
-            self.answered.insert(id, now);
+            self.last_answers.insert(id, now);
         }
     }
 
-    /// Whether a leader may be heard.
+    /// Whether a leader's message may be sent: always while this member does not lead, or if a majority
+    /// (itself included) answered within two election time-outs. Otherwise only in the first two election
+    /// time-outs of its leadership, and for two heartbeat intervals at the start of every eight election
+    /// time-outs.
     pub fn may_send(&self, now: Instant) -> bool {
         let Some(since) = self.leads_since else { return true };
-        let patience = self.election * 2;
-        let recent =
-            |id: &&u64| self.answered.get(id).is_some_and(|at| now.saturating_duration_since(*at) < patience);
-        // With itself, more than half of all that vote.
-        if 2 * (self.voters.iter().filter(recent).count() + 1) > self.voters.len() + 1 {
+        let answer_timeout = self.election_timeout * 2;
+        let answered_recently = |id: &&u64| {
+            self.last_answers.get(id).is_some_and(|at| now.saturating_duration_since(*at) < answer_timeout)
+        };
+        // A majority of all voters, counting this member.
+        if 2 * (self.voters.iter().filter(answered_recently).count() + 1) > self.voters.len() + 1 {
             return true;
         }
-        let led = now.saturating_duration_since(since);
-        // Long enough in between for others to choose.
-        let round = self.election.as_millis().max(1) * 8;
-        led < patience || led.as_millis() % round < self.beat.as_millis() * 2
+        let led_for = now.saturating_duration_since(since);
+        // The pause between two attempts is long enough for the others to elect a leader.
+        let retry_period_ms = self.election_timeout.as_millis().max(1) * 8;
+        led_for < answer_timeout || led_for.as_millis() % retry_period_ms < self.heartbeat.as_millis() * 2
     }
 }
 
@@ -64,23 +79,23 @@
     use super::*;
 
     #[test]
-    fn a_leader_that_nobody_answers_falls_silent_and_tries_now_and_then() {
+    fn quorum_check_stops_unanswered_leader_and_lets_it_retry_at_intervals() {
         let ms = Duration::from_millis;
-        let (begun, mut pulse) = (Instant::now(), QuorumCheck::new(ms(50), ms(400)));
-        assert!(pulse.may_send(begun), "who does not lead may say what it likes");
-        pulse.set_leadership(begun, true, BTreeSet::from([2, 3]));
-        assert!(pulse.may_send(begun + ms(700)), "it has time to be answered");
-        assert!(!pulse.may_send(begun + ms(900)));
-        pulse.record_answer(begun + ms(900), 9);
-        assert!(!pulse.may_send(begun + ms(900)), "one that does not vote is no help");
-        pulse.record_answer(begun + ms(900), 3);
-        assert!(pulse.may_send(begun + ms(1600)));
-        assert!(!pulse.may_send(begun + ms(1800)));
-        let tries = (0..64).filter(|k| pulse.may_send(begun + ms(2000 + 100 * k))).count();
-        assert!((1..=4).contains(&tries), "{tries} of 64");
-        pulse.set_leadership(begun + ms(9000), false, BTreeSet::from([2, 3]));
-        assert!(pulse.may_send(begun + ms(9001)));
-        pulse.set_leadership(begun + ms(9002), true, BTreeSet::new());
-        assert!(pulse.may_send(begun + ms(99_999)), "one alone needs nobody's answer");
+        let (start, mut check) = (Instant::now(), QuorumCheck::new(ms(50), ms(400)));
+        assert!(check.may_send(start), "a member that does not lead is not limited");
+        check.set_leadership(start, true, BTreeSet::from([2, 3]));
+        assert!(check.may_send(start + ms(700)), "a new leader has time to be answered");
+        assert!(!check.may_send(start + ms(900)));
+        check.record_answer(start + ms(900), 9);
+        assert!(!check.may_send(start + ms(900)), "an answer of a member that is no voter does not count");
+        check.record_answer(start + ms(900), 3);
+        assert!(check.may_send(start + ms(1600)));
+        assert!(!check.may_send(start + ms(1800)));
+        let sends = (0..64).filter(|k| check.may_send(start + ms(2000 + 100 * k))).count();
+        assert!((1..=4).contains(&sends), "{sends} of 64");
+        check.set_leadership(start + ms(9000), false, BTreeSet::from([2, 3]));
+        assert!(check.may_send(start + ms(9001)));
+        check.set_leadership(start + ms(9002), true, BTreeSet::new());
+        assert!(check.may_send(start + ms(99_999)), "the only voter needs no answers");
     }
 }
--- a/crates/council/src/store.rs
+++ b/crates/council/src/store.rs
@@ -1,4 +1,4 @@
-//! What is replicated, and how `openraft` keeps it in the file.
+//! The replicated state machine, and the storage that `openraft` keeps in the [`CouncilFile`].
 
 use crate::file::{CouncilFile, FileError};
 use frostvale_owner::{Command, Outcome, State};
@@ -16,7 +16,7 @@
 use tokio::task::spawn_blocking;
 
 openraft::declare_raft_types!(
-    /// The types of this council.
+    /// The type parameters of `openraft`.
     pub TypeConfig:
         D = Request,
         R = Response,
@@ -27,46 +27,46 @@
 /// An entry of the log.
 pub type Entry = openraft::Entry<TypeConfig>;
 
-/// A member as others find it.
+/// A member's name and address, as the membership holds them.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    /// Its name.
+    /// Its agent's name.
     pub name: String,
-    /// Its address.
+    /// The address at which other members reach it.
     pub at: String,
 }
 
-/// What is entered in the log.
+/// A request, as an entry of the log holds it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Request {
-    /// About sessions and duties.
+    /// A command on sessions and duties.
     Owner(Command),
-    /// A number for a new member, above this one.
+    /// Allots a number to a new member, above this one and all that were allotted.
     Allot(u64),
 }
 
-/// What came of it.
+/// The result of a log entry.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Response {
-    /// Of a command.
+    /// The outcome of a command.
     Owner(Outcome),
-    /// The number.
+    /// The allotted member number.
     Number(u64),
-    /// Of an entry that is no request.
+    /// For an entry without a request.
     None,
 }
 
-/// All that is agreed on.
+/// The replicated state: all committed requests, applied in order.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AgreedState {
-    /// Sessions and duties.
+    /// The sessions and duties of the fleet.
     pub owner: State,
-    /// The last member's number given out.
+    /// The highest member number allotted.
     pub last_id: u64,
 }
 
 impl AgreedState {
-    /// Carries a request out.
+    /// Applies a request and returns its result. It depends on nothing but the state and the request.
     pub fn apply(&mut self, request: &Request) -> Response {
         match request {
             Request::Owner(command) => Response::Owner(self.owner.apply(command)),
@@ -78,26 +78,26 @@
     }
 }
 
-type Fault = StorageError<u64>;
+type StoreError = StorageError<u64>;
 
-fn fault(subject: ErrorSubject<u64>, verb: ErrorVerb, problem: &FileError) -> Fault {
-    StorageIOError::new(subject, verb, openraft::AnyError::new(problem)).into()
+fn storage_error(subject: ErrorSubject<u64>, verb: ErrorVerb, cause: &FileError) -> StoreError {
+    StorageIOError::new(subject, verb, openraft::AnyError::new(cause)).into()
 }
 
-/// Does something with the file away from the runtime's threads: it waits for the disk.
-async fn off<T: Send + 'static>(
+/// Runs an operation on the file on a thread for blocking work, since it waits for the disk.
+async fn run_blocking<T: Send + 'static>(
     file: &CouncilFile,
     subject: ErrorSubject<u64>,
     verb: ErrorVerb,
     work: impl FnOnce(&CouncilFile) -> Result<T, FileError> + Send + 'static,
-) -> Result<T, Fault> {
+) -> Result<T, StoreError> {
     let file = file.clone();
     let done = spawn_blocking(move || work(&file)).await;
     let done = done.unwrap_or_else(|e| Err(FileError::Unusable(e.to_string())));
-    done.map_err(|e| fault(subject, verb, &e))
+    done.map_err(|e| storage_error(subject, verb, &e))
 }
 
-/// The log.
+/// The log and the vote, stored in the council file.
 #[derive(Clone)]
 pub struct LogStore(pub CouncilFile);
 
@@ -105,7 +105,7 @@
     async fn try_get_log_entries<RB: RangeBounds<u64> + Clone + Debug + OptionalSend>(
         &mut self,
         range: RB,
-    ) -> Result<Vec<Entry>, Fault> {
+    ) -> Result<Vec<Entry>, StoreError> {
         let from = match range.start_bound() {
             Bound::Included(n) => *n,
             Bound::Excluded(n) => n + 1,
@@ -116,108 +116,119 @@
             Bound::Excluded(n) => *n,
             Bound::Unbounded => u64::MAX >> 1,
         };
-        off(&self.0, ErrorSubject::Logs, ErrorVerb::Read, move |f| f.entries(from, to)).await
+        run_blocking(&self.0, ErrorSubject::Logs, ErrorVerb::Read, move |f| f.entries(from, to)).await
     }
 }
 
 impl RaftLogStorage<TypeConfig> for LogStore {
     type LogReader = LogStore;
 
-    async fn get_log_state(&mut self) -> Result<LogState<TypeConfig>, Fault> {
-        let ends = off(&self.0, ErrorSubject::Logs, ErrorVerb::Read, CouncilFile::log_bounds).await?;
-        Ok(LogState { last_purged_log_id: ends.purged, last_log_id: ends.last })
+    async fn get_log_state(&mut self) -> Result<LogState<TypeConfig>, StoreError> {
+        let bounds =
+            run_blocking(&self.0, ErrorSubject::Logs, ErrorVerb::Read, CouncilFile::log_bounds).await?;
+        Ok(LogState { last_purged_log_id: bounds.purged, last_log_id: bounds.last })
     }
 
     async fn get_log_reader(&mut self) -> LogStore {
         self.clone()
     }
 
-    async fn save_vote(&mut self, vote: &Vote<u64>) -> Result<(), Fault> {
+    async fn save_vote(&mut self, vote: &Vote<u64>) -> Result<(), StoreError> {
         let vote = *vote;
-        off(&self.0, ErrorSubject::Vote, ErrorVerb::Write, move |f| f.set_vote(&vote)).await
+        run_blocking(&self.0, ErrorSubject::Vote, ErrorVerb::Write, move |f| f.set_vote(&vote)).await
     }
 
-    async fn read_vote(&mut self) -> Result<Option<Vote<u64>>, Fault> {
-        off(&self.0, ErrorSubject::Vote, ErrorVerb::Read, CouncilFile::vote).await
+    async fn read_vote(&mut self) -> Result<Option<Vote<u64>>, StoreError> {
+        run_blocking(&self.0, ErrorSubject::Vote, ErrorVerb::Read, CouncilFile::vote).await
     }
 
-    async fn save_committed(&mut self, committed: Option<LogId<u64>>) -> Result<(), Fault> {
-        off(&self.0, ErrorSubject::Store, ErrorVerb::Write, move |f| f.set_committed(committed)).await
+    async fn save_committed(&mut self, committed: Option<LogId<u64>>) -> Result<(), StoreError> {
+        run_blocking(&self.0, ErrorSubject::Store, ErrorVerb::Write, move |f| f.set_committed(committed))
+            .await
     }
 
-    async fn read_committed(&mut self) -> Result<Option<LogId<u64>>, Fault> {
-        off(&self.0, ErrorSubject::Store, ErrorVerb::Read, CouncilFile::committed).await
+    async fn read_committed(&mut self) -> Result<Option<LogId<u64>>, StoreError> {
+        run_blocking(&self.0, ErrorSubject::Store, ErrorVerb::Read, CouncilFile::committed).await
     }
 
-    async fn append<I>(&mut self, entries: I, callback: LogFlushed<TypeConfig>) -> Result<(), Fault>
+    async fn append<I>(&mut self, entries: I, callback: LogFlushed<TypeConfig>) -> Result<(), StoreError>
     where
         I: IntoIterator<Item = Entry> + OptionalSend,
         I::IntoIter: OptionalSend,
     {
         let entries: Vec<Entry> = entries.into_iter().collect();
-        off(&self.0, ErrorSubject::Logs, ErrorVerb::Write, move |f| f.append(&entries)).await?;
+        run_blocking(&self.0, ErrorSubject::Logs, ErrorVerb::Write, move |f| f.append(&entries)).await?;
         callback.log_io_completed(Ok(()));
         Ok(())
     }
 
-    async fn truncate(&mut self, log_id: LogId<u64>) -> Result<(), Fault> {
-        off(&self.0, ErrorSubject::Logs, ErrorVerb::Delete, move |f| f.truncate(log_id.index)).await
+    async fn truncate(&mut self, log_id: LogId<u64>) -> Result<(), StoreError> {
+        run_blocking(&self.0, ErrorSubject::Logs, ErrorVerb::Delete, move |f| f.truncate(log_id.index)).await
     }
 
-    async fn purge(&mut self, log_id: LogId<u64>) -> Result<(), Fault> {
-        off(&self.0, ErrorSubject::Logs, ErrorVerb::Delete, move |f| f.purge(&log_id)).await
+    async fn purge(&mut self, log_id: LogId<u64>) -> Result<(), StoreError> {
+        run_blocking(&self.0, ErrorSubject::Logs, ErrorVerb::Delete, move |f| f.purge(&log_id)).await
     }
 }
 
+/// The state after the last applied entry.
 #[derive(Default)]
 struct Applied {
-    whole: AgreedState,
+    state: AgreedState,
     last: Option<LogId<u64>>,
     membership: StoredMembership<u64, Member>,
 }
 
-/// The state machine. Whoever follows `seen` gets all that is agreed on, each time something was.
+/// The state machine. Sends the whole state on `agreed` after each batch of entries that had a request, and
+/// after a snapshot is installed.
 #[derive(Clone)]
 pub struct StateMachine {
     file: CouncilFile,
     applied: Arc<Mutex<Applied>>,
-    seen: watch::Sender<Arc<AgreedState>>,
+    agreed: watch::Sender<Arc<AgreedState>>,
 }
 
 impl StateMachine {
-    /// From the file's snapshot.
+    /// Restores the state from the file's snapshot, if there is one; `openraft` then applies the entries
+    /// after it.
     ///
     /// # Errors
-    /// When it can't be read.
-    pub fn open(file: CouncilFile, seen: watch::Sender<Arc<AgreedState>>) -> Result<StateMachine, FileError> {
+    /// When the snapshot can't be read.
+    pub fn open(
+        file: CouncilFile,
+        agreed: watch::Sender<Arc<AgreedState>>,
+    ) -> Result<StateMachine, FileError> {
         let mut applied = Applied::default();
         if let Some((meta, text)) = file.snapshot()? {
-            applied.whole = serde_json::from_slice(&text).map_err(|e| FileError::Corrupt(e.to_string()))?;
+            applied.state = serde_json::from_slice(&text).map_err(|e| FileError::Corrupt(e.to_string()))?;
             (applied.last, applied.membership) = (meta.last_log_id, meta.last_membership);
-            seen.send_replace(Arc::new(applied.whole.clone()));
+            agreed.send_replace(Arc::new(applied.state.clone()));
         }
-        Ok(StateMachine { file, applied: Arc::new(Mutex::new(applied)), seen })
+        Ok(StateMachine { file, applied: Arc::new(Mutex::new(applied)), agreed })
     }
 
-    fn with<T>(&self, work: impl FnOnce(&mut Applied) -> T) -> T {
+    fn with_applied<T>(&self, work: impl FnOnce(&mut Applied) -> T) -> T {
         work(&mut self.applied.lock().unwrap_or_else(PoisonError::into_inner))
     }
 }
 
 impl RaftSnapshotBuilder<TypeConfig> for StateMachine {
-    async fn build_snapshot(&mut self) -> Result<Snapshot<TypeConfig>, Fault> {
-        let (text, meta) = self.with(|a| {
-            let text = serde_json::to_vec(&a.whole);
+    async fn build_snapshot(&mut self) -> Result<Snapshot<TypeConfig>, StoreError> {
+        let (text, meta) = self.with_applied(|a| {
+            let text = serde_json::to_vec(&a.state);
             let snapshot_id = a.last.map_or("0".to_string(), |l| format!("{}-{}", l.leader_id, l.index));
             let meta =
                 SnapshotMeta { last_log_id: a.last, last_membership: a.membership.clone(), snapshot_id };
             (text, meta)
         });
         let subject = || ErrorSubject::Snapshot(Some(meta.signature()));
-        let text =
-            text.map_err(|e| fault(subject(), ErrorVerb::Write, &FileError::Unusable(e.to_string())))?;
-        let (kept, whole) = (meta.clone(), text.clone());
-        off(&self.file, subject(), ErrorVerb::Write, move |f| f.set_snapshot(&kept, &whole)).await?;
+        let text = text
+            .map_err(|e| storage_error(subject(), ErrorVerb::Write, &FileError::Unusable(e.to_string())))?;
+        let (stored_meta, stored_state) = (meta.clone(), text.clone());
+        run_blocking(&self.file, subject(), ErrorVerb::Write, move |f| {
+            f.set_snapshot(&stored_meta, &stored_state)
+        })
+        .await?;
         Ok(Snapshot { meta, snapshot: Box::new(Cursor::new(text)) })
     }
 }
@@ -225,16 +236,18 @@
 impl RaftStateMachine<TypeConfig> for StateMachine {
     type SnapshotBuilder = StateMachine;
 
-    async fn applied_state(&mut self) -> Result<(Option<LogId<u64>>, StoredMembership<u64, Member>), Fault> {
-        Ok(self.with(|a| (a.last, a.membership.clone())))
+    async fn applied_state(
+        &mut self,
+    ) -> Result<(Option<LogId<u64>>, StoredMembership<u64, Member>), StoreError> {
+        Ok(self.with_applied(|a| (a.last, a.membership.clone())))
     }
 
-    async fn apply<I>(&mut self, entries: I) -> Result<Vec<Response>, Fault>
+    async fn apply<I>(&mut self, entries: I) -> Result<Vec<Response>, StoreError>
     where
         I: IntoIterator<Item = Entry> + OptionalSend,
         I::IntoIter: OptionalSend,
     {
-        let (answers, whole) = self.with(|a| {
+        let (answers, state) = self.with_applied(|a| {
             let mut answers = Vec::new();
             let mut changed = false;
             for entry in entries {
@@ -243,7 +256,7 @@
                     EntryPayload::Blank => Response::None,
                     EntryPayload::Normal(request) => {
                         changed = true;
-                        a.whole.apply(&request)
+                        a.state.apply(&request)
                     }
                     EntryPayload::Membership(members) => {
                         a.membership = StoredMembership::new(Some(entry.log_id), members);
@@ -251,10 +264,10 @@
                     }
                 });
             }
-            (answers, changed.then(|| Arc::new(a.whole.clone())))
+            (answers, changed.then(|| Arc::new(a.state.clone())))
         });
-        if let Some(whole) = whole {
-            self.seen.send_replace(whole);
+        if let Some(state) = state {
+            self.agreed.send_replace(state);
         }
         Ok(answers)
     }
@@ -263,7 +276,7 @@
         self.clone()
     }
 
-    async fn begin_receiving_snapshot(&mut self) -> Result<Box<Cursor<Vec<u8>>>, Fault> {
+    async fn begin_receiving_snapshot(&mut self) -> Result<Box<Cursor<Vec<u8>>>, StoreError> {
         Ok(Box::new(Cursor::new(Vec::new())))
     }
 
@@ -271,25 +284,27 @@
         &mut self,
         meta: &SnapshotMeta<u64, Member>,
         snapshot: Box<Cursor<Vec<u8>>>,
-    ) -> Result<(), Fault> {
+    ) -> Result<(), StoreError> {
         let text = snapshot.into_inner();
         let subject = || ErrorSubject::Snapshot(Some(meta.signature()));
-        let whole: AgreedState = serde_json::from_slice(&text)
-            .map_err(|e| fault(subject(), ErrorVerb::Read, &FileError::Corrupt(e.to_string())))?;
-        let kept = meta.clone();
-        off(&self.file, subject(), ErrorVerb::Write, move |f| f.set_snapshot(&kept, &text)).await?;
-        let whole = self.with(|a| {
-            a.whole = whole;
+        let state: AgreedState = serde_json::from_slice(&text)
+            .map_err(|e| storage_error(subject(), ErrorVerb::Read, &FileError::Corrupt(e.to_string())))?;
+        let stored_meta = meta.clone();
+        run_blocking(&self.file, subject(), ErrorVerb::Write, move |f| f.set_snapshot(&stored_meta, &text))
+            .await?;
+        let state = self.with_applied(|a| {
+            a.state = state;
             (a.last, a.membership) = (meta.last_log_id, meta.last_membership.clone());
-            Arc::new(a.whole.clone())
+            Arc::new(a.state.clone())
         });
-        self.seen.send_replace(whole);
+        self.agreed.send_replace(state);
         Ok(())
     }
 
-    async fn get_current_snapshot(&mut self) -> Result<Option<Snapshot<TypeConfig>>, Fault> {
-        let kept =
-            off(&self.file, ErrorSubject::Snapshot(None), ErrorVerb::Read, CouncilFile::snapshot).await?;
-        Ok(kept.map(|(meta, text)| Snapshot { meta, snapshot: Box::new(Cursor::new(text)) }))
+    async fn get_current_snapshot(&mut self) -> Result<Option<Snapshot<TypeConfig>>, StoreError> {
+        let snapshot =
+            run_blocking(&self.file, ErrorSubject::Snapshot(None), ErrorVerb::Read, CouncilFile::snapshot)
+                .await?;
+        Ok(snapshot.map(|(meta, text)| Snapshot { meta, snapshot: Box::new(Cursor::new(text)) }))
     }
 }
--- a/crates/council/src/wire.rs
+++ b/crates/council/src/wire.rs
@@ -1,38 +1,38 @@
-//! What goes between members. What is of another fleet, another version, too long or for another member is refused and
-//! counted before anything is done with it.
+//! The messages between members. A message of another fleet or version, for another member, or one that is
+//! too long is rejected and counted before its body is decoded.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// The version of what is said here.
+/// The version of the protocol between members.
 pub const VERSION: u32 = 1;
-/// The longest body, in bytes: a whole state and some.
+/// The maximum size of a body, in bytes; larger than a whole replicated state.
 pub const MAX_BODY_BYTES: usize = 16 << 20;
 
-/// What a message is about.
+/// The kind of a message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum MessageKind {
-    /// Who are you, and what have you heard of me?
+    /// Asks for a member's number and voters, and for the write count that it knows of the sender's file.
     Hello,
-    /// A follower asks for a number.
+    /// A follower asks for a member number.
     Join,
-    /// A new voter is given its number.
+    /// Gives a new voter its member number.
     Invite,
-    /// Raft: log entries.
+    /// Raft: AppendEntries.
     Append,
-    /// Raft: a vote.
+    /// Raft: RequestVote.
     Vote,
-    /// Raft: a part of a snapshot.
+    /// Raft: a chunk of InstallSnapshot.
     Snapshot,
-    /// A proposal, to the leader.
+    /// Forwards a proposal to the leader.
     Propose,
-    /// How far the log goes now, to the leader.
+    /// Asks the leader for the log index that a read has to reach.
     Read,
-    /// A change of members, to the leader.
+    /// Forwards a change of members to the leader.
     Admin,
 }
 
-/// All kinds, by their numbers on the wire.
+/// All kinds, in the order of their numbers on the wire, which start at 1.
 pub const MESSAGE_KINDS: [MessageKind; 9] = [
     MessageKind::Hello,
     MessageKind::Join,
@@ -45,57 +45,57 @@
     MessageKind::Admin,
 ];
 
-/// A message.
+/// A message or an answer, with its header.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Envelope {
-    /// The sender's version.
+    /// The sender's protocol version.
     pub version: u32,
-    /// The fleet.
+    /// The sender's fleet.
     pub fleet: String,
-    /// How often this council was taken up by one member alone.
+    /// How many times the sender's group was recovered from one member alone.
     pub generation: u64,
-    /// The sender's number; 0 where it has none yet.
+    /// The sender's member number; 0 where it has none yet.
     pub from: u64,
-    /// Whom it is for; 0 where that is not known.
+    /// The receiver's member number; 0 where it is not known.
     pub to: u64,
-    /// How many writes the sender's file has seen.
+    /// The write count of the sender's file.
     pub writes: u64,
-    /// The most writes that the sender has heard of the receiver's file.
+    /// The highest write count of the receiver's file that was reported to the sender.
     pub heard: u64,
-    /// What it is about.
+    /// The kind of the message; an answer has that of its request.
     pub kind: MessageKind,
-    /// The rest.
+    /// The body, as JSON.
     pub body: Vec<u8>,
 }
 
-/// Why a message is not looked into.
+/// Why a message was rejected.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Rejection {
-    /// Of another version.
+    /// Another protocol version, given here.
     Version(u32),
-    /// Of another fleet.
+    /// Another fleet, named here.
     Fleet(String),
-    /// From before or after a recovery that this member knows nothing of.
+    /// The sender's group was recovered more or fewer times than this member's.
     Generation {
-        /// Its own.
+        /// The sender's generation.
         theirs: u64,
-        /// This member's.
+        /// This member's generation.
         ours: u64,
     },
-    /// For another member.
+    /// It is addressed to another member, with its number.
     OtherMember(u64),
-    /// From nobody that is known.
+    /// The sender is no known member, with its number.
     UnknownSender(u64),
-    /// Longer than there can be.
+    /// The body is longer than [`MAX_BODY_BYTES`], with its length.
     TooLong(usize),
-    /// It can't be read.
+    /// The body can't be decoded.
     Unreadable(String),
-    /// This member has stopped taking part.
+    /// This member has stopped, has not started, or does not take this message; with the reason.
     Stopped(String),
 }
 
 impl Rejection {
-    /// The cause in a word, as messages are counted by.
+    /// The label under which rejected messages are counted.
     #[must_use]
     pub fn cause(&self) -> &'static str {
         match self {
@@ -140,13 +140,13 @@
 
 impl std::error::Error for Rejection {}
 
-/// Writes a body.
-pub(crate) fn body<T: Serialize>(it: &T) -> Vec<u8> {
-    // Only maps with keys that are no texts can't be written; there are none.
-    serde_json::to_vec(it).unwrap_or_default()
+/// Encodes a body as JSON.
+pub(crate) fn encode_body<T: Serialize>(value: &T) -> Vec<u8> {
+    // Encoding can fail only for maps whose keys are no strings; no body has one.
+    serde_json::to_vec(value).unwrap_or_default()
 }
 
-/// Reads a body.
-pub(crate) fn read<'a, T: Deserialize<'a>>(body: &'a [u8]) -> Result<T, Rejection> {
+/// Decodes a body from JSON.
+pub(crate) fn decode_body<'a, T: Deserialize<'a>>(body: &'a [u8]) -> Result<T, Rejection> {
     serde_json::from_slice(body).map_err(|e| Rejection::Unreadable(e.to_string()))
 }
