--- a/crates/handover/src/lib.rs
+++ b/crates/handover/src/lib.rs
@@ -1,69 +1,74 @@
-//! The end of a life and the beginning of the next: whom an agent that stops waits for, and for how long; and what is
-//! believed of a gatekeeper's former life where several sources speak of it. No input or output, no clock.
+//! Handover of usage between agent processes: which gatekeepers a stopping agent waits for and for how long,
+//! and which state of a gatekeeper's previous process is current where several sources have one. This crate
+//! does no input or output and reads no clock.
 //!
 //! # Why
 //!
-//! A host that reboots sends SIGTERM to all of its processes at once, and each of them is done at a time of its own.
-//! What a gatekeeper passed in its last second is use that somebody is billed for. If the agent leaves first, nobody
-//! takes it; if the agent waits for ever, the host does not reboot; and if the next agent looks in the database alone,
-//! it finds no last word there (it is still in the spool, or in a file beside the socket) and enters a gap where
-//! nothing is missing.
+//! A rebooting host sends SIGTERM to all of its processes at once, and each takes its own time to stop. What
+//! a gatekeeper passed in its last second is usage that some shop is billed for. If the agent exits first,
+//! nobody records it; if the agent waits for ever, the host does not reboot; and if the next agent reads the
+//! database alone, it finds no final report there (it is still in the spool, or in a file beside the socket)
+//! and records a gap where nothing is missing.
 
-/// How long an agent that stops stays for gatekeepers that go on serving, in ms: within this time those that were told
-/// to stop at the same moment say so.
+/// How long a stopping agent waits for gatekeepers that go on serving, in ms: gatekeepers that were told to
+/// stop at the same moment announce it within this time.
 pub const LINGER_MS: f64 = 500.0;
-/// How long it waits at the most until such a gatekeeper has reported what it used so far, in ms.
+/// How long it waits at most until such a gatekeeper has reported its usage so far, in ms.
 pub const REPORT_TIMEOUT_MS: f64 = 1500.0;
-/// How long it waits at the most for the last word of a gatekeeper that stops, in ms: the longest deadline, and more.
+/// How long it waits at most for the final report of a stopping gatekeeper, in ms: longer than the longest
+/// deadline.
 pub const FINAL_REPORT_TIMEOUT_MS: f64 = 8000.0;
-/// How long it then waits at the most until what is spooled is in the database, in ms; the rest is the next agent's.
+/// How long it then waits at most until the spool is uploaded to the database, in ms; the next agent uploads
+/// the rest.
 pub const UPLOAD_TIMEOUT_MS: f64 = 2000.0;
 
-/// A gatekeeper, as an agent that stops sees it.
+/// What a stopping agent has received from a gatekeeper.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct GatekeeperStatus {
-    /// Whether its link is up.
+    /// Whether its link is connected.
     pub linked: bool,
-    /// Whether it has said that it stops.
+    /// Whether it has announced that it stops.
     pub stopping: bool,
-    /// Whether its last word is kept.
+    /// Whether its final report is stored.
     pub ended: bool,
-    /// How far its batches went when it had reported what it used until it was told of the stop.
+    /// The number of the last batch that it reported in reply to the agent's stop, if it has replied.
     pub reported: Option<i64>,
-    /// How far its batches are kept.
+    /// The number of the last batch that is stored.
     pub kept: i64,
 }
 
-/// Whether an agent that began to stop `elapsed` ms ago still waits for this gatekeeper.
+/// Whether an agent that began to stop `elapsed_ms` ms ago still has to wait for this gatekeeper.
 ///
-/// One that is not linked has left its word in a file, or leaves it there: nothing of it comes over the link any more.
+/// A gatekeeper that is not connected has written its final report to a file, or will: nothing more comes
+/// over the link.
 #[must_use]
-pub fn should_wait_for(seen: &GatekeeperStatus, elapsed: f64) -> bool {
-    if !seen.linked || seen.ended {
+pub fn should_wait_for(status: &GatekeeperStatus, elapsed_ms: f64) -> bool {
+    if !status.linked || status.ended {
         return false;
     }
-    if seen.stopping {
-        return elapsed < FINAL_REPORT_TIMEOUT_MS;
+    if status.stopping {
+        return elapsed_ms < FINAL_REPORT_TIMEOUT_MS;
     }
-    let reported = seen.reported.is_some_and(|number| seen.kept >= number);
-    elapsed < if reported { LINGER_MS } else { REPORT_TIMEOUT_MS }
+    let reported = status.reported.is_some_and(|number| status.kept >= number);
+    elapsed_ms < if reported { LINGER_MS } else { REPORT_TIMEOUT_MS }
 }
 
-/// How far a life is known.
+/// How much of a gatekeeper process's usage a source has.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Watermark {
-    /// When it began, Unix time in ms by the gatekeeper's clock; this names the life.
+    /// When the process started, Unix time in ms by the gatekeeper's clock; this identifies the process.
     pub epoch_ms: i64,
-    /// The last batch of it.
+    /// The number of its last batch.
     pub last_seq: i64,
-    /// Until when that batch tells of use, Unix time in ms.
+    /// The end of that batch's period, Unix time in ms.
     pub to_ms: i64,
-    /// Whether it was its last word.
+    /// Whether that batch was the process's last.
     pub ended: bool,
 }
 
-/// What is known of a gatekeeper's latest life before the one that began at `now_epoch_ms`, from all who know of any:
-/// the database, the spool, files left beside the socket. The latest life counts; of one life, the furthest word.
+/// The state of a gatekeeper's latest process before the one that started at `now_epoch_ms`, merged from all
+/// sources: the database, the spool, and files beside the socket. The latest process counts; of its marks,
+/// the furthest.
 #[must_use]
 pub fn previous_incarnation(
     marks: impl IntoIterator<Item = Watermark>,
@@ -85,21 +90,22 @@
     known
 }
 
-/// What becomes of a last word that was found beside a gatekeeper's socket.
+/// What is done with a final report file that was found beside a gatekeeper's socket.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FinalReportAction {
-    /// It is taken up and goes.
+    /// It is recorded and the file is removed.
     Accept,
-    /// It is taken up as far as it is sound, and stays under another name: what followed is a gap.
+    /// Its valid part is recorded, and the file stays under another name: what followed is a gap.
     AcceptPartial,
-    /// It is another instance's: nothing of it is taken, and it stays under another name.
+    /// It belongs to another instance: nothing is recorded, and the file stays under another name.
     Reject,
 }
 
-/// Decides on one.
+/// Decides what to do with a file that `writer` wrote, found by `instance`; `is_complete` says whether it is
+/// complete.
 #[must_use]
-pub fn classify_final_report(whole: bool, whose: &str, instance: &str) -> FinalReportAction {
-    match (whose == instance, whole) {
+pub fn classify_final_report(is_complete: bool, writer: &str, instance: &str) -> FinalReportAction {
+    match (writer == instance, is_complete) {
         (false, _) => FinalReportAction::Reject,
         (true, true) => FinalReportAction::Accept,
         (true, false) => FinalReportAction::AcceptPartial,
@@ -116,30 +122,33 @@
     }
 
     #[test]
-    fn one_that_stops_is_waited_for_until_its_last_word_and_not_for_ever() {
+    fn stopping_gatekeeper_is_waited_for_until_its_final_report_or_timeout() {
         let stopping = GatekeeperStatus { stopping: true, reported: Some(3), kept: 3, ..linked() };
-        assert!(should_wait_for(&stopping, LINGER_MS + 1.0), "its last word is still to come");
+        assert!(should_wait_for(&stopping, LINGER_MS + 1.0), "its final report is still to come");
         assert!(!should_wait_for(&GatekeeperStatus { ended: true, ..stopping }, 0.0));
         assert!(!should_wait_for(&stopping, FINAL_REPORT_TIMEOUT_MS));
         assert!(
             !should_wait_for(&GatekeeperStatus { linked: false, ..stopping }, 0.0),
-            "what it has left is in a file"
+            "its final report is in a file"
         );
     }
 
     #[test]
-    fn one_that_goes_on_reports_and_may_still_say_that_it_stops() {
+    fn serving_gatekeeper_is_waited_for_until_its_report_and_the_linger_time() {
         let going = GatekeeperStatus { reported: Some(3), kept: 2, ..linked() };
-        assert!(should_wait_for(&going, LINGER_MS), "its report is not kept");
+        assert!(should_wait_for(&going, LINGER_MS), "its report is not stored");
         let kept = GatekeeperStatus { kept: 3, ..going };
         assert!(should_wait_for(&kept, LINGER_MS - 1.0) && !should_wait_for(&kept, LINGER_MS));
-        assert!(!should_wait_for(&linked(), REPORT_TIMEOUT_MS), "one that says nothing is not waited for");
+        assert!(
+            !should_wait_for(&linked(), REPORT_TIMEOUT_MS),
+            "a gatekeeper that sends no report is not waited for"
+        );
     }
 
     proptest! {
-        /// Who speaks first does not matter, and hearing the same twice changes nothing.
+        /// The result depends neither on the order of the sources nor on duplicates.
         #[test]
-        fn what_is_believed_does_not_depend_on_who_speaks_first(
+        fn previous_incarnation_does_not_depend_on_order_or_duplicates(
             marks in prop::collection::vec((0i64..4, 0i64..5, 0i64..5, any::<bool>()), 0..8), turn in 0usize..8, now in 0i64..5,
         ) {
             let mut all: Vec<Watermark> = marks
--- a/crates/link/src/agent.rs
+++ b/crates/link/src/agent.rs
@@ -1,8 +1,9 @@
-//! The agent's end: it connects to a gatekeeper's socket, and connects again whenever that ends.
+//! The agent's side of the link: connects to a gatekeeper's socket, and reconnects with backoff when it ends.
 //!
-//! [`connect`] gives a [`Link`] to ask through and a future that does the work. Checks go out in batches, as many
-//! as wait together. What a check that got no answer may have done is told apart: [`CheckError::Unsent`] never reached the
-//! gatekeeper and may be asked elsewhere; [`CheckError::InDoubt`] may have been charged, and may not.
+//! [`connect`] returns a [`Link`] for sending and a future that runs the connection. Messages that are queued
+//! together go out in one frame. A check without a decision has one of two outcomes: [`CheckError::Unsent`]
+//! never reached the gatekeeper and may be sent to another; [`CheckError::InDoubt`] may or may not have been
+//! charged.
 
 use crate::VERSION;
 use crate::codec::{self, FrameReader};
@@ -20,105 +21,110 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{sleep, timeout};
 
-const BACKOFF_LEAST: Duration = Duration::from_millis(20);
-const BACKOFF_MOST: Duration = Duration::from_secs(1);
-/// A gatekeeper welcomes within this time.
-const WELCOME: Duration = Duration::from_secs(2);
-/// A gatekeeper that has checks in hand and says nothing for so long is not asked further until it speaks.
-const SILENT: Duration = Duration::from_millis(500);
-/// Orders that go into one frame: far below the longest frame.
-const BATCH: usize = 1000;
+/// The first pause before a reconnect; it doubles up to `MAX_BACKOFF`.
+const MIN_BACKOFF: Duration = Duration::from_millis(20);
+const MAX_BACKOFF: Duration = Duration::from_secs(1);
+/// How long the agent waits for a gatekeeper's welcome.
+const WELCOME_TIMEOUT: Duration = Duration::from_secs(2);
+/// A gatekeeper that has undecided checks and sends nothing for this long gets no further checks until it
+/// sends again.
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(500);
+/// Messages that go into one frame: such a frame stays far below the longest one.
+const MAX_MESSAGES_PER_FRAME: usize = 1000;
 /// Levels that go into one frame.
-const LEVELS: usize = 4000;
-/// While so many bytes wait to be taken, no more orders are.
-const AHEAD: usize = 64 * 1024;
+const MAX_LEVELS_PER_FRAME: usize = 4000;
+/// While this many bytes are unsent, no more messages are taken from the queue.
+const MAX_UNSENT_BYTES: usize = 64 * 1024;
 
-/// What the link is told.
+/// What the agent announces to the gatekeeper, and how it connects.
 #[derive(Debug, Clone)]
 pub struct LinkOptions {
     /// The gatekeeper's socket.
     pub socket: PathBuf,
-    /// Who asks, for the gatekeeper's log.
+    /// The agent's name, for the gatekeeper's log.
     pub peer: String,
-    /// Whether this agent asks an outside service.
+    /// Whether this agent consults an outside service.
     pub outside: bool,
-    /// Whether it keeps use and levels.
+    /// Whether it records usage and levels.
     pub record: bool,
-    /// Whether it takes what is seen of zones.
+    /// Whether it receives zone observations.
     pub zones: bool,
-    /// Whether it takes what the gatekeeper acts on.
+    /// Whether it receives the versions that the gatekeeper applies.
     pub audit: bool,
-    /// Checks in hand at once.
+    /// Checks that may be undecided at once.
     pub max_in_flight: usize,
 }
 
 /// Why a check has no decision.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CheckError {
-    /// It never reached the gatekeeper: nothing is charged, another may be asked.
+    /// It never reached the gatekeeper: nothing is charged, and another gatekeeper may be asked.
     Unsent,
-    /// The gatekeeper may have had it, and may have charged it.
+    /// It may have reached the gatekeeper and may have been charged.
     InDoubt,
-    /// Too many are in hand: nothing is charged.
+    /// Too many checks are undecided: nothing is charged.
     Busy,
 }
 
-/// What comes without being asked for.
+/// What the gatekeeper sends on its own, and changes of the connection.
 #[derive(Debug)]
 pub enum LinkEvent {
-    /// Linked.
+    /// The gatekeeper has accepted the connection.
     Connected(Arc<Welcome>),
-    /// The link has ended, with why.
+    /// The connection has ended, or cannot be made; with the reason.
     Disconnected(String),
-    /// A shop's set as the gatekeeper saw it.
+    /// A shop's gatekeeper set as the gatekeeper saw it in a request.
     ShopSet(Seen),
     /// An outside service is to be asked; the verdict goes to [`Link::send_verdict`].
     OutsideRequest(OutsideAsk),
-    /// The breaker before the outside service.
+    /// The state of the circuit breaker in front of the outside service.
     BreakerState(OutsideState),
-    /// Use, to be kept and then acknowledged with [`Link::acknowledge_usage`].
+    /// Usage, to be stored durably and then acknowledged with [`Link::acknowledge_usage`].
     UsageBatch(UseBatch),
-    /// What stores hold.
+    /// Levels of token buckets.
     TokenLevels(Vec<Level>),
-    /// What came of plans.
+    /// The result of [`Link::send_plans`].
     PlansTaken(PlansTaken),
-    /// A decision on behalf of the fleet that was not taken.
+    /// A decision on behalf of the fleet that the gatekeeper's fence refused.
     FenceRefused(Refused),
-    /// What was seen of zones.
+    /// A zone observation.
     ZoneObservation(ZonesSeen),
-    /// What the gatekeeper acts on.
+    /// The versions that the gatekeeper applies.
     AppliedVersions(Acts),
-    /// After [`Link::announce_stop`]: use until then is in the batches up to this number.
+    /// The reply to [`Link::announce_stop`]: the batches up to this number hold all usage until then.
     UsageReported(u64),
 }
 
-enum Order {
+/// A message that waits to be sent to the gatekeeper.
+enum Outgoing {
     Check(Check, oneshot::Sender<Result<Decision, CheckError>>),
     Settle(Settle),
     Verdict(OutsideVerdict),
-    UseKept(UseKept),
+    UsageAcknowledged(UseKept),
     Plans(Plans),
     Epochs(Epochs),
     Zones(ZonesGuide),
-    Shut(Shut),
+    FencedOff(Shut),
     Levels(Vec<Level>),
     Bye,
 }
 
+/// State that [`Link`] and the connection's future share.
 struct Shared {
     welcome: RwLock<Option<Arc<Welcome>>>,
     stopping: AtomicBool,
-    in_hand: AtomicUsize,
-    most: usize,
-    begun: Instant,
-    /// Since when, in ms from `begun`, something is in hand and nothing was heard; 0 where that is not so.
-    waits_since: AtomicU64,
-    next: AtomicU64,
+    in_flight: AtomicUsize,
+    max_in_flight: usize,
+    created_at: Instant,
+    /// Since when, in ms from `created_at`, checks are undecided and nothing was received; 0 where that is
+    /// not the case.
+    unanswered_since_ms: AtomicU64,
+    next_id: AtomicU64,
 }
 
 impl Shared {
     fn now(&self) -> u64 {
-        u64::try_from(self.begun.elapsed().as_millis()).unwrap_or(u64::MAX).max(1)
+        u64::try_from(self.created_at.elapsed().as_millis()).unwrap_or(u64::MAX).max(1)
     }
 
     fn set_welcome(&self, welcome: Option<Arc<Welcome>>) {
@@ -126,195 +132,207 @@
     }
 }
 
-/// A way to one gatekeeper.
+/// A handle for sending to one gatekeeper. No method waits for room in the queue: if it is full, a check
+/// fails with [`CheckError::Busy`], and any other message is dropped.
 #[derive(Clone)]
 pub struct Link {
-    orders: mpsc::Sender<Order>,
+    outgoing: mpsc::Sender<Outgoing>,
     shared: Arc<Shared>,
 }
 
 impl Link {
-    /// What the gatekeeper said of itself, while it is linked.
+    /// The gatekeeper's welcome, while it is connected.
     #[must_use]
     pub fn welcome(&self) -> Option<Arc<Welcome>> {
         self.shared.welcome.read().unwrap_or_else(std::sync::PoisonError::into_inner).clone()
     }
 
-    /// Whether it is linked, does not stop and is not silent over what it has in hand.
+    /// Whether the gatekeeper is connected, is not stopping and is not silent over undecided checks.
     #[must_use]
     pub fn is_usable(&self) -> bool {
-        let since = self.shared.waits_since.load(Ordering::Relaxed);
-        let silent = since > 0 && self.shared.now().saturating_sub(since) > SILENT.as_millis() as u64;
+        let since = self.shared.unanswered_since_ms.load(Ordering::Relaxed);
+        let silent =
+            since > 0 && self.shared.now().saturating_sub(since) > SILENCE_TIMEOUT.as_millis() as u64;
         !silent && !self.shared.stopping.load(Ordering::Relaxed) && self.welcome().is_some()
     }
 
-    /// Checks in hand.
+    /// The number of undecided checks.
     #[must_use]
     pub fn in_flight(&self) -> usize {
-        self.shared.in_hand.load(Ordering::Relaxed)
+        self.shared.in_flight.load(Ordering::Relaxed)
     }
 
-    /// Asks. Gives the check's number with the decision, so that a held grant can be settled. Who stops waiting
-    /// must take it that the check was charged.
+    /// Sends a check and waits for the decision. Returns the check's id with it, so that a held grant can be
+    /// settled. A caller that stops waiting must assume that the check was charged.
     ///
     /// # Errors
-    /// When there is no decision; see [`CheckError`].
+    /// If there is no decision; see [`CheckError`].
     pub async fn check(&self, mut check: Check) -> Result<(u64, Decision), CheckError> {
         if self.welcome().is_none() {
             return Err(CheckError::Unsent);
         }
         let shared = &self.shared;
-        if shared.in_hand.fetch_add(1, Ordering::Relaxed) >= shared.most {
-            shared.in_hand.fetch_sub(1, Ordering::Relaxed);
+        if shared.in_flight.fetch_add(1, Ordering::Relaxed) >= shared.max_in_flight {
+            shared.in_flight.fetch_sub(1, Ordering::Relaxed);
             return Err(CheckError::Busy);
         }
-        let id = shared.next.fetch_add(1, Ordering::Relaxed);
+        let id = shared.next_id.fetch_add(1, Ordering::Relaxed);
         check.id = id;
-        let (tell, told) = oneshot::channel();
-        if self.orders.try_send(Order::Check(check, tell)).is_err() {
-            shared.in_hand.fetch_sub(1, Ordering::Relaxed);
+        let (reply_sender, reply) = oneshot::channel();
+        if self.outgoing.try_send(Outgoing::Check(check, reply_sender)).is_err() {
+            shared.in_flight.fetch_sub(1, Ordering::Relaxed);
             return Err(CheckError::Busy);
         }
-        told.await.unwrap_or(Err(CheckError::InDoubt)).map(|decision| (id, decision))
+        reply.await.unwrap_or(Err(CheckError::InDoubt)).map(|decision| (id, decision))
     }
 
-    /// Settles a held grant: `keep` says whether it is used. One that is never settled counts as used.
+    /// Settles a held grant: `keep` says whether it is used. A grant that is never settled counts as used.
     pub fn settle(&self, id: u64, keep: bool) {
-        let _ = self.orders.try_send(Order::Settle(Settle { id, keep }));
+        let _ = self.outgoing.try_send(Outgoing::Settle(Settle { id, keep }));
     }
 
-    /// Batches of use are kept durably. What is not acknowledged is sent again with the next connection.
+    /// Acknowledges usage batches that are stored durably. A batch without acknowledgement is sent again.
     pub fn acknowledge_usage(&self, started_ms: u64, seqs: Vec<u64>) {
-        let _ = self.orders.try_send(Order::UseKept(UseKept { started_ms, seqs }));
+        let _ = self.outgoing.try_send(Outgoing::UsageAcknowledged(UseKept { started_ms, seqs }));
     }
 
-    /// Sends the plans' figures.
+    /// Sends the limits of the plans.
     pub fn send_plans(&self, plans: Plans) {
-        let _ = self.orders.try_send(Order::Plans(plans));
+        let _ = self.outgoing.try_send(Outgoing::Plans(plans));
     }
 
-    /// Sends what the council says of duties' epochs.
+    /// Sends the current epochs of duties, as the council gave them.
     pub fn send_epochs(&self, epochs: Epochs) {
-        let _ = self.orders.try_send(Order::Epochs(epochs));
+        let _ = self.outgoing.try_send(Outgoing::Epochs(epochs));
     }
 
-    /// Sends what was decided on zones, or that it still stands.
-    pub fn send_zone_decision(&self, guide: ZonesGuide) {
-        let _ = self.orders.try_send(Order::Zones(guide));
+    /// Sends the zone decision, or renews it.
+    pub fn send_zone_decision(&self, zone_decision: ZonesGuide) {
+        let _ = self.outgoing.try_send(Outgoing::Zones(zone_decision));
     }
 
-    /// Sends who is shut out, or that it still stands.
-    pub fn send_fenced_off(&self, shut: Shut) {
-        let _ = self.orders.try_send(Order::Shut(shut));
+    /// Sends which gatekeepers are fenced off, or renews that decision.
+    pub fn send_fenced_off(&self, fenced_off: Shut) {
+        let _ = self.outgoing.try_send(Outgoing::FencedOff(fenced_off));
     }
 
-    /// Sends what stores held in a former life.
+    /// Sends the bucket levels that the gatekeeper's previous process had, to be restored.
     pub fn send_levels(&self, levels: &[Level]) {
-        for part in levels.chunks(LEVELS) {
-            let _ = self.orders.try_send(Order::Levels(part.to_vec()));
+        for part in levels.chunks(MAX_LEVELS_PER_FRAME) {
+            let _ = self.outgoing.try_send(Outgoing::Levels(part.to_vec()));
         }
     }
 
-    /// Says that this agent stops. The gatekeeper reports its use so far; how far that goes comes as
-    /// [`LinkEvent::UsageReported`].
+    /// Announces that this agent stops. The gatekeeper reports its usage so far and then sends the number of
+    /// the last batch, which arrives as [`LinkEvent::UsageReported`].
     pub fn announce_stop(&self) {
-        let _ = self.orders.try_send(Order::Bye);
+        let _ = self.outgoing.try_send(Outgoing::Bye);
     }
 
-    /// Whether the gatekeeper has said that it stops.
+    /// Whether the gatekeeper has announced that it stops.
     #[must_use]
     pub fn is_stopping(&self) -> bool {
         self.shared.stopping.load(Ordering::Relaxed)
     }
 
-    /// What an outside service said.
+    /// Sends the verdict of an outside service.
     pub fn send_verdict(&self, verdict: OutsideVerdict) {
-        let _ = self.orders.try_send(Order::Verdict(verdict));
+        let _ = self.outgoing.try_send(Outgoing::Verdict(verdict));
     }
 }
 
-/// A link and the future that keeps it up, which ends when the link is dropped. News that nobody takes are dropped,
-/// but for questions to an outside service, which then count as failed.
+/// Creates a link and the future that keeps it connected, which ends when the link is dropped. Events are
+/// dropped while the channel is full. A dropped usage batch is sent again; a dropped request to an outside
+/// service counts as failed.
 pub fn connect(
     options: LinkOptions,
-    news: mpsc::Sender<LinkEvent>,
+    events: mpsc::Sender<LinkEvent>,
 ) -> (Link, impl Future<Output = ()> + Send) {
-    let (orders, taken) = mpsc::channel(options.max_in_flight * 2 + 64);
+    let (outgoing, receiver) = mpsc::channel(options.max_in_flight * 2 + 64);
     let shared = Arc::new(Shared {
         welcome: RwLock::default(),
         stopping: AtomicBool::new(false),
-        in_hand: AtomicUsize::new(0),
-        most: options.max_in_flight,
-        begun: Instant::now(),
-        waits_since: AtomicU64::new(0),
-        next: AtomicU64::new(1),
+        in_flight: AtomicUsize::new(0),
+        max_in_flight: options.max_in_flight,
+        created_at: Instant::now(),
+        unanswered_since_ms: AtomicU64::new(0),
+        next_id: AtomicU64::new(1),
     });
-    let link = Link { orders, shared: shared.clone() };
-    (link, keep_up(options, taken, shared, news))
+    let link = Link { outgoing, shared: shared.clone() };
+    (link, run_link(options, receiver, shared, events))
 }
 
-async fn keep_up(
+/// Connects, runs the session and reconnects with backoff until all handles are dropped.
+async fn run_link(
     options: LinkOptions,
-    mut orders: mpsc::Receiver<Order>,
+    mut outgoing: mpsc::Receiver<Outgoing>,
     shared: Arc<Shared>,
-    news: mpsc::Sender<LinkEvent>,
+    events: mpsc::Sender<LinkEvent>,
 ) {
-    let mut backoff = BACKOFF_LEAST;
-    let mut last = String::new();
+    let mut backoff = MIN_BACKOFF;
+    let mut last_error = String::new();
     loop {
-        let mut session =
-            Session { shared: &shared, news: &news, waiting: HashMap::new(), sent: VecDeque::new() };
-        let ended = session.run(&options, &mut orders).await;
+        let mut session = Session {
+            shared: &shared,
+            events: &events,
+            undecided: HashMap::new(),
+            unwritten: VecDeque::new(),
+        };
+        let ended = session.run(&options, &mut outgoing).await;
         shared.set_welcome(None);
-        shared.waits_since.store(0, Ordering::Relaxed);
+        shared.unanswered_since_ms.store(0, Ordering::Relaxed);
         shared.stopping.store(false, Ordering::Relaxed);
-        session.end(&mut orders);
+        session.fail_undecided(&mut outgoing);
         let Err((why, linked)) = ended else { return };
         if linked {
-            backoff = BACKOFF_LEAST;
+            backoff = MIN_BACKOFF;
         }
-        if linked || why != last {
-            last.clone_from(&why);
-            let _ = news.try_send(LinkEvent::Disconnected(why));
+        if linked || why != last_error {
+            last_error.clone_from(&why);
+            let _ = events.try_send(LinkEvent::Disconnected(why));
         }
-        // Until it is up, whoever asks is told at once.
+        // While there is no connection, checks fail at once.
         let pause = sleep(backoff);
         tokio::pin!(pause);
         loop {
             tokio::select! {
                 () = &mut pause => break,
-                order = orders.recv() => match order {
-                    Some(order) => turn_away(&shared, order),
+                message = outgoing.recv() => match message {
+                    Some(message) => fail_unsent(&shared, message),
                     None => return,
                 }
             }
         }
-        backoff = (backoff * 2).min(BACKOFF_MOST);
+        backoff = (backoff * 2).min(MAX_BACKOFF);
     }
 }
 
-fn turn_away(shared: &Shared, order: Order) {
-    if let Order::Check(_, tell) = order {
-        shared.in_hand.fetch_sub(1, Ordering::Relaxed);
-        let _ = tell.send(Err(CheckError::Unsent));
+/// Fails a check that was not sent; other messages are dropped.
+fn fail_unsent(shared: &Shared, message: Outgoing) {
+    if let Outgoing::Check(_, reply_sender) = message {
+        shared.in_flight.fetch_sub(1, Ordering::Relaxed);
+        let _ = reply_sender.send(Err(CheckError::Unsent));
     }
 }
 
 /// One connection.
 struct Session<'a> {
     shared: &'a Shared,
-    news: &'a mpsc::Sender<LinkEvent>,
-    waiting: HashMap<u64, oneshot::Sender<Result<Decision, CheckError>>>,
-    /// For frames whose last byte is not taken yet: how many bytes are still to go, and their checks.
-    sent: VecDeque<(usize, Vec<u64>)>,
+    events: &'a mpsc::Sender<LinkEvent>,
+    /// Undecided checks by id.
+    undecided: HashMap<u64, oneshot::Sender<Result<Decision, CheckError>>>,
+    /// For each frame that the socket has not accepted whole: the bytes that remain, and the ids of its
+    /// checks.
+    unwritten: VecDeque<(usize, Vec<u64>)>,
 }
 
 impl Session<'_> {
-    /// Runs until the connection ends; the error says why, and whether it was ever up. Ok: nobody asks any more.
+    /// Runs until the connection ends. An error holds the reason, and whether the gatekeeper had accepted the
+    /// connection. `Ok` means that all handles are dropped.
     async fn run(
         &mut self,
         options: &LinkOptions,
-        orders: &mut mpsc::Receiver<Order>,
+        outgoing: &mut mpsc::Receiver<Outgoing>,
     ) -> Result<(), (String, bool)> {
         let stream = UnixStream::connect(&options.socket)
             .await
@@ -325,51 +343,52 @@
         codec::append_frame(&mut bytes, &ToNode { hello: Some(hello), ..ToNode::default() })
             .map_err(|e| (e.to_string(), false))?;
         let mut frames = FrameReader::default();
-        let first = timeout(WELCOME, welcome(&stream, &mut bytes, &mut frames)).await;
-        let first = first.map_err(|_| ("it gave no welcome in time".to_string(), false))?;
+        let first = timeout(WELCOME_TIMEOUT, exchange_hello(&stream, &mut bytes, &mut frames)).await;
+        let first = first.map_err(|_| ("the gatekeeper sent no welcome in time".to_string(), false))?;
         let mut first = first.map_err(|e| (e, false))?;
         let Some(welcome) = first.welcome.take().map(Arc::new) else {
-            return Err((format!("it gave no welcome: {}", printable(&first.bye)), false));
+            return Err((format!("the gatekeeper sent no welcome: {}", printable(&first.bye)), false));
         };
         self.shared.set_welcome(Some(welcome.clone()));
-        let _ = self.news.try_send(LinkEvent::Connected(welcome));
-        self.take(first);
-        self.talk(&stream, bytes, frames, orders).await.map_err(|why| (why, true))
+        let _ = self.events.try_send(LinkEvent::Connected(welcome));
+        self.handle_frame(first);
+        self.run_connected(&stream, bytes, frames, outgoing).await.map_err(|why| (why, true))
     }
 
-    async fn talk(
+    /// Exchanges frames after the welcome.
+    async fn run_connected(
         &mut self,
         stream: &UnixStream,
         mut bytes: Vec<u8>,
         mut frames: FrameReader,
-        orders: &mut mpsc::Receiver<Order>,
+        outgoing: &mut mpsc::Receiver<Outgoing>,
     ) -> Result<(), String> {
-        let mut batch = Vec::with_capacity(BATCH);
+        let mut batch = Vec::with_capacity(MAX_MESSAGES_PER_FRAME);
         loop {
             while let Some(frame) = frames.next_message::<FromNode>().map_err(|e| e.to_string())? {
-                self.take(frame);
+                self.handle_frame(frame);
             }
             if !bytes.is_empty() {
                 match stream.try_write(&bytes) {
                     Ok(n) => {
                         bytes.drain(..n);
-                        self.taken(n);
+                        self.record_written(n);
                     }
                     Err(e) if e.kind() == ErrorKind::WouldBlock => {}
                     Err(e) => return Err(e.to_string()),
                 }
             }
             tokio::select! {
-                count = orders.recv_many(&mut batch, BATCH), if bytes.len() < AHEAD => {
+                count = outgoing.recv_many(&mut batch, MAX_MESSAGES_PER_FRAME), if bytes.len() < MAX_UNSENT_BYTES => {
                     if count == 0 {
                         return Ok(());
                     }
-                    self.put(&mut bytes, batch.drain(..))?;
+                    self.append_outgoing(&mut bytes, batch.drain(..))?;
                 }
                 ready = stream.readable() => {
                     ready.map_err(|e| e.to_string())?;
                     match stream.try_read_buf(frames.read_buffer()) {
-                        Ok(0) => return Err("the gatekeeper ended it".into()),
+                        Ok(0) => return Err("the gatekeeper closed the connection".into()),
                         Ok(_) => {}
                         Err(e) if e.kind() == ErrorKind::WouldBlock => {}
                         Err(e) => return Err(e.to_string()),
@@ -380,133 +399,138 @@
         }
     }
 
-    /// Makes a frame of orders.
-    fn put(&mut self, bytes: &mut Vec<u8>, orders: impl Iterator<Item = Order>) -> Result<(), String> {
+    /// Encodes messages into one frame; levels go into frames of their own.
+    fn append_outgoing(
+        &mut self,
+        bytes: &mut Vec<u8>,
+        outgoing: impl Iterator<Item = Outgoing>,
+    ) -> Result<(), String> {
         let mut frame = ToNode::default();
-        for order in orders {
-            match order {
-                // Its asker has given up already: nothing need be charged.
-                Order::Check(_, tell) if tell.is_closed() => {
-                    self.shared.in_hand.fetch_sub(1, Ordering::Relaxed);
+        for message in outgoing {
+            match message {
+                // The caller has stopped waiting before the check was sent: nothing need be charged.
+                Outgoing::Check(_, reply_sender) if reply_sender.is_closed() => {
+                    self.shared.in_flight.fetch_sub(1, Ordering::Relaxed);
                 }
-                Order::Check(check, tell) => {
-                    self.waiting.insert(check.id, tell);
+                Outgoing::Check(check, reply_sender) => {
+                    self.undecided.insert(check.id, reply_sender);
                     frame.checks.push(check);
                 }
-                Order::Settle(settle) => frame.settles.push(settle),
-                Order::Verdict(verdict) => frame.outside.push(verdict),
-                Order::UseKept(numbers) => frame.use_kept.push(numbers),
-                Order::Plans(plans) => frame.plans = Some(plans),
-                Order::Zones(guide) => frame.zones = Some(guide),
-                Order::Shut(shut) => frame.shut = Some(shut),
-                // One that answers a nonce is not made to give way to one that does not.
-                Order::Epochs(epochs) => {
+                Outgoing::Settle(settle) => frame.settles.push(settle),
+                Outgoing::Verdict(verdict) => frame.outside.push(verdict),
+                Outgoing::UsageAcknowledged(numbers) => frame.use_kept.push(numbers),
+                Outgoing::Plans(plans) => frame.plans = Some(plans),
+                Outgoing::Zones(zone_decision) => frame.zones = Some(zone_decision),
+                Outgoing::FencedOff(fenced_off) => frame.shut = Some(fenced_off),
+                // Epochs that answer a nonce are not replaced by epochs that do not.
+                Outgoing::Epochs(epochs) => {
                     let before = frame.epochs.take().filter(|b| epochs.nonce == 0 && b.nonce != 0);
                     frame.epochs = Some(before.unwrap_or(epochs));
                 }
-                Order::Bye => frame.bye = "the agent stops".into(),
-                // These fill a frame by themselves.
-                Order::Levels(levels) => {
+                Outgoing::Bye => frame.bye = "the agent stops".into(),
+                // Levels fill a frame by themselves.
+                Outgoing::Levels(levels) => {
                     let alone = ToNode { levels, ..ToNode::default() };
                     let before = bytes.len();
                     codec::append_frame(bytes, &alone).map_err(|e| e.to_string())?;
-                    self.sent.push_back((bytes.len() - before, Vec::new()));
+                    self.unwritten.push_back((bytes.len() - before, Vec::new()));
                 }
             }
         }
         if frame == ToNode::default() {
             return Ok(());
         }
-        if !frame.checks.is_empty() && self.shared.waits_since.load(Ordering::Relaxed) == 0 {
-            self.shared.waits_since.store(self.shared.now(), Ordering::Relaxed);
+        if !frame.checks.is_empty() && self.shared.unanswered_since_ms.load(Ordering::Relaxed) == 0 {
+            self.shared.unanswered_since_ms.store(self.shared.now(), Ordering::Relaxed);
         }
         let before = bytes.len();
         codec::append_frame(bytes, &frame).map_err(|e| e.to_string())?;
-        self.sent.push_back((bytes.len() - before, frame.checks.iter().map(|c| c.id).collect()));
+        self.unwritten.push_back((bytes.len() - before, frame.checks.iter().map(|c| c.id).collect()));
         Ok(())
     }
 
-    /// So many bytes were taken by the socket.
-    fn taken(&mut self, mut n: usize) {
+    /// Records that the socket accepted `n` bytes.
+    fn record_written(&mut self, mut n: usize) {
         while n > 0
-            && let Some((left, _)) = self.sent.front_mut()
+            && let Some((remaining, _)) = self.unwritten.front_mut()
         {
-            let part = n.min(*left);
-            *left -= part;
-            n -= part;
-            if *left == 0 {
-                self.sent.pop_front();
+            let written = n.min(*remaining);
+            *remaining -= written;
+            n -= written;
+            if *remaining == 0 {
+                self.unwritten.pop_front();
             }
         }
     }
 
-    fn take(&mut self, frame: FromNode) {
+    /// Completes checks and passes on events.
+    fn handle_frame(&mut self, frame: FromNode) {
         for decision in frame.decisions {
-            if let Some(tell) = self.waiting.remove(&decision.id) {
-                self.shared.in_hand.fetch_sub(1, Ordering::Relaxed);
-                let _ = tell.send(Ok(decision));
+            if let Some(reply_sender) = self.undecided.remove(&decision.id) {
+                self.shared.in_flight.fetch_sub(1, Ordering::Relaxed);
+                let _ = reply_sender.send(Ok(decision));
             }
         }
-        let since = if self.waiting.is_empty() { 0 } else { self.shared.now() };
-        self.shared.waits_since.store(since, Ordering::Relaxed);
+        let since = if self.undecided.is_empty() { 0 } else { self.shared.now() };
+        self.shared.unanswered_since_ms.store(since, Ordering::Relaxed);
         if !frame.bye.is_empty() {
             self.shared.stopping.store(true, Ordering::Relaxed);
         }
         for seen in frame.seen {
-            let _ = self.news.try_send(LinkEvent::ShopSet(seen));
+            let _ = self.events.try_send(LinkEvent::ShopSet(seen));
         }
         for ask in frame.outside {
-            // Unheard, it is late at the gatekeeper: that counts as failed there.
-            let _ = self.news.try_send(LinkEvent::OutsideRequest(ask));
+            // If it is dropped, it times out at the gatekeeper and counts as failed there.
+            let _ = self.events.try_send(LinkEvent::OutsideRequest(ask));
         }
         for state in frame.outside_states {
-            let _ = self.news.try_send(LinkEvent::BreakerState(state));
+            let _ = self.events.try_send(LinkEvent::BreakerState(state));
         }
         for batch in frame.r#use {
-            // Untaken it is not acknowledged, and comes again.
-            let _ = self.news.try_send(LinkEvent::UsageBatch(batch));
+            // If it is dropped, it is not acknowledged, and the gatekeeper sends it again.
+            let _ = self.events.try_send(LinkEvent::UsageBatch(batch));
         }
         if !frame.levels.is_empty() {
-            let _ = self.news.try_send(LinkEvent::TokenLevels(frame.levels));
+            let _ = self.events.try_send(LinkEvent::TokenLevels(frame.levels));
         }
         if let Some(taken) = frame.plans_taken {
-            let _ = self.news.try_send(LinkEvent::PlansTaken(taken));
+            let _ = self.events.try_send(LinkEvent::PlansTaken(taken));
         }
         for refused in frame.refused {
-            let _ = self.news.try_send(LinkEvent::FenceRefused(refused));
+            let _ = self.events.try_send(LinkEvent::FenceRefused(refused));
         }
         if let Some(seen) = frame.zones {
-            let _ = self.news.try_send(LinkEvent::ZoneObservation(seen));
+            let _ = self.events.try_send(LinkEvent::ZoneObservation(seen));
         }
         if let Some(acts) = frame.acts {
-            let _ = self.news.try_send(LinkEvent::AppliedVersions(acts));
+            let _ = self.events.try_send(LinkEvent::AppliedVersions(acts));
         }
         if let Some(number) = frame.reported {
-            let _ = self.news.try_send(LinkEvent::UsageReported(number));
+            let _ = self.events.try_send(LinkEvent::UsageReported(number));
         }
     }
 
-    /// Tells all that wait what became of theirs.
-    fn end(&mut self, orders: &mut mpsc::Receiver<Order>) {
-        let unsent: Vec<u64> = self.sent.drain(..).flat_map(|(_, ids)| ids).collect();
+    /// Fails all undecided checks: as unsent where the frame was not written whole, else as in doubt.
+    fn fail_undecided(&mut self, outgoing: &mut mpsc::Receiver<Outgoing>) {
+        let unsent: Vec<u64> = self.unwritten.drain(..).flat_map(|(_, ids)| ids).collect();
         for id in unsent {
-            if let Some(tell) = self.waiting.remove(&id) {
-                self.shared.in_hand.fetch_sub(1, Ordering::Relaxed);
-                let _ = tell.send(Err(CheckError::Unsent));
+            if let Some(reply_sender) = self.undecided.remove(&id) {
+                self.shared.in_flight.fetch_sub(1, Ordering::Relaxed);
+                let _ = reply_sender.send(Err(CheckError::Unsent));
             }
         }
-        for (_, tell) in self.waiting.drain() {
-            self.shared.in_hand.fetch_sub(1, Ordering::Relaxed);
-            let _ = tell.send(Err(CheckError::InDoubt));
+        for (_, reply_sender) in self.undecided.drain() {
+            self.shared.in_flight.fetch_sub(1, Ordering::Relaxed);
+            let _ = reply_sender.send(Err(CheckError::InDoubt));
         }
-        while let Ok(order) = orders.try_recv() {
-            turn_away(self.shared, order);
+        while let Ok(message) = outgoing.try_recv() {
+            fail_unsent(self.shared, message);
         }
     }
 }
 
-/// Sends the hello and waits for the first frame.
-async fn welcome(
+/// Writes the hello and waits for the first frame.
+async fn exchange_hello(
     stream: &UnixStream,
     bytes: &mut Vec<u8>,
     frames: &mut FrameReader,
@@ -526,7 +550,7 @@
         }
         stream.readable().await.map_err(|e| e.to_string())?;
         match stream.try_read_buf(frames.read_buffer()) {
-            Ok(0) => return Err("the gatekeeper ended it before its welcome".into()),
+            Ok(0) => return Err("the gatekeeper closed the connection before its welcome".into()),
             Ok(_) => {}
             Err(e) if e.kind() == ErrorKind::WouldBlock => {}
             Err(e) => return Err(e.to_string()),
@@ -534,7 +558,7 @@
     }
 }
 
-/// A peer's words as they may stand in a log.
+/// A peer's text without control characters and at most 200 characters long, for the log.
 fn printable(text: &str) -> String {
     text.chars().filter(|c| !c.is_control()).take(200).collect()
 }
--- a/crates/link/src/final_report.rs
+++ b/crates/link/src/final_report.rs
@@ -1,15 +1,16 @@
-//! The last word of a gatekeeper's life that no agent took: a file beside its socket, which the next agent takes up.
+//! The final usage report of a gatekeeper process that no agent acknowledged: a file beside the link's
+//! socket, which the next agent reads.
 //!
 //! # Why
 //!
-//! A host that reboots ends agent and gatekeepers in any order. What a gatekeeper has not had kept by then is use that
-//! shops are billed for, and what its stores hold keeps a restart from being a fresh burst. The file is written whole
-//! and with fsync under another name before it gets its own, so it is there or it is not; a disk can still spoil it,
-//! so each record has a checksum, and what follows the first bad one is not believed.
+//! A rebooting host stops its agent and gatekeepers in any order. Usage that a gatekeeper could not hand over
+//! by then is billed to shops, and its bucket levels keep a restart from granting a fresh burst. The file is
+//! written and fsynced under a temporary name and then renamed, so it exists whole or not at all. A disk can
+//! still damage it, so each record has a checksum, and nothing after the first invalid record is used.
 //!
-//! Whoever takes it up may do so twice: batches carry their life and number, and count once. The format: [`MAGIC`],
-//! then records of a length and a CRC-32 (4 bytes each, big endian) and a `FromNode`; the first holds the welcome of
-//! that life, the last a `bye`.
+//! A file may be read twice: batches carry the process's start time and a number, and each counts once. The
+//! format is [`MAGIC`], then records of a length and a CRC-32 (4 bytes each, big endian) and a `FromNode`;
+//! the first holds the process's welcome, the last a `bye`.
 
 use crate::proto::{FromNode, Level, UseBatch, Welcome};
 use prost::Message;
@@ -19,28 +20,30 @@
 use std::os::unix::fs::OpenOptionsExt;
 use std::path::{Path, PathBuf};
 
-/// How such a file begins.
+/// The first bytes of the file.
 pub const MAGIC: &[u8; 8] = b"FVLEFT1\n";
-/// Words of so many lives wait at one socket at the most; a further one is not left.
+/// Final reports that may wait beside one socket; no further one is written.
 pub const MAX_FILES: usize = 64;
-/// The longest record and the longest file that are read, in bytes.
-const RECORD_MOST: usize = crate::codec::MAX_FRAME_BYTES;
-const FILE_MOST: u64 = 128 << 20;
+/// The longest record, in bytes, that is written or read.
+const MAX_RECORD_BYTES: usize = crate::codec::MAX_FRAME_BYTES;
+/// The longest file, in bytes, that is read.
+const MAX_FILE_BYTES: u64 = 128 << 20;
 /// Levels in one record.
-const LEVELS: usize = 4000;
-const END: &str = "end";
+const LEVELS_PER_RECORD: usize = 4000;
+/// The `bye` of the last record.
+const END_MARKER: &str = "end";
 const SUFFIX: &str = ".left";
 
-/// A last word as it was read.
+/// A final report as it was read.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct FinalReport {
-    /// Whose it is, and of which life.
+    /// The welcome of the process that wrote it, with its name and start time.
     pub welcome: Welcome,
-    /// Use that no agent had kept.
+    /// Usage that no agent had acknowledged.
     pub batches: Vec<UseBatch>,
-    /// What stores held.
+    /// Levels of the token buckets.
     pub levels: Vec<Level>,
-    /// Whether it is there to its end. If not, what followed is not known.
+    /// Whether the file was valid to its end. If not, what followed is lost.
     pub is_complete: bool,
 }
 
@@ -50,19 +53,19 @@
     name
 }
 
-/// Where the word of a life goes.
+/// The path of the final report of the process that started at `started_ms`.
 #[must_use]
 pub fn path_of(socket: &Path, started_ms: u64) -> PathBuf {
     let mut name = prefix(socket);
-    // Zeros in front: by name they stand in the order of the lives.
+    // Leading zeros make the order of names the order of start times.
     name.push(format!("{started_ms:020}{SUFFIX}"));
     socket.with_file_name(name)
 }
 
-/// The words that wait beside a socket, the oldest life first.
+/// The final reports beside a socket, the oldest first.
 ///
 /// # Errors
-/// When the folder can't be read.
+/// If the folder cannot be read.
 pub fn find_all(socket: &Path) -> io::Result<Vec<PathBuf>> {
     let folder = socket.parent().filter(|p| !p.as_os_str().is_empty()).unwrap_or(Path::new("."));
     let prefix = prefix(socket);
@@ -79,9 +82,10 @@
     Ok(all)
 }
 
-fn put(out: &mut impl Write, message: &FromNode) -> io::Result<()> {
+/// Writes one record.
+fn write_record(out: &mut impl Write, message: &FromNode) -> io::Result<()> {
     let body = message.encode_to_vec();
-    if body.len() > RECORD_MOST {
+    if body.len() > MAX_RECORD_BYTES {
         return Err(io::Error::other("a record is too long"));
     }
     let len = u32::try_from(body.len()).unwrap_or(u32::MAX);
@@ -90,10 +94,10 @@
     out.write_all(&body)
 }
 
-/// Leaves a last word: durably, or not at all.
+/// Writes a final report, durably or not at all. Returns its path.
 ///
 /// # Errors
-/// With what stands in the way; then there is no file.
+/// If [`MAX_FILES`] reports wait already or the file cannot be written; then there is no file.
 pub fn write<'a>(
     socket: &Path,
     welcome: &Welcome,
@@ -102,78 +106,80 @@
 ) -> io::Result<PathBuf> {
     if find_all(socket)?.len() >= MAX_FILES {
         return Err(io::Error::other(format!(
-            "{MAX_FILES} last words wait there already, and no agent takes them up"
+            "{MAX_FILES} final reports wait there already, and no agent reads them"
         )));
     }
     let path = path_of(socket, welcome.started_ms);
-    let part = path.with_extension("part");
-    let written = write_part(&part, welcome, batches, levels).and_then(|()| fs::rename(&part, &path));
+    let temporary = path.with_extension("part");
+    let written =
+        write_temporary(&temporary, welcome, batches, levels).and_then(|()| fs::rename(&temporary, &path));
     if let Err(e) = written {
-        let _ = fs::remove_file(&part);
+        let _ = fs::remove_file(&temporary);
         return Err(e);
     }
-    // The name as well: without this a power cut may leave none.
+    // The folder is synced as well: without this a power cut may lose the new name.
     let folder = path.parent().filter(|p| !p.as_os_str().is_empty()).unwrap_or(Path::new("."));
     File::open(folder)?.sync_all()?;
     Ok(path)
 }
 
-fn write_part<'a>(
-    part: &Path,
+fn write_temporary<'a>(
+    temporary: &Path,
     welcome: &Welcome,
     batches: impl Iterator<Item = &'a UseBatch>,
     levels: &[Level],
 ) -> io::Result<()> {
-    let file = OpenOptions::new().create(true).write(true).truncate(true).mode(0o600).open(part)?;
+    let file = OpenOptions::new().create(true).write(true).truncate(true).mode(0o600).open(temporary)?;
     let mut out = BufWriter::new(file);
     out.write_all(MAGIC)?;
-    put(&mut out, &FromNode { welcome: Some(welcome.clone()), ..FromNode::default() })?;
+    write_record(&mut out, &FromNode { welcome: Some(welcome.clone()), ..FromNode::default() })?;
     for batch in batches {
-        put(&mut out, &FromNode { r#use: vec![batch.clone()], ..FromNode::default() })?;
+        write_record(&mut out, &FromNode { r#use: vec![batch.clone()], ..FromNode::default() })?;
     }
-    for part in levels.chunks(LEVELS) {
-        put(&mut out, &FromNode { levels: part.to_vec(), ..FromNode::default() })?;
+    for part in levels.chunks(LEVELS_PER_RECORD) {
+        write_record(&mut out, &FromNode { levels: part.to_vec(), ..FromNode::default() })?;
     }
-    put(&mut out, &FromNode { bye: END.into(), ..FromNode::default() })?;
+    write_record(&mut out, &FromNode { bye: END_MARKER.into(), ..FromNode::default() })?;
     out.into_inner().map_err(io::IntoInnerError::into_error)?.sync_all()
 }
 
-/// Reads a last word as far as it is sound.
+/// Reads a final report up to its first invalid record.
 ///
 /// # Errors
-/// When it can't be read, is too long, or not even says whose it is.
+/// If the file cannot be read, is too long, or its first record is invalid.
 pub fn read(path: &Path) -> io::Result<FinalReport> {
     let file = File::open(path)?;
-    if file.metadata()?.len() > FILE_MOST {
-        return Err(io::Error::other(format!("it is longer than {FILE_MOST} bytes")));
+    if file.metadata()?.len() > MAX_FILE_BYTES {
+        return Err(io::Error::other(format!("the file is longer than {MAX_FILE_BYTES} bytes")));
     }
     let mut bytes = Vec::new();
-    file.take(FILE_MOST).read_to_end(&mut bytes)?;
-    parse(&bytes).ok_or_else(|| io::Error::other("it does not say whose it is"))
+    file.take(MAX_FILE_BYTES).read_to_end(&mut bytes)?;
+    parse(&bytes).ok_or_else(|| io::Error::other("its first record is not a valid welcome"))
 }
 
-/// What bytes say, as far as they are sound; nothing where they do not even say whose they are.
+/// Parses the bytes of a final report up to the first invalid record; `None` if the first record is invalid.
 #[must_use]
 pub fn parse(bytes: &[u8]) -> Option<FinalReport> {
     let mut rest = bytes.strip_prefix(MAGIC)?;
-    let mut left = FinalReport { welcome: next(&mut rest)?.welcome?, ..FinalReport::default() };
-    while let Some(message) = next(&mut rest) {
-        left.batches.extend(message.r#use);
-        left.levels.extend(message.levels);
-        if message.bye == END {
-            left.is_complete = rest.is_empty();
+    let mut report = FinalReport { welcome: read_record(&mut rest)?.welcome?, ..FinalReport::default() };
+    while let Some(message) = read_record(&mut rest) {
+        report.batches.extend(message.r#use);
+        report.levels.extend(message.levels);
+        if message.bye == END_MARKER {
+            report.is_complete = rest.is_empty();
             break;
         }
     }
-    Some(left)
+    Some(report)
 }
 
-fn next(rest: &mut &[u8]) -> Option<FromNode> {
+/// Reads one record and advances `rest` past it; `None` if it is incomplete or invalid.
+fn read_record(rest: &mut &[u8]) -> Option<FromNode> {
     let (head, tail) = rest.split_first_chunk::<8>()?;
-    let word = |at: usize| u32::from_be_bytes([head[at], head[at + 1], head[at + 2], head[at + 3]]);
-    let len = word(0) as usize;
-    let body = tail.get(..len).filter(|_| len <= RECORD_MOST)?;
-    if crc32fast::hash(body) != word(4) {
+    let read_u32 = |at: usize| u32::from_be_bytes([head[at], head[at + 1], head[at + 2], head[at + 3]]);
+    let len = read_u32(0) as usize;
+    let body = tail.get(..len).filter(|_| len <= MAX_RECORD_BYTES)?;
+    if crc32fast::hash(body) != read_u32(4) {
         return None;
     }
     *rest = &tail[len..];
@@ -186,7 +192,7 @@
     use crate::proto::UseLine;
     use proptest::prelude::*;
 
-    fn word(numbers: u64) -> (Welcome, Vec<UseBatch>, Vec<Level>) {
+    fn sample(numbers: u64) -> (Welcome, Vec<UseBatch>, Vec<Level>) {
         let line = UseLine { shop: "00000000b4d65521".into(), passed_milli: 1000, ..UseLine::default() };
         let batch =
             |seq| UseBatch { seq, last: seq == numbers, lines: vec![line.clone()], ..UseBatch::default() };
@@ -196,13 +202,13 @@
     }
 
     #[test]
-    fn a_last_word_is_read_as_it_was_left_and_found_by_age() {
+    fn final_report_is_read_as_written_and_found_by_age() {
         let folder = tempfile::tempdir().expect("a folder");
         let socket = folder.path().join("n1.sock");
-        let (welcome, batches, levels) = word(5);
-        let path = write(&socket, &welcome, batches.iter(), &levels).expect("left");
+        let (welcome, batches, levels) = sample(5);
+        let path = write(&socket, &welcome, batches.iter(), &levels).expect("written");
         let older = Welcome { started_ms: 9, ..welcome.clone() };
-        let old = write(&socket, &older, batches.iter(), &[]).expect("left");
+        let old = write(&socket, &older, batches.iter(), &[]).expect("written");
         std::fs::write(folder.path().join("n1.sock.7.left"), "x").expect("written");
         std::fs::write(folder.path().join("n11.sock.00000000000000000001.left"), "x").expect("written");
         assert_eq!(find_all(&socket).expect("found"), [old, path.clone()]);
@@ -211,27 +217,27 @@
             FinalReport { welcome: welcome.clone(), batches, levels, is_complete: true }
         );
         for k in 100..98 + MAX_FILES as u64 {
-            write(&socket, &Welcome { started_ms: k, ..welcome.clone() }, [].iter(), &[]).expect("left");
+            write(&socket, &Welcome { started_ms: k, ..welcome.clone() }, [].iter(), &[]).expect("written");
         }
-        assert!(write(&socket, &welcome, [].iter(), &[]).is_err(), "they do not pile up without bound");
+        assert!(write(&socket, &welcome, [].iter(), &[]).is_err(), "the number of files is bounded");
     }
 
     proptest! {
-        /// Whatever is cut off or spoilt, what is believed is a part of what was written, from its beginning.
+        /// For any truncation and any flipped bit, the parsed batches are a prefix of what was written.
         #[test]
-        fn of_a_torn_word_only_what_is_sound_is_believed(cut in 0usize..3000, flip in 0usize..3000, bit in 0u8..8) {
+        fn parse_returns_a_prefix_when_file_is_damaged(cut in 0usize..3000, flip in 0usize..3000, bit in 0u8..8) {
             let folder = tempfile::tempdir().expect("a folder");
-            let (welcome, batches, _) = word(30);
-            let path = write(&folder.path().join("s"), &welcome, batches.iter(), &[]).expect("left");
+            let (welcome, batches, _) = sample(30);
+            let path = write(&folder.path().join("s"), &welcome, batches.iter(), &[]).expect("written");
             let mut bytes = std::fs::read(path).expect("read");
             let whole = bytes.clone();
             let len = bytes.len();
             bytes[flip % len] ^= 1 << bit;
             bytes.truncate(if cut < len { len - cut } else { len });
-            if let Some(left) = parse(&bytes) {
-                prop_assert_eq!(&left.welcome, &welcome);
-                prop_assert_eq!(&left.batches[..], &batches[..left.batches.len()]);
-                prop_assert!(!left.is_complete || bytes == whole);
+            if let Some(report) = parse(&bytes) {
+                prop_assert_eq!(&report.welcome, &welcome);
+                prop_assert_eq!(&report.batches[..], &batches[..report.batches.len()]);
+                prop_assert!(!report.is_complete || bytes == whole);
             }
         }
     }
--- a/crates/link/src/lib.rs
+++ b/crates/link/src/lib.rs
@@ -1,11 +1,13 @@
-//! The socket between a gatekeeper and its host's agent.
+//! The protocol between a gatekeeper and its host's agent, over a Unix socket.
 //!
-//! The gatekeeper must go on serving whatever becomes of the agent: hung, killed in the middle of a frame, sending
-//! rubbish, or never reading what it is sent. So each side bounds what it reads ahead, what it has in hand and what
-//! the other has not taken, and the connection that passes a bound ends alone.
+//! The gatekeeper has to go on serving whatever the agent does: hang, be killed in the middle of a frame,
+//! send invalid bytes, or never read. So each side bounds what it reads ahead, what it has undecided and what
+//! the other has not read; a connection that exceeds a bound is closed, and only that connection.
 //!
-//! [`codec`] is the frames, without input or output. `node` (feature `node`) is the gatekeeper's end: it listens.
-//! `agent` (feature `agent`) is the other: it connects, and connects again.
+//! [`codec`] encodes frames and does no input or output. `node` (feature `node`) is the gatekeeper's side,
+//! which listens. `agent` (feature `agent`) is the agent's side, which connects and reconnects.
+//! [`final_report`] is the file that a gatekeeper writes when it stops and no agent has acknowledged its
+//! usage.
 
 pub mod codec;
 pub mod final_report;
@@ -18,11 +20,11 @@
 
 pub use frostvale_proto::link as proto;
 
-/// The bytes of a message, for a digest.
+/// Encodes a message, for a digest of it.
 #[must_use]
 pub fn encode<M: prost::Message>(message: &M) -> Vec<u8> {
     message.encode_to_vec()
 }
 
-/// The version of the frames that this build speaks. Both sides say theirs first; others are turned away.
+/// The version of the link protocol in this build. Both sides send theirs first; other versions are refused.
 pub const VERSION: u32 = 1;
--- a/crates/link/src/node.rs
+++ b/crates/link/src/node.rs
@@ -1,5 +1,6 @@
-//! The gatekeeper's end: it listens at a Unix socket, takes batches in and gives batches out. All on the thread of
-//! the gatekeeper, which never waits here: what an agent does not take is held up to a bound, then it is cut off.
+//! The gatekeeper's side of the link: listens at a Unix socket, reads frames from agents and writes frames to
+//! them. Everything runs on the gatekeeper's thread, which never waits here: what an agent does not read is
+//! queued up to a bound, and past it the agent is disconnected.
 
 use crate::VERSION;
 use crate::codec::{self, FrameReader};
@@ -21,183 +22,192 @@
 use tokio::task::{spawn_local, yield_now};
 use tokio::time::{Instant, sleep_until, timeout};
 
-/// An agent says who it is within this time.
-const HELLO: Duration = Duration::from_secs(2);
-/// A frame once begun, and what is to be taken, may stand still this long.
-const STALL: Duration = Duration::from_secs(5);
-/// Bytes that an agent has not taken; past this it is cut off.
+/// How long an agent may take to send its hello.
+const HELLO_TIMEOUT: Duration = Duration::from_secs(2);
+/// How long a partially received frame, or unsent output, may make no progress before the agent is
+/// disconnected.
+const STALL_TIMEOUT: Duration = Duration::from_secs(5);
+/// Bytes that an agent may leave unread; past this it is disconnected.
 pub const MAX_UNREAD_BYTES: usize = 1 << 20;
-/// So many items of a batch at one stroke, then others have their turn.
-const STROKE: usize = 32;
-/// About what one item takes once it is encoded, for those that are not yet.
-const ITEM: usize = 40;
-/// Items that go into one frame at the most: well below the longest frame.
-const BATCH: usize = 2000;
+/// Items of a frame that are handled in one turn, before other tasks of the thread run.
+const MAX_ITEMS_PER_TURN: usize = 32;
+/// The estimated encoded size, in bytes, of an item that is not encoded yet.
+const ITEM_BYTES_ESTIMATE: usize = 40;
+/// Items of one kind that go into one frame: such a frame stays well below the longest one.
+const MAX_ITEMS_PER_FRAME: usize = 2000;
 
-/// What the gatekeeper does with what comes in. Called on its own thread, and never waited for.
+/// Receives what agents send. Called on the gatekeeper's thread; no call may block.
 pub trait LinkHandler {
-    /// What this gatekeeper says of itself.
+    /// The welcome that this gatekeeper sends to each agent.
     fn welcome(&self) -> Welcome;
-    /// An agent has come, and has been welcomed.
+    /// An agent has connected and is sent the welcome.
     fn agent_connected(&self, peer: &Rc<AgentConnection>, hello: Hello);
-    /// May a shop have units? The answer goes to [`AgentConnection::send_decision`], now or later.
+    /// Handles a check. The answer goes to [`AgentConnection::send_decision`], now or later.
     fn handle_check(&self, peer: &Rc<AgentConnection>, check: Check);
-    /// What became of a held grant.
+    /// Settles a held grant.
     fn settle_grant(&self, peer: &Rc<AgentConnection>, settle: Settle);
-    /// What an outside service said.
+    /// Handles the verdict of an outside service.
     fn outside_verdict(&self, peer: &Rc<AgentConnection>, verdict: OutsideVerdict);
-    /// Batches of use that are kept durably.
+    /// The agent has stored these usage batches durably.
     fn usage_acknowledged(&self, peer: &Rc<AgentConnection>, kept: &[UseKept]);
-    /// The plans' figures have changed.
+    /// Applies new limits of the plans.
     fn apply_plans(&self, peer: &Rc<AgentConnection>, plans: Plans);
-    /// What the council says of duties' epochs.
+    /// Records the current epochs of duties, as the council gave them.
     fn apply_epochs(&self, peer: &Rc<AgentConnection>, epochs: Epochs);
-    /// What was decided on zones.
-    fn apply_zone_decision(&self, peer: &Rc<AgentConnection>, guide: ZonesGuide);
-    /// Who is shut out.
-    fn apply_fenced_off(&self, peer: &Rc<AgentConnection>, shut: Shut);
-    /// What stores held in a former life.
+    /// Applies a zone decision.
+    fn apply_zone_decision(&self, peer: &Rc<AgentConnection>, zone_decision: ZonesGuide);
+    /// Applies a decision on which gatekeepers are fenced off.
+    fn apply_fenced_off(&self, peer: &Rc<AgentConnection>, fenced_off: Shut);
+    /// Restores the bucket levels of a previous process.
     fn restore_levels(&self, peer: &Rc<AgentConnection>, levels: &[Level]);
-    /// The agent stops: use so far is reported to it, and then [`AgentConnection::send_usage_reported`].
+    /// The agent announces that it stops: the usage so far is to be reported to it, and then
+    /// [`AgentConnection::send_usage_reported`] is to be called.
     fn agent_stopping(&self, peer: &Rc<AgentConnection>);
-    /// The agent has gone, or was cut off. `why` is there where it is worth a line in the log.
+    /// The agent has disconnected (`why` is `None`), or was disconnected because of the given fault.
     fn agent_disconnected(&self, peer: &Rc<AgentConnection>, why: Option<String>);
 }
 
 /// One agent's connection.
 pub struct AgentConnection {
-    /// Told apart from all others of this process.
+    /// The number of the connection, unique in this process; later connections have higher numbers.
     pub number: u64,
-    next: RefCell<FromNode>,
-    items: Cell<usize>,
-    unread: Cell<usize>,
+    /// What goes into the next frame.
+    queued: RefCell<FromNode>,
+    /// The number of items in it.
+    queued_items: Cell<usize>,
+    /// Encoded bytes that the socket has not accepted.
+    unsent_bytes: Cell<usize>,
+    /// Wakes the connection's task.
     wake: Notify,
-    overfull: Cell<bool>,
-    ending: Cell<bool>,
+    /// Whether the agent left more than [`MAX_UNREAD_BYTES`] unread.
+    is_overfull: Cell<bool>,
+    /// Whether [`AgentConnection::disconnect`] was called.
+    is_disconnecting: Cell<bool>,
 }
 
 impl AgentConnection {
     fn new(number: u64) -> Rc<AgentConnection> {
         Rc::new(AgentConnection {
             number,
-            next: RefCell::default(),
-            items: Cell::new(0),
-            unread: Cell::new(0),
+            queued: RefCell::default(),
+            queued_items: Cell::new(0),
+            unsent_bytes: Cell::new(0),
             wake: Notify::new(),
-            overfull: Cell::new(false),
-            ending: Cell::new(false),
+            is_overfull: Cell::new(false),
+            is_disconnecting: Cell::new(false),
         })
     }
 
-    /// Puts something into the next batch. False if the agent takes too little: then it is being cut off.
-    fn push(&self, size: usize, put: impl FnOnce(&mut FromNode)) -> bool {
-        let items = self.items.get();
-        if self.unread.get() + items * ITEM + size > MAX_UNREAD_BYTES {
-            self.overfull.set(true);
+    /// Adds an item to the next frame. Returns false if the agent left too much unread: it is then
+    /// disconnected.
+    fn push(&self, size: usize, add: impl FnOnce(&mut FromNode)) -> bool {
+        let items = self.queued_items.get();
+        if self.unsent_bytes.get() + items * ITEM_BYTES_ESTIMATE + size > MAX_UNREAD_BYTES {
+            self.is_overfull.set(true);
         }
-        if !self.overfull.get() {
-            put(&mut self.next.borrow_mut());
-            self.items.set(items + 1);
+        if !self.is_overfull.get() {
+            add(&mut self.queued.borrow_mut());
+            self.queued_items.set(items + 1);
         }
-        if items == 0 || self.overfull.get() {
+        if items == 0 || self.is_overfull.get() {
             self.wake.notify_one();
         }
-        !self.overfull.get()
+        !self.is_overfull.get()
     }
 
     /// Answers a check.
     pub fn send_decision(&self, decision: Decision) {
-        self.push(decision.error.len(), |next| next.decisions.push(decision));
+        self.push(decision.error.len(), |frame| frame.decisions.push(decision));
     }
 
-    /// Tells of a shop's set.
+    /// Sends a shop's gatekeeper set.
     pub fn send_shop_set(&self, seen: Seen) {
-        self.push(0, |next| next.seen.push(seen));
+        self.push(0, |frame| frame.seen.push(seen));
     }
 
-    /// Asks an outside service. False if the agent takes nothing.
+    /// Asks for a check by an outside service. Returns false if the agent does not read.
     pub fn send_outside_request(&self, ask: OutsideAsk) -> bool {
-        self.push(0, |next| next.outside.push(ask))
+        self.push(0, |frame| frame.outside.push(ask))
     }
 
-    /// Tells of the breaker.
+    /// Sends the state of the outside service's circuit breaker.
     pub fn send_breaker_state(&self, state: OutsideState) {
-        self.push(0, |next| next.outside_states.push(state));
+        self.push(0, |frame| frame.outside_states.push(state));
     }
 
-    /// Reports use. What an agent does not take it does not acknowledge, so it is reported again.
+    /// Sends a usage batch. A batch that an agent does not read is not acknowledged, so it is sent again.
     pub fn send_usage(&self, batch: UseBatch) {
-        self.push(48 * batch.lines.len(), |next| next.r#use.push(batch));
+        self.push(48 * batch.lines.len(), |frame| frame.r#use.push(batch));
     }
 
-    /// Tells what a store holds.
+    /// Sends the level of a token bucket.
     pub fn send_level(&self, level: Level) {
-        self.push(0, |next| next.levels.push(level));
+        self.push(0, |frame| frame.levels.push(level));
     }
 
-    /// Says that a decision was not taken.
+    /// Tells the agent that a fleet decision was refused by its fence.
     pub fn send_refused(&self, refused: Refused) {
-        self.push(refused.duty.len() + refused.owner.len(), |next| next.refused.push(refused));
+        self.push(refused.duty.len() + refused.owner.len(), |frame| frame.refused.push(refused));
     }
 
-    /// Answers plans.
+    /// Sends the result of applying plans.
     pub fn send_plans_taken(&self, taken: PlansTaken) {
-        self.push(64 * taken.plans.len() + taken.error.len(), |next| next.plans_taken = Some(taken));
+        self.push(64 * taken.plans.len() + taken.error.len(), |frame| frame.plans_taken = Some(taken));
     }
 
-    /// Tells what was seen of zones. What an agent has not taken yet gives way to it: what it held is lost, which evidence may
-    /// be.
+    /// Sends a zone observation. It replaces one that is still queued, which is then lost; observations may
+    /// be lost.
     pub fn send_zone_observation(&self, seen: ZonesSeen) {
         let size = 64 * (seen.lines.len() + seen.places.len());
-        self.push(size, |next| next.zones = Some(seen));
+        self.push(size, |frame| frame.zones = Some(seen));
     }
 
-    /// Tells what this gatekeeper acts on. What an agent has not taken yet gives way to it.
+    /// Sends the versions that this gatekeeper applies. It replaces a message that is still queued.
     pub fn send_applied_versions(&self, acts: Acts) {
-        self.push(96 * acts.versions.len(), |next| next.acts = Some(acts));
+        self.push(96 * acts.versions.len(), |frame| frame.acts = Some(acts));
     }
 
-    /// Tells an agent that stops how far the batches go that were reported.
+    /// Tells an agent that stops the number of the last batch that was reported.
     pub fn send_usage_reported(&self, number: u64) {
-        self.push(0, |next| next.reported = Some(number));
+        self.push(0, |frame| frame.reported = Some(number));
     }
 
-    /// What the agent has not taken, in bytes, about.
+    /// The approximate number of bytes that the agent has not read.
     #[must_use]
     pub fn unread_bytes(&self) -> usize {
-        self.unread.get() + self.items.get() * ITEM
+        self.unsent_bytes.get() + self.queued_items.get() * ITEM_BYTES_ESTIMATE
     }
 
-    /// Says that the gatekeeper stops; what is in hand is still answered.
+    /// Announces that the gatekeeper stops; undecided checks are still answered.
     pub fn send_bye(&self, why: &str) {
-        self.push(why.len(), |next| next.bye = why.to_string());
+        self.push(why.len(), |frame| frame.bye = why.to_string());
     }
 
-    /// Cuts it off.
+    /// Closes the connection.
     pub fn disconnect(&self) {
-        self.ending.set(true);
+        self.is_disconnecting.set(true);
         self.wake.notify_one();
     }
 
-    /// Encodes what has been put together. Long batches are parted.
+    /// Encodes the queued items. Long lists are split over several frames.
     fn encode(&self, bytes: &mut Vec<u8>) -> Result<(), codec::FrameError> {
-        let mut all = std::mem::take(&mut *self.next.borrow_mut());
-        if self.items.replace(0) == 0 {
+        let mut all = std::mem::take(&mut *self.queued.borrow_mut());
+        if self.queued_items.replace(0) == 0 {
             return Ok(());
         }
-        // A batch of use may fill a frame by itself.
+        // A usage batch may fill a frame by itself.
         for batch in std::mem::take(&mut all.r#use) {
             codec::append_frame(bytes, &FromNode { r#use: vec![batch], ..FromNode::default() })?;
         }
         while [all.decisions.len(), all.seen.len(), all.outside.len(), all.levels.len()]
             .iter()
-            .any(|n| *n > BATCH)
+            .any(|n| *n > MAX_ITEMS_PER_FRAME)
         {
             let part = FromNode {
-                decisions: all.decisions.drain(..all.decisions.len().min(BATCH)).collect(),
-                seen: all.seen.drain(..all.seen.len().min(BATCH)).collect(),
-                outside: all.outside.drain(..all.outside.len().min(BATCH)).collect(),
-                levels: all.levels.drain(..all.levels.len().min(BATCH)).collect(),
+                decisions: all.decisions.drain(..all.decisions.len().min(MAX_ITEMS_PER_FRAME)).collect(),
+                seen: all.seen.drain(..all.seen.len().min(MAX_ITEMS_PER_FRAME)).collect(),
+                outside: all.outside.drain(..all.outside.len().min(MAX_ITEMS_PER_FRAME)).collect(),
+                levels: all.levels.drain(..all.levels.len().min(MAX_ITEMS_PER_FRAME)).collect(),
                 ..FromNode::default()
             };
             codec::append_frame(bytes, &part)?;
@@ -206,7 +216,7 @@
     }
 }
 
-/// The listening socket; its file goes with it.
+/// The listening socket. Dropping it removes the socket's file.
 #[derive(Debug)]
 pub struct LinkListener {
     listener: UnixListener,
@@ -216,7 +226,7 @@
 /// Opens the socket; see [`socket::listen`](crate::socket::listen).
 ///
 /// # Errors
-/// With what stands in the way.
+/// If the path is in use or cannot be listened at.
 pub fn bind(path: &Path) -> Result<LinkListener, String> {
     let listener = crate::socket::listen(path).map_err(|e| format!("link.{e}"))?;
     Ok(LinkListener { listener, path: path.to_path_buf() })
@@ -228,39 +238,40 @@
     }
 }
 
-/// Takes agents in until dropped, `most` of them at once; one more is told so and closed.
-pub async fn serve(door: LinkListener, host: Rc<dyn LinkHandler>, most: usize) {
-    let inside = Rc::new(Cell::new(0));
+/// Accepts agents until dropped. At most `max_agents` are connected at once; a further one is sent a bye and
+/// closed.
+pub async fn serve(listener: LinkListener, handler: Rc<dyn LinkHandler>, max_agents: usize) {
+    let connected = Rc::new(Cell::new(0));
     let mut number = 0;
     loop {
-        let Ok((stream, _)) = door.listener.accept().await else {
+        let Ok((stream, _)) = listener.listener.accept().await else {
             tokio::time::sleep(Duration::from_millis(50)).await;
             continue;
         };
-        if inside.get() >= most {
+        if connected.get() >= max_agents {
             let mut bytes = Vec::new();
-            let bye = format!("{most} agents are connected already");
+            let bye = format!("{max_agents} agents are connected already");
             if codec::append_frame(&mut bytes, &FromNode { bye, ..FromNode::default() }).is_ok() {
                 let _ = stream.try_write(&bytes);
             }
             continue;
         }
-        inside.set(inside.get() + 1);
+        connected.set(connected.get() + 1);
         number += 1;
-        let (peer, host, inside) = (AgentConnection::new(number), host.clone(), inside.clone());
+        let (peer, handler, connected) = (AgentConnection::new(number), handler.clone(), connected.clone());
         spawn_local(async move {
             let mut welcomed = false;
-            let ended = talk(&stream, &peer, &host, &mut welcomed).await;
-            inside.set(inside.get() - 1);
+            let ended = serve_connection(&stream, &peer, &handler, &mut welcomed).await;
+            connected.set(connected.get() - 1);
             if welcomed || ended.is_err() {
-                host.agent_disconnected(&peer, ended.err());
+                handler.agent_disconnected(&peer, ended.err());
             }
         });
     }
 }
 
-/// The first frame: who speaks, and which version.
-async fn greet(stream: &UnixStream, frames: &mut FrameReader) -> Result<Option<ToNode>, String> {
+/// Reads the first frame, or `None` if the agent disconnects before it.
+async fn read_hello(stream: &UnixStream, frames: &mut FrameReader) -> Result<Option<ToNode>, String> {
     loop {
         if let Some(first) = frames.next_message::<ToNode>().map_err(|e| e.to_string())? {
             return Ok(Some(first));
@@ -275,17 +286,17 @@
     }
 }
 
-/// Serves one agent until either side ends it. An error says why the agent was cut off.
-async fn talk(
+/// Serves one agent until either side closes the connection. An error says why the agent was disconnected.
+async fn serve_connection(
     stream: &UnixStream,
     peer: &Rc<AgentConnection>,
-    host: &Rc<dyn LinkHandler>,
+    handler: &Rc<dyn LinkHandler>,
     welcomed: &mut bool,
 ) -> Result<(), String> {
     let mut frames = FrameReader::default();
-    let first = timeout(HELLO, greet(stream, &mut frames)).await;
-    let Some(first) = first.map_err(|_| "it did not say who it is in time")?? else { return Ok(()) };
-    let Some(hello) = first.hello.clone() else { return Err("its first frame is no hello".into()) };
+    let first = timeout(HELLO_TIMEOUT, read_hello(stream, &mut frames)).await;
+    let Some(first) = first.map_err(|_| "it sent no hello in time")?? else { return Ok(()) };
+    let Some(hello) = first.hello.clone() else { return Err("its first frame is not a hello".into()) };
     let mut bytes = Vec::new();
     let version = hello.version;
     if version != VERSION {
@@ -293,18 +304,18 @@
         codec::append_frame(&mut bytes, &FromNode { bye, ..FromNode::default() })
             .map_err(|e| e.to_string())?;
         let _ = stream.try_write(&bytes);
-        return Err(format!("it speaks version {version}, this gatekeeper {VERSION}"));
+        return Err(format!("unsupported link version {version}; this gatekeeper uses {VERSION}"));
     }
     *welcomed = true;
-    let welcome = Some(host.welcome());
+    let welcome = Some(handler.welcome());
     codec::append_frame(&mut bytes, &FromNode { welcome, ..FromNode::default() })
         .map_err(|e| e.to_string())?;
-    host.agent_connected(peer, hello);
-    let mut work = Work::of(ToNode { hello: None, ..first });
-    // Since when the agent has taken nothing of what it should; since when a frame is half here.
-    let (mut stuck, mut half) = (None::<Instant>, None::<Instant>);
+    handler.agent_connected(peer, hello);
+    let mut items = UnhandledItems::new(ToNode { hello: None, ..first });
+    // Since when the agent has read none of the pending output, and since when a partial frame is buffered.
+    let (mut stalled_since, mut partial_since) = (None::<Instant>, None::<Instant>);
     loop {
-        if peer.overfull.get() {
+        if peer.is_overfull.get() {
             return Err(format!("it left more than {MAX_UNREAD_BYTES} bytes unread"));
         }
         peer.encode(&mut bytes).map_err(|e| e.to_string())?;
@@ -312,7 +323,7 @@
             match stream.try_write(&bytes) {
                 Ok(n) => {
                     bytes.drain(..n);
-                    stuck = None;
+                    stalled_since = None;
                 }
                 Err(e) if e.kind() == ErrorKind::WouldBlock => {}
                 Err(_) => return Ok(()),
@@ -321,26 +332,28 @@
                 bytes = Vec::new();
             }
         }
-        peer.unread.set(bytes.len());
-        stuck = if bytes.is_empty() { None } else { stuck.or_else(|| Some(Instant::now())) };
-        if peer.ending.get() {
+        peer.unsent_bytes.set(bytes.len());
+        stalled_since = if bytes.is_empty() { None } else { stalled_since.or_else(|| Some(Instant::now())) };
+        if peer.is_disconnecting.get() {
             return Ok(());
         }
-        // One frame at a time, a few items at one stroke: clients and workers come in between.
-        if work.stroke(peer, host) {
+        // One frame at a time and a few items per turn, so that clients and workers are served in between.
+        if items.handle_some(peer, handler) {
             yield_now().await;
             continue;
         }
         if let Some(next) = frames.next_message::<ToNode>().map_err(|e| e.to_string())? {
             if next.hello.is_some() {
-                return Err("it said hello twice".into());
+                return Err("it sent a second hello".into());
             }
-            work = Work::of(next);
-            half = None;
+            items = UnhandledItems::new(next);
+            partial_since = None;
             continue;
         }
-        half = if frames.has_partial_frame() { half.or_else(|| Some(Instant::now())) } else { None };
-        let limit = [stuck, half].into_iter().flatten().min().map(|since| since + STALL);
+        partial_since =
+            if frames.has_partial_frame() { partial_since.or_else(|| Some(Instant::now())) } else { None };
+        let deadline =
+            [stalled_since, partial_since].into_iter().flatten().min().map(|since| since + STALL_TIMEOUT);
         tokio::select! {
             ready = stream.readable() => {
                 if ready.is_err() {
@@ -356,15 +369,15 @@
             }
             _ = stream.writable(), if !bytes.is_empty() => {}
             () = peer.wake.notified() => {}
-            () = sleep_until(limit.unwrap_or_else(Instant::now)), if limit.is_some() => {
-                return Err(if half.is_some() { "a frame stood half sent" } else { "it took nothing in time" }.into());
+            () = sleep_until(deadline.unwrap_or_else(Instant::now)), if deadline.is_some() => {
+                return Err(if partial_since.is_some() { "it did not complete a frame in time" } else { "it read nothing in time" }.into());
             }
         }
     }
 }
 
-/// What is left of a frame.
-struct Work {
+/// The items of a frame that are not handled yet.
+struct UnhandledItems {
     checks: std::vec::IntoIter<Check>,
     settles: std::vec::IntoIter<Settle>,
     outside: std::vec::IntoIter<OutsideVerdict>,
@@ -377,9 +390,9 @@
     bye: bool,
 }
 
-impl Work {
-    fn of(frame: ToNode) -> Work {
-        Work {
+impl UnhandledItems {
+    fn new(frame: ToNode) -> UnhandledItems {
+        UnhandledItems {
             checks: frame.checks.into_iter(),
             settles: frame.settles.into_iter(),
             outside: frame.outside.into_iter(),
@@ -393,51 +406,51 @@
         }
     }
 
-    /// Does some of it. False if there was none.
-    fn stroke(&mut self, peer: &Rc<AgentConnection>, host: &Rc<dyn LinkHandler>) -> bool {
+    /// Handles some of the items. Returns false if there were none.
+    fn handle_some(&mut self, peer: &Rc<AgentConnection>, handler: &Rc<dyn LinkHandler>) -> bool {
         let mut done = 0;
         if !self.use_kept.is_empty() {
-            host.usage_acknowledged(peer, &std::mem::take(&mut self.use_kept));
+            handler.usage_acknowledged(peer, &std::mem::take(&mut self.use_kept));
             done += 1;
         }
-        // Before what was decided under them.
+        // Epochs are applied before the decisions that are fenced by them.
         if let Some(epochs) = self.epochs.take() {
-            host.apply_epochs(peer, epochs);
+            handler.apply_epochs(peer, epochs);
             done += 1;
         }
         if let Some(plans) = self.plans.take() {
-            host.apply_plans(peer, plans);
+            handler.apply_plans(peer, plans);
             done += 1;
         }
-        if let Some(guide) = self.zones.take() {
-            host.apply_zone_decision(peer, guide);
+        if let Some(zone_decision) = self.zones.take() {
+            handler.apply_zone_decision(peer, zone_decision);
             done += 1;
         }
-        if let Some(shut) = self.shut.take() {
-            host.apply_fenced_off(peer, shut);
+        if let Some(fenced_off) = self.shut.take() {
+            handler.apply_fenced_off(peer, fenced_off);
             done += 1;
         }
-        let levels: Vec<Level> = self.levels.by_ref().take(8 * STROKE).collect();
+        let levels: Vec<Level> = self.levels.by_ref().take(8 * MAX_ITEMS_PER_TURN).collect();
         if !levels.is_empty() {
-            host.restore_levels(peer, &levels);
+            handler.restore_levels(peer, &levels);
             return true;
         }
-        // Verdicts first: requests wait for them.
-        for verdict in self.outside.by_ref().take(STROKE) {
-            host.outside_verdict(peer, verdict);
+        // Verdicts come before checks: requests wait for them.
+        for verdict in self.outside.by_ref().take(MAX_ITEMS_PER_TURN) {
+            handler.outside_verdict(peer, verdict);
             done += 1;
         }
-        for settle in self.settles.by_ref().take(STROKE.saturating_sub(done)) {
-            host.settle_grant(peer, settle);
+        for settle in self.settles.by_ref().take(MAX_ITEMS_PER_TURN.saturating_sub(done)) {
+            handler.settle_grant(peer, settle);
             done += 1;
         }
-        for check in self.checks.by_ref().take(STROKE.saturating_sub(done)) {
-            host.handle_check(peer, check);
+        for check in self.checks.by_ref().take(MAX_ITEMS_PER_TURN.saturating_sub(done)) {
+            handler.handle_check(peer, check);
             done += 1;
         }
-        // After all else that came with it.
+        // The bye is handled after everything else in its frame.
         if done == 0 && std::mem::take(&mut self.bye) {
-            host.agent_stopping(peer);
+            handler.agent_stopping(peer);
             done += 1;
         }
         done > 0
--- a/src/bin/frostvale/applied_versions.rs
+++ b/src/bin/frostvale/applied_versions.rs
@@ -1,4 +1,5 @@
-//! What this gatekeeper acts on, worked out from what is in effect and not from what it was told; and whether it is shut out.
+//! The versions of the build, settings and decisions that this gatekeeper applies, computed from what is in
+//! effect and not from what it was sent; and whether this gatekeeper is fenced off.
 
 use crate::gatekeeper::Gatekeeper;
 use frostvale_audit::applied_versions::{
@@ -10,72 +11,84 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-/// The duty whose decisions say who is shut out.
+/// The duty whose decisions say which gatekeepers are fenced off.
 pub const AUDIT_DUTY: &str = "audit";
-/// Duties whose epochs are told.
-const EPOCHS_MOST: usize = 32;
-/// How long a decision may hold unheard.
-const HOLD_MOST_MS: u64 = 3_600_000;
+/// Duties whose epochs are reported.
+const MAX_REPORTED_EPOCHS: usize = 32;
+/// The longest time, in ms, for which a decision holds without being renewed.
+const MAX_HOLD_MS: u64 = 3_600_000;
 
-/// The digest of some bytes, as hex digits.
+/// The SHA-256 digest of bytes, as hex digits.
 pub fn digest(bytes: &[u8]) -> String {
     hex(&Sha256::digest(bytes))
 }
 
-/// The digest of the program that runs; of its version where its file can't be read any more.
-fn build() -> String {
+/// The digest of the running executable, or of its version if the file can no longer be read.
+fn build_digest() -> String {
     let file = std::env::current_exe().and_then(std::fs::read);
     file.map_or_else(|_| digest(env!("CARGO_PKG_VERSION").as_bytes()), |bytes| digest(&bytes))
 }
 
-/// What does not change by what agents say.
+/// Digests of the configuration, which agents do not change.
 pub struct ConfigDigests {
-    /// The digests of the platform's settings and of the own file, as they are in effect.
+    /// The digest of the platform's settings, as they are in effect.
     pub platform: String,
-    /// See `platform`.
+    /// The digest of the local settings file, as it is in effect.
     pub own: String,
 }
 
-/// What was told last, and what stands.
+/// The versions last reported, and the decision on fenced-off gatekeepers.
 pub struct AppliedVersions {
     build: String,
-    fixed: ConfigDigests,
+    config: ConfigDigests,
+    /// Incremented whenever the reported versions change.
     number: u64,
+    /// The versions last reported, by kind.
     last: BTreeMap<String, Version>,
-    /// The version of the decision on who is shut out, until when, and whether this gatekeeper is.
+    /// The version of the decision on fenced-off gatekeepers, when it expires, and whether it includes this
+    /// gatekeeper.
     version: u64,
-    until: Option<Instant>,
-    shut: bool,
+    expires_at: Option<Instant>,
+    is_fenced_off: bool,
 }
 
 impl AppliedVersions {
-    pub fn new(fixed: ConfigDigests) -> AppliedVersions {
+    /// Starts with no decision and nothing reported.
+    pub fn new(config: ConfigDigests) -> AppliedVersions {
         let none = BTreeMap::new();
-        AppliedVersions { build: build(), fixed, number: 0, last: none, version: 0, until: None, shut: false }
+        AppliedVersions {
+            build: build_digest(),
+            config,
+            number: 0,
+            last: none,
+            version: 0,
+            expires_at: None,
+            is_fenced_off: false,
+        }
     }
 
-    /// The configuration was read again: what is in effect now.
-    pub fn set_config_digests(&mut self, fixed: ConfigDigests) {
-        self.fixed = fixed;
+    /// Replaces the digests after the configuration was read again.
+    pub fn set_config_digests(&mut self, config: ConfigDigests) {
+        self.config = config;
     }
 
-    /// What is in effect.
+    /// The versions in effect, by kind.
     fn versions<'a>(
         &self,
         (revision, plans): (u64, &[Plan]),
         (zones, rows): (u64, &str),
         epochs: impl Iterator<Item = (&'a str, u64)>,
     ) -> BTreeMap<String, Version> {
-        let fixed = |digest: &String| Version { revision: 0, digest: digest.clone() };
-        let told = frostvale_link::proto::Plans { plans: plans.to_vec(), ..Default::default() };
+        let unnumbered = |digest: &String| Version { revision: 0, digest: digest.clone() };
+        let message = frostvale_link::proto::Plans { plans: plans.to_vec(), ..Default::default() };
         let mut all = BTreeMap::from([
-            (KIND_BUILD.to_string(), fixed(&self.build)),
-            (KIND_PLATFORM.to_string(), fixed(&self.fixed.platform)),
-            (KIND_LOCAL_SETTINGS.to_string(), fixed(&self.fixed.own)),
-            (KIND_PLANS.to_string(), Version { revision, digest: digest(&frostvale_link::encode(&told)) }),
+            (KIND_BUILD.to_string(), unnumbered(&self.build)),
+            (KIND_PLATFORM.to_string(), unnumbered(&self.config.platform)),
+            (KIND_LOCAL_SETTINGS.to_string(), unnumbered(&self.config.own)),
+            (KIND_PLANS.to_string(), Version { revision, digest: digest(&frostvale_link::encode(&message)) }),
             (KIND_ZONES.to_string(), Version { revision: zones, digest: rows.to_string() }),
         ]);
-        for (duty, epoch) in epochs.take(EPOCHS_MOST) {
+        for (duty, epoch) in epochs.take(MAX_REPORTED_EPOCHS) {
             all.insert(
                 format!("{KIND_EPOCH_PREFIX}{duty}"),
                 Version { revision: epoch, digest: String::new() },
@@ -84,7 +97,7 @@
         all
     }
 
-    /// What is told now.
+    /// The message with the versions in effect. Its number increases when they differ from the last report.
     pub fn report<'a>(
         &mut self,
         now_ms: u64,
@@ -98,7 +111,7 @@
             self.number += 1;
             self.last = versions;
         }
-        let word = |(kind, v): (&String, &Version)| Acting {
+        let acting = |(kind, v): (&String, &Version)| Acting {
             kind: kind.clone(),
             revision: v.revision,
             digest: v.digest.clone(),
@@ -108,48 +121,51 @@
             number: self.number,
             at_ms: now_ms,
             zone: gatekeeper.conf.areas.get(zone as usize).cloned().unwrap_or_else(|| zone.to_string()),
-            versions: self.last.iter().map(word).collect(),
-            shut: self.shut && self.until.is_some_and(|until| Instant::now() < until),
+            versions: self.last.iter().map(acting).collect(),
+            shut: self.is_fenced_off && self.expires_at.is_some_and(|expires_at| Instant::now() < expires_at),
             shut_version: self.version,
         }
     }
 
-    /// Who is shut out, as its fence let it through. Gives what the module is told.
+    /// Applies an admitted decision on fenced-off gatekeepers. Returns it in the decision module's form.
     ///
     /// # Errors
-    /// When a later version was here: nothing has changed then.
+    /// If a later version is in effect: nothing has changed then.
     pub fn apply_fenced_off(
         &mut self,
         name: &str,
-        me: u32,
-        word: &Shut,
+        own_index: u32,
+        decision: &Shut,
     ) -> Result<frostvale::FenceOffDecision, String> {
-        if word.version < self.version {
-            return Err(format!("version {} came after {}", word.version, self.version));
+        if decision.version < self.version {
+            return Err(format!(
+                "version {} is older than version {} in effect",
+                decision.version, self.version
+            ));
         }
-        let hold_ms = word.hold_ms.min(HOLD_MOST_MS);
-        let includes_self = word.out.iter().any(|o| o.instance == name);
-        let held = self.until.is_some_and(|until| Instant::now() < until);
-        if word.version != self.version || includes_self != (self.shut && held) {
-            let (version, many) = (word.version, word.out.len());
+        let hold_ms = decision.hold_ms.min(MAX_HOLD_MS);
+        let includes_self = decision.out.iter().any(|o| o.instance == name);
+        let held = self.expires_at.is_some_and(|expires_at| Instant::now() < expires_at);
+        if decision.version != self.version || includes_self != (self.is_fenced_off && held) {
+            let (version, count) = (decision.version, decision.out.len());
             match includes_self {
                 true => tracing::warn!(
                     version,
-                    "this gatekeeper is shut out by version {version}: all requests are turned away until it has caught up"
+                    "this gatekeeper is shut out by version {version}: all requests are refused until it is up to date"
                 ),
-                false if self.shut => {
-                    tracing::info!(version, "this gatekeeper is let in again by version {version}")
+                false if self.is_fenced_off => {
+                    tracing::info!(version, "this gatekeeper is readmitted by version {version}")
                 }
-                false => tracing::info!(version, "{many} gatekeepers are shut out by version {version}"),
+                false => tracing::info!(version, "{count} gatekeepers are shut out by version {version}"),
             }
         }
-        (self.version, self.shut) = (word.version, includes_self);
-        self.until = Some(Instant::now() + Duration::from_millis(hold_ms));
-        let others = word.out.iter().filter(|o| o.me != me).map(|o| o.me).collect();
+        (self.version, self.is_fenced_off) = (decision.version, includes_self);
+        self.expires_at = Some(Instant::now() + Duration::from_millis(hold_ms));
+        let others = decision.out.iter().filter(|o| o.me != own_index).map(|o| o.me).collect();
         Ok(frostvale::FenceOffDecision {
             includes_self,
             others,
-            retry_after_ms: word.retry_ms as f64,
+            retry_after_ms: decision.retry_ms as f64,
             hold_ms: hold_ms as f64,
         })
     }
--- a/src/bin/frostvale/client_request.rs
+++ b/src/bin/frostvale/client_request.rs
@@ -1,34 +1,37 @@
-//! A request as a client writes it, read and checked.
+//! Parses and validates a client's request, and encodes it for a worker.
 
 use crate::resp::{self, Command};
 use frostvale::{Name, RawEffect, RawSettings, Settings};
 use std::ops::Range;
 
-/// The longest time to wait that is taken, in ms, where the class sets no deadline.
+/// The longest wait, in ms, that a request may ask for where its class sets no deadline.
 pub const MAX_WAIT_MS: f64 = 60_000.0;
-/// Customers are numbers below this.
+/// Customer numbers are below this.
 pub const MAX_CUSTOMERS: u64 = 1 << 33;
 
-/// 16 hex digits as a number.
+/// Parses exactly 16 hex digits.
 pub fn parse_hex(text: &str) -> Option<u64> {
-    let sound = text.len() == 16 && text.bytes().all(|b| b.is_ascii_hexdigit());
-    u64::from_str_radix(text, 16).ok().filter(|_| sound)
+    let is_valid = text.len() == 16 && text.bytes().all(|b| b.is_ascii_hexdigit());
+    u64::from_str_radix(text, 16).ok().filter(|_| is_valid)
 }
 
-/// The most units that one request may count.
+/// The largest number of units that one request may have.
 pub fn max_units(settings: &Settings) -> f64 {
     if settings.max_request_units > 0.0 { settings.max_request_units } else { 1e6 }
 }
 
-/// A request as the client wrote it.
+/// A validated request.
 pub struct ClientRequest {
-    /// The whole command, and where in it the list of fields stands, its head included, and `d`'s digits.
+    /// The whole command as received.
     pub command: Box<[u8]>,
-    head: usize,
+    /// The length of the command before the header of the field list.
+    prefix_len: usize,
+    /// The byte range of the field list in `command`.
     fields: Range<usize>,
+    /// The byte range of the digits of `d` in `command`.
     deadline: Range<usize>,
     pub customer: Name,
-    /// The id that the client gave it.
+    /// The id that the client gave the request.
     pub client_id: u64,
     pub class: usize,
     pub plan: usize,
@@ -36,23 +39,25 @@
     pub first: u32,
     pub spread: u32,
     pub repeat: bool,
-    /// How long the client waits, in ms.
+    /// How long the client waits, in ms: `d`, bounded by the class's deadline.
     pub wait_ms: f64,
 }
 
 impl ClientRequest {
-    /// Writes it for a worker: unchanged but for `d`, which tells how long we wait.
-    pub fn write_to_worker(&self, wait: u64, out: &mut Vec<u8>) {
+    /// Appends the request for a worker: unchanged but for `d`, which holds how long the gatekeeper waits, in
+    /// ms.
+    pub fn write_to_worker(&self, wait_ms: u64, out: &mut Vec<u8>) {
         let mut digits = Vec::with_capacity(20);
-        resp::put_digits(&mut digits, wait);
-        out.extend_from_slice(&self.command[..self.head]);
+        resp::put_digits(&mut digits, wait_ms);
+        out.extend_from_slice(&self.command[..self.prefix_len]);
         resp::put_number(out, b'$', self.fields.len() - self.deadline.len() + digits.len());
         out.extend_from_slice(&self.command[self.fields.start..self.deadline.start]);
         out.extend_from_slice(&digits);
         out.extend_from_slice(&self.command[self.deadline.end..]);
     }
 
-    /// Reads a request. The text says which field is bad or missing.
+    /// Parses a request. The error text names the invalid or missing field. `is_open` says whether the client
+    /// already has a request with an id.
     pub fn parse(
         conf: &RawSettings,
         settings: &Settings,
@@ -77,13 +82,14 @@
         let (mut class, mut plan, mut deadline) = (None, None, None);
         let (mut units, mut first, mut spread) = (None, None, None);
         let (mut keyed, mut repeat) = (false, false);
-        let mut at = fields.start;
+        let mut position = fields.start;
         for field in text.split(',') {
             let (name, value) = field.split_once('=').ok_or("bad fields")?;
-            let place = at + name.len() + 1..at + field.len();
-            at += field.len() + 1;
-            let whole = |text: &str| text.parse::<u32>().ok().filter(|_| text.as_bytes()[0].is_ascii_digit());
-            let again = match name {
+            let range = position + name.len() + 1..position + field.len();
+            position += field.len() + 1;
+            let parse_u32 =
+                |text: &str| text.parse::<u32>().ok().filter(|_| text.as_bytes()[0].is_ascii_digit());
+            let is_duplicate = match name {
                 "c" => {
                     class.replace(conf.classes.iter().position(|c| c.name == value).ok_or("bad c")?).is_some()
                 }
@@ -91,21 +97,21 @@
                     plan.replace(conf.plans.iter().position(|p| p.name == value).ok_or("bad t")?).is_some()
                 }
                 "d" => {
-                    let ms = whole(value).map(f64::from).filter(|ms| (1.0..=MAX_WAIT_MS).contains(ms));
-                    deadline.replace((ms.ok_or("bad d")?, place)).is_some()
+                    let ms = parse_u32(value).map(f64::from).filter(|ms| (1.0..=MAX_WAIT_MS).contains(ms));
+                    deadline.replace((ms.ok_or("bad d")?, range)).is_some()
                 }
                 "units" => {
-                    let most = max_units(settings);
-                    let sound = |x: &f64| x.is_finite() && *x > 0.0 && *x <= most;
-                    units.replace(value.parse::<f64>().ok().filter(sound).ok_or("bad units")?).is_some()
+                    let limit = max_units(settings);
+                    let is_valid = |x: &f64| x.is_finite() && *x > 0.0 && *x <= limit;
+                    units.replace(value.parse::<f64>().ok().filter(is_valid).ok_or("bad units")?).is_some()
                 }
                 "first" => {
-                    let sound = |k: &u32| *k < settings.gatekeepers;
-                    first.replace(whole(value).filter(sound).ok_or("bad first")?).is_some()
+                    let is_valid = |k: &u32| *k < settings.gatekeepers;
+                    first.replace(parse_u32(value).filter(is_valid).ok_or("bad first")?).is_some()
                 }
                 "spread" => {
-                    let sound = |n: &u32| (1..=settings.gatekeepers).contains(n);
-                    spread.replace(whole(value).filter(sound).ok_or("bad spread")?).is_some()
+                    let is_valid = |n: &u32| (1..=settings.gatekeepers).contains(n);
+                    spread.replace(parse_u32(value).filter(is_valid).ok_or("bad spread")?).is_some()
                 }
                 "k" if value.is_empty() => return Err("bad k"),
                 "k" => std::mem::replace(&mut keyed, true),
@@ -115,7 +121,7 @@
                 }
                 _ => false,
             };
-            if again {
+            if is_duplicate {
                 return Err("a field stands twice");
             }
         }
@@ -128,13 +134,13 @@
             return Err("missing k");
         }
         let (wait_ms, deadline) = deadline.ok_or("missing d")?;
-        // Past the class's deadline no answer is of use, whatever the client would wait.
-        let most = conf.classes[class].deadline;
-        let wait_ms = if most > 0.0 { wait_ms.min(most) } else { wait_ms };
+        // An answer after the class's deadline is of no use, however long the client would wait.
+        let limit = conf.classes[class].deadline;
+        let wait_ms = if limit > 0.0 { wait_ms.min(limit) } else { wait_ms };
         Ok(ClientRequest {
             command: bytes[..command.len].into(),
-            // The fields' own head stands between the end of the part before and them.
-            head: command.range(2).end + 2,
+            // The field list's own header stands between the end of the previous part and the list.
+            prefix_len: command.range(2).end + 2,
             fields,
             deadline,
             customer: customer.into(),
--- a/src/bin/frostvale/link/tests.rs
+++ b/src/bin/frostvale/link/tests.rs
@@ -1,14 +1,14 @@
 use super::*;
 
 #[test]
-fn sets_are_told_when_they_change_and_bounded() {
-    let mut sets = Sets::default();
+fn shop_sets_report_changes_and_stay_bounded() {
+    let mut sets = RecentShopSets::default();
     let shop: Name = "00000000b4d65521".into();
-    assert!(sets.see(&shop, (0, 2)));
-    assert!(!sets.see(&shop, (0, 2)));
-    assert!(sets.see(&shop, (1, 2)));
-    for k in 0..3 * SEEN_MOST {
-        sets.see(&format!("{k:016x}").as_str().into(), (0, 1));
+    assert!(sets.record(&shop, (0, 2)));
+    assert!(!sets.record(&shop, (0, 2)));
+    assert!(sets.record(&shop, (1, 2)));
+    for k in 0..3 * MAX_SETS_PER_GENERATION {
+        sets.record(&format!("{k:016x}").as_str().into(), (0, 1));
     }
-    assert!(sets.young.len() + sets.old.len() <= 2 * SEEN_MOST);
+    assert!(sets.current.len() + sets.previous.len() <= 2 * MAX_SETS_PER_GENERATION);
 }
--- a/src/bin/frostvale/local_settings.rs
+++ b/src/bin/frostvale/local_settings.rs
@@ -1,4 +1,5 @@
-//! The gatekeeper's own file, which `GW_EXTRA` names: what the platform doesn't know of. Without it all of it is off.
+//! The gatekeeper's local settings file, which `GW_EXTRA` names: settings that the platform does not provide.
+//! Without the file, all of these features are off.
 
 use frostvale::RawSettings;
 use frostvale_log::Format;
@@ -9,9 +10,10 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
+/// The file as it is written.
 #[derive(Deserialize, Default)]
 #[serde(deny_unknown_fields, default)]
-struct File {
+struct SettingsFile {
     link: Option<Link>,
     outside: Option<Outside>,
     usage: Option<UsageSettings>,
@@ -21,7 +23,7 @@
     clock_ahead_ms: i64,
 }
 
-/// How log lines are written.
+/// The `[log]` section.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields, default)]
 struct Log {
@@ -35,7 +37,7 @@
     }
 }
 
-/// The same, as it is to be used.
+/// The validated `[log]` section.
 pub struct LogSettings {
     pub format: Format,
     pub level: String,
@@ -47,7 +49,7 @@
     }
 }
 
-/// How use is reported to the agent.
+/// The `[usage]` section: usage and bucket levels are reported to agents.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct UsageSettings {
@@ -66,7 +68,7 @@
     }
 }
 
-/// Zones, decided in common: what is seen is reported, and what was decided is acted on.
+/// The `[zones]` section: zone observations are reported, and zone decisions of the fleet are applied.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ZoneSettings {
@@ -85,12 +87,13 @@
     }
 }
 
-/// The audit: what this gatekeeper acts on is told, and who is shut out is heeded.
+/// The `[audit]` section: applied versions are reported, and decisions on fenced-off gatekeepers are applied.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct AuditSettings {
     report_ms: u64,
-    /// For drills alone: it says that plans are in effect and goes on by the ones it has.
+    /// A fault for drills: the gatekeeper reports plans as in effect and keeps applying the plans that it
+    /// has.
     pub fault_keeps_plans: bool,
 }
 
@@ -106,25 +109,26 @@
     }
 }
 
-/// The link to the host's agent.
+/// The `[link]` section: the link to the host's agents.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Link {
-    /// Where the socket stands.
+    /// The path of the socket.
     pub socket: PathBuf,
     /// Agents that may be connected at once.
-    #[serde(default = "agents")]
+    #[serde(default = "default_agents")]
     pub agents: usize,
 }
 
-fn agents() -> usize {
+fn default_agents() -> usize {
     4
 }
 
+/// The `[outside]` section; fields that are absent take the defaults of [`Settings`].
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Outside {
-    plans: BTreeMap<String, Word>,
+    plans: BTreeMap<String, FailureModeName>,
     deadline_part: Option<f64>,
     in_hand: Option<usize>,
     open_ms: Option<f64>,
@@ -133,35 +137,37 @@
     keep_most: Option<usize>,
 }
 
+/// What a plan's requests get while the outside service fails.
 #[derive(Deserialize, Clone, Copy)]
 #[serde(rename_all = "lowercase")]
-enum Word {
+enum FailureModeName {
     Allow,
     Deny,
 }
 
-/// What the file says; all off where there is none.
+/// The validated settings; everything is off where there is no file.
 #[derive(Default)]
 pub struct LocalSettings {
     pub link: Option<Link>,
     /// How an outside service is consulted.
     pub outside: Option<Settings>,
-    /// Whether use and levels are reported, and how often.
+    /// Present where usage and levels are reported.
     pub usage: Option<UsageSettings>,
-    /// Whether zones are decided on in common.
+    /// Present where zone decisions of the fleet are applied.
     pub zones: Option<ZoneSettings>,
-    /// Whether what is acted on is told.
+    /// Present where applied versions are reported.
     pub audit: Option<AuditSettings>,
-    /// The digest of the file; of nothing where there is none.
+    /// The digest of the file; empty where there is none.
     pub digest: String,
     /// How log lines are written.
     pub log: LogSettings,
-    /// Added to the host's clock where lives are named and use is dated.
+    /// Milliseconds that are added to the host's clock for the process's start time and the times of usage.
     pub clock_ahead_ms: i64,
 }
 
 impl LocalSettings {
-    /// Reads the file that `GW_EXTRA` names, if it names one. Plans are looked up in the settings.
+    /// Reads the file that `GW_EXTRA` names, if it names one. `conf` holds the plans that the file may name.
+    /// An error is one line that names the file and the field.
     pub fn read(conf: &RawSettings) -> Result<LocalSettings, String> {
         let Some(path) = env::var("GW_EXTRA").ok().filter(|path| !path.is_empty()) else {
             return Ok(LocalSettings::default());
@@ -171,9 +177,9 @@
     }
 
     fn parse(text: &str, conf: &RawSettings) -> Result<LocalSettings, String> {
-        // The first line says where and what; the rest is a drawing.
-        let told = |e: toml::de::Error| e.to_string().lines().collect::<Vec<_>>().join(" ");
-        let file: File = toml::from_str(text).map_err(told)?;
+        // A TOML error has several lines, with an excerpt of the file; the error has to be one line.
+        let one_line = |e: toml::de::Error| e.to_string().lines().collect::<Vec<_>>().join(" ");
+        let file: SettingsFile = toml::from_str(text).map_err(one_line)?;
         if let Some(link) = &file.link {
             if !link.socket.is_absolute() || link.socket.as_os_str().len() > 90 {
                 return Err("link.socket: an absolute path of at most 90 bytes".into());
@@ -203,7 +209,7 @@
         let outside = match file.outside {
             None => None,
             Some(_) if file.link.is_none() => return Err("outside: needs [link], which carries it".into()),
-            Some(outside) => Some(settings(outside, conf)?),
+            Some(outside) => Some(outside_settings(outside, conf)?),
         };
         let format = file.log.format.parse().map_err(|e| format!("log.format: {e}"))?;
         frostvale_log::check(&file.log.level).map_err(|e| format!("log.level: {e}"))?;
@@ -212,40 +218,40 @@
         if !(-600_000..=600_000).contains(&clock_ahead_ms) {
             return Err("clock_ahead_ms: -600000 to 600000".into());
         }
-        let File { link, usage, zones, audit, .. } = file;
+        let SettingsFile { link, usage, zones, audit, .. } = file;
         let digest = crate::applied_versions::digest(text.as_bytes());
         Ok(LocalSettings { link, outside, usage, zones, audit, digest, log, clock_ahead_ms })
     }
 }
 
-fn settings(outside: Outside, conf: &RawSettings) -> Result<Settings, String> {
+fn outside_settings(outside: Outside, conf: &RawSettings) -> Result<Settings, String> {
     let mut plans = vec![None; conf.plans.len()];
     let names: Vec<&str> = conf.plans.iter().map(|p| p.name.as_str()).collect();
-    let held = conf.settings();
-    for (name, word) in outside.plans {
+    let validated = conf.settings();
+    for (name, mode) in outside.plans {
         let Some(at) = names.iter().position(|n| *n == name) else {
             return Err(format!(
                 "outside.plans.{name}: no plan of that name; there are {}",
                 names.join(", ")
             ));
         };
-        if matches!(word, Word::Allow) && held.plans[at].ceiling_rate > 0.0 {
+        if matches!(mode, FailureModeName::Allow) && validated.plans[at].ceiling_rate > 0.0 {
             return Err(format!("outside.plans.{name}: a plan with a hard ceiling takes \"deny\" alone"));
         }
-        plans[at] = Some(match word {
-            Word::Allow => FailureMode::Allow,
-            Word::Deny => FailureMode::Deny,
+        plans[at] = Some(match mode {
+            FailureModeName::Allow => FailureMode::Allow,
+            FailureModeName::Deny => FailureMode::Deny,
         });
     }
-    let usual = Settings::default();
+    let defaults = Settings::default();
     let settings = Settings {
         plans,
-        deadline_part: outside.deadline_part.unwrap_or(usual.deadline_part),
-        in_hand: outside.in_hand.unwrap_or(usual.in_hand),
-        open_ms: outside.open_ms.unwrap_or(usual.open_ms),
-        open_most_ms: outside.open_most_ms.unwrap_or(usual.open_most_ms),
-        keep_ms: outside.keep_ms.unwrap_or(usual.keep_ms),
-        keep_most: outside.keep_most.unwrap_or(usual.keep_most),
+        deadline_part: outside.deadline_part.unwrap_or(defaults.deadline_part),
+        in_hand: outside.in_hand.unwrap_or(defaults.in_hand),
+        open_ms: outside.open_ms.unwrap_or(defaults.open_ms),
+        open_most_ms: outside.open_most_ms.unwrap_or(defaults.open_most_ms),
+        keep_ms: outside.keep_ms.unwrap_or(defaults.keep_ms),
+        keep_most: outside.keep_most.unwrap_or(defaults.keep_most),
     };
     settings.check().map_err(|e| format!("outside.{e}"))?;
     Ok(settings)
--- a/src/bin/frostvale/local_settings/tests.rs
+++ b/src/bin/frostvale/local_settings/tests.rs
@@ -5,11 +5,11 @@
         r#"{"Balancers":1,"Classes":[{"Name":"read","Target":400.0,"Effect":"repeatable"}],
             "Plans":[{"Name":"basico"},{"Name":"ferreteria","CapRate":2.0}]}"#,
     )
-    .expect("sound")
+    .expect("valid")
 }
 
 #[test]
-fn a_bad_file_is_one_line_that_names_the_field() {
+fn error_is_one_line_that_names_the_field_when_file_is_invalid() {
     let bad = [
         ("[link]\nsocket = \"rel\"", "link.socket"),
         ("[link]\nsocket = \"/tmp/s\"\nagents = 0", "link.agents: 1 to 64"),
@@ -30,16 +30,17 @@
             "outside.deadline_part: over 0 and at most 0.5",
         ),
     ];
-    for (text, word) in bad {
-        let said = LocalSettings::parse(text, &conf()).err().unwrap_or_else(|| panic!("{text:?} was taken"));
-        assert!(said.contains(word) && !said.contains('\n'), "{text:?}: {said}");
+    for (text, text_part) in bad {
+        let error =
+            LocalSettings::parse(text, &conf()).err().unwrap_or_else(|| panic!("{text:?} was accepted"));
+        assert!(error.contains(text_part) && !error.contains('\n'), "{text:?}: {error}");
     }
     assert!(LocalSettings::parse("", &conf()).is_ok_and(|e| e.link.is_none() && e.outside.is_none()));
 }
 
-/// What `run` starts with: no file. Whoever adds a part adds it here, switched off.
+/// `run` starts without a file. A new section has to be added here, switched off.
 #[test]
-fn without_a_file_every_part_is_off() {
+fn every_feature_is_off_without_a_file() {
     let LocalSettings { link, outside, usage, zones, audit, digest, log, clock_ahead_ms } =
         LocalSettings::default();
     assert!(link.is_none() && outside.is_none() && usage.is_none() && zones.is_none());
@@ -48,8 +49,8 @@
 }
 
 #[test]
-fn the_sample_is_sound() {
+fn sample_file_is_valid() {
     let sample = include_str!("../../../../deploy/frostvale.toml");
-    let extra = LocalSettings::parse(sample, &conf()).expect("sound");
-    assert!(extra.link.is_some());
+    let settings = LocalSettings::parse(sample, &conf()).expect("valid");
+    assert!(settings.link.is_some());
 }
--- a/src/bin/frostvale/peers.rs
+++ b/src/bin/frostvale/peers.rs
@@ -1,14 +1,15 @@
-//! Notes between gatekeepers: one UDP socket, datagrams of at most 256 bytes.
+//! Messages between gatekeepers: one UDP socket, datagrams of at most 256 bytes.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use tokio::net::UdpSocket;
 
-/// A longer datagram voids the run, and none is taken in.
+/// The longest datagram, in bytes. A longer one makes the platform's run invalid, so none is sent or
+/// accepted.
 pub const MAX_MESSAGE_BYTES: usize = 256;
 
-/// The way to the other gatekeepers of the tier.
+/// The socket and the addresses of the other gatekeepers of the tier.
 #[derive(Clone)]
 pub struct Peers {
     socket: Rc<UdpSocket>,
@@ -17,7 +18,7 @@
 }
 
 impl Peers {
-    /// `all` is an address that reaches every one of them, if there is one.
+    /// Binds the socket. `all` is an address that reaches every gatekeeper, if there is one.
     pub async fn bind(
         listen: SocketAddr,
         addresses: Vec<SocketAddr>,
@@ -26,7 +27,7 @@
         Ok(Peers { socket: Rc::new(UdpSocket::bind(listen).await?), addresses, all })
     }
 
-    /// Sends a note if the socket takes it now. Notes may be lost, so nothing waits for one.
+    /// Sends a message if the socket accepts it now. Messages may be lost, so no caller waits for one.
     pub fn send(&self, to: u32, text: &str) {
         if let Some(address) = self.addresses.get(to as usize)
             && text.len() <= MAX_MESSAGE_BYTES
@@ -35,7 +36,7 @@
         }
     }
 
-    /// Sends a note to all of them. One that comes back to its sender is passed over there.
+    /// Sends a message to all gatekeepers. A sender that receives its own message ignores it.
     pub fn broadcast(&self, text: &str) {
         if text.len() > MAX_MESSAGE_BYTES {
             return;
@@ -50,24 +51,26 @@
         }
     }
 
-    /// The task that takes notes in.
-    pub async fn listen(self, me: u32, heard: impl Fn(u32, &str)) {
-        let numbered = self.addresses.iter().zip(0u32..);
-        let numbers: HashMap<SocketAddr, u32> = numbered.map(|(address, k)| (*address, k)).collect();
+    /// The task that receives messages; `on_message` is called with the sender's number and the text.
+    pub async fn listen(self, own_index: u32, on_message: impl Fn(u32, &str)) {
+        let indexed = self.addresses.iter().zip(0u32..);
+        let index_of: HashMap<SocketAddr, u32> = indexed.map(|(address, k)| (*address, k)).collect();
         let mut bytes = [0u8; MAX_MESSAGE_BYTES + 1];
         loop {
-            // An error is an earlier note that could not be delivered, or lasting: then this must not spin.
+            // An error is an earlier message that could not be delivered, or a lasting one: the pause keeps
+            // the loop from spinning.
             let Ok((len, from)) = self.socket.recv_from(&mut bytes).await else {
                 tokio::time::sleep(std::time::Duration::from_millis(1)).await;
                 continue;
             };
-            // Only peers are heard, and only in words that may be a note.
-            let Some(from) = numbers.get(&from).copied().filter(|k| *k != me && len <= MAX_MESSAGE_BYTES)
+            // Only datagrams of other gatekeepers that may be a message are accepted.
+            let Some(from) =
+                index_of.get(&from).copied().filter(|k| *k != own_index && len <= MAX_MESSAGE_BYTES)
             else {
                 continue;
             };
             let Ok(text) = std::str::from_utf8(&bytes[..len]) else { continue };
-            heard(from, text);
+            on_message(from, text);
         }
     }
 }
--- a/src/bin/frostvale/usage/tests.rs
+++ b/src/bin/frostvale/usage/tests.rs
@@ -5,7 +5,7 @@
 }
 
 #[test]
-fn use_is_numbered_kept_until_acknowledged_and_merged_without_an_agent() {
+fn batches_stay_until_acknowledged_and_usage_merges_without_an_agent() {
     let mut usage = Usage::new(0);
     let shop: Name = "00000000b4d65521".into();
     usage.count(&shop, 0, 0, 1.5, UsageKind::Passed);
@@ -18,13 +18,13 @@
         usage.count(&shop, 0, 0, 1.0, UsageKind::Passed);
         usage.close(3000 + k, false);
     }
-    assert_eq!(usage.pending().count(), WAITING, "no more batches than that");
+    assert_eq!(usage.pending().count(), MAX_PENDING_BATCHES, "the number of batches is bounded");
     let all: Vec<UseBatch> = usage.pending().cloned().collect();
     let numbers: Vec<u64> = all.iter().map(|b| b.seq).collect();
-    assert_eq!(numbers, (1..=WAITING as u64).collect::<Vec<_>>());
-    assert_eq!(usage.overdue(8).count(), 0, "they may be on their way");
+    assert_eq!(numbers, (1..=MAX_PENDING_BATCHES as u64).collect::<Vec<_>>());
+    assert_eq!(usage.overdue(8).count(), 0, "their acknowledgement may be on its way");
     let overdue: Vec<u64> = usage.overdue(8).map(|b| b.seq).collect();
-    assert_eq!(overdue, (1..=8).collect::<Vec<_>>(), "the oldest are reported again");
+    assert_eq!(overdue, (1..=8).collect::<Vec<_>>(), "the oldest are sent again");
     usage.acknowledge(&numbers);
     let rest = usage.close(9000, true);
     assert_eq!(total(&all) + total(&rest), 1_002_500, "nothing is lost by merging");
@@ -35,13 +35,14 @@
 }
 
 #[test]
-fn more_shops_than_may_be_held_are_counted_together() {
+fn shops_past_the_limit_are_counted_together() {
     let mut usage = Usage::new(0);
-    for k in 0..SHOPS_MOST + 500 {
+    for k in 0..MAX_OPEN_ENTRIES + 500 {
         usage.count(&format!("{k:016x}").as_str().into(), 0, 0, 1.0, UsageKind::Passed);
     }
     let batches = usage.close(1, true);
-    assert_eq!(total(&batches), (SHOPS_MOST as u64 + 500) * 1000);
-    let others = batches.iter().flat_map(|b| &b.lines).find(|l| l.shop == OTHERS).expect("a line for them");
+    assert_eq!(total(&batches), (MAX_OPEN_ENTRIES as u64 + 500) * 1000);
+    let others =
+        batches.iter().flat_map(|b| &b.lines).find(|l| l.shop == OTHER_SHOPS).expect("a line for them");
     assert_eq!(others.passed_milli, 500_000);
 }
