--- a/crates/audit/src/decision.rs
+++ b/crates/audit/src/decision.rs
@@ -1,99 +1,103 @@
-//! What the owner has decided for the fleet: who is shut out, and how far the history goes.
+//! The owner's decision for the fleet: the fenced-off instances, checkpoints of the history, and the roster.
 
 use crate::applied_versions::is_name;
 use crate::hash_chain::Checkpoint;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 
-/// Instances that may be shut out at once.
+/// Limit of instances that are fenced off at once.
 pub const MAX_FENCED_OFF: usize = 1024;
-/// Anchors that are kept, the newest ones.
+/// Number of checkpoints that are kept: the newest ones.
 pub const MAX_CHECKPOINTS: usize = 16;
-const WHY_MOST: usize = 200;
-/// Instances in a roster: it fits into the council's log.
+/// Limit of the reason of a fence-off.
+const MAX_REASON_BYTES: usize = 200;
+/// Limit of roster entries, so that a decision fits into an entry of the council's log.
 pub const MAX_ROSTER_ENTRIES: usize = 512;
 
-/// One that is shut out.
+/// A fenced-off instance.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FencedOffInstance {
-    /// Which.
+    /// Its name.
     pub instance: String,
-    /// Its number in the tier, by which others know its notes.
+    /// Its gatekeeper number, by which others recognize its peer messages.
     pub me: u32,
-    /// Why.
+    /// The reason, as operators see it.
     pub why: String,
-    /// When, Unix time in ms by the owner's clock, for people.
+    /// When it was fenced off, Unix time in ms by the owner's clock; shown to operators only.
     pub at_ms: u64,
 }
 
-/// All of it.
+/// The owner's decision, as it is stored in the council's log.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Decision {
-    /// Who is shut out, by name.
+    /// The fenced-off instances.
     pub out: Vec<FencedOffInstance>,
-    /// When clients of one that is shut out should come back, in ms.
+    /// The delay after which clients of a fenced-off gatekeeper should retry, in ms.
     pub retry_ms: u64,
-    /// The history's end at some times, oldest first.
+    /// Checkpoints of the history, oldest first.
     pub anchors: Vec<Checkpoint>,
-    /// All that are known, so that a new owner misses those whom nobody hears.
+    /// The known instances, so that a new owner notices those that do not report.
     #[serde(default)]
     pub roster: Vec<RosterEntry>,
 }
 
-/// One that is known.
+/// A known instance.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RosterEntry {
-    /// Which.
+    /// Its name.
     pub instance: String,
-    /// The agent that it is heard through.
+    /// The agent that delivers its reports.
     pub agent: String,
-    /// Where it stands.
+    /// Its zone; empty if it has none.
     pub zone: String,
-    /// Its number, and how many there are.
+    /// Its gatekeeper number, from 0.
     pub me: u32,
-    /// See `me`.
+    /// The number of gatekeepers of its tier.
     pub gateways: u32,
-    /// Its life.
+    /// Its incarnation: when it started, Unix time in ms by its own clock.
     pub life: u64,
 }
 
 impl Decision {
-    /// Whether it can be acted on.
+    /// Checks the sizes, names and reasons of the decision.
     ///
     /// # Errors
-    /// With what can't be.
+    /// With the first field that is invalid and its limit.
     pub fn check(&self) -> Result<(), String> {
         if self.out.len() > MAX_FENCED_OFF
             || self.anchors.len() > MAX_CHECKPOINTS
             || self.roster.len() > MAX_ROSTER_ENTRIES
         {
             return Err(format!(
-                "out, anchors, roster: {MAX_FENCED_OFF}, {MAX_CHECKPOINTS} and {MAX_ROSTER_ENTRIES} at the most"
+                "out, anchors, roster: at most {MAX_FENCED_OFF}, {MAX_CHECKPOINTS}, {MAX_ROSTER_ENTRIES} entries"
             ));
         }
         let names: BTreeSet<&str> = self.out.iter().map(|o| o.instance.as_str()).collect();
         if names.len() < self.out.len() {
-            return Err("out: one is there twice".into());
+            return Err("out: an instance is listed twice".into());
         }
-        if !self.out.iter().all(|o| is_name(&o.instance) && o.why.len() <= WHY_MOST) {
-            return Err(format!("out: a name, and a reason of {WHY_MOST} bytes at the most"));
+        if !self.out.iter().all(|o| is_name(&o.instance) && o.why.len() <= MAX_REASON_BYTES) {
+            return Err(format!(
+                "out: each entry needs a valid instance name and a reason of at most {MAX_REASON_BYTES} bytes"
+            ));
         }
         Ok(())
     }
 
-    /// Adds an anchor, unless it is there.
-    pub fn add_checkpoint(&mut self, anchor: Checkpoint) {
-        if anchor.number > self.anchors.last().map_or(0, |a| a.number) {
-            self.anchors.push(anchor);
-            let over = self.anchors.len().saturating_sub(MAX_CHECKPOINTS);
-            self.anchors.drain(..over);
+    /// Adds a checkpoint if it is newer than the last one, and drops the oldest ones above
+    /// [`MAX_CHECKPOINTS`].
+    pub fn add_checkpoint(&mut self, checkpoint: Checkpoint) {
+        if checkpoint.number > self.anchors.last().map_or(0, |a| a.number) {
+            self.anchors.push(checkpoint);
+            let excess = self.anchors.len().saturating_sub(MAX_CHECKPOINTS);
+            self.anchors.drain(..excess);
         }
     }
 
-    /// Whether one is shut out.
+    /// Whether an instance is fenced off.
     #[must_use]
     pub fn is_fenced_off(&self, instance: &str) -> bool {
         self.out.iter().any(|o| o.instance == instance)
@@ -105,20 +109,20 @@
     use super::*;
 
     #[test]
-    fn bad_decisions_are_refused_and_anchors_are_bounded() {
-        let out = |name: &str| FencedOffInstance {
+    fn check_rejects_invalid_decisions_and_checkpoints_are_bounded() {
+        let fenced = |name: &str| FencedOffInstance {
             instance: name.into(),
             me: 1,
             why: "old plans".into(),
             at_ms: 0,
         };
-        let sound = Decision { out: vec![out("n1"), out("n2")], ..Decision::default() };
-        assert_eq!(sound.check(), Ok(()));
-        assert!(sound.is_fenced_off("n2") && !sound.is_fenced_off("n3"));
-        let twice = Decision { out: vec![out("n1"), out("n1")], ..Decision::default() };
-        assert!(twice.check().is_err_and(|e| e.contains("twice")));
-        let unnamed = Decision { out: vec![out("")], ..Decision::default() };
-        assert!(unnamed.check().is_err_and(|e| e.contains("a name")));
+        let valid = Decision { out: vec![fenced("n1"), fenced("n2")], ..Decision::default() };
+        assert_eq!(valid.check(), Ok(()));
+        assert!(valid.is_fenced_off("n2") && !valid.is_fenced_off("n3"));
+        let duplicate = Decision { out: vec![fenced("n1"), fenced("n1")], ..Decision::default() };
+        assert!(duplicate.check().is_err_and(|e| e.contains("listed twice")));
+        let unnamed = Decision { out: vec![fenced("")], ..Decision::default() };
+        assert!(unnamed.check().is_err_and(|e| e.contains("a valid instance name")));
         let mut decision = Decision::default();
         for number in [3, 2, 3].into_iter().chain(4..40) {
             decision.add_checkpoint(Checkpoint { number, hash: String::new() });
--- a/crates/audit/src/escalation.rs
+++ b/crates/audit/src/escalation.rs
@@ -1,5 +1,10 @@
-//! What is done about those that are behind, step by step: told again, sent all anew, shut out; and how one comes back. An
-//! intent narrows, evidence weighs, a floor has the last word: never the last of a set, never more than a part of a zone.
+//! Escalation for gatekeepers that act on outdated versions or do not report: notify, send a full snapshot,
+//! fence off; and readmission of those that have caught up.
+//!
+//! Reports decide who is a candidate and operator overrides can force or prevent a fence-off, but the limits
+//! in `FenceOffLimits` apply to both: the last gatekeeper in service, of the fleet or of a set, is never
+//! fenced off, and never more than `out_milli` thousandths of a zone. Where `out_milli` is above 0, a zone of
+//! two or more allows one.
 
 use crate::applied_version_table::{AppliedVersionTable, InstanceStatus};
 use crate::applied_versions::{KIND_ZONES, Version};
@@ -7,432 +12,481 @@
 use crate::settings::Settings;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What each should act on, of a kind.
+/// The version of one kind that every instance should act on.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TargetRevision {
-    /// The revision; one that acts on a lower one is behind.
+    /// The target revision; an instance at a lower one is behind.
     pub revision: u64,
-    /// The digest: with the same revision and another digest it acts on something else.
+    /// The expected digest: an instance at the same revision with another digest acts on different content.
     pub digest: ExpectedDigest,
-    /// Since when, by the owner's clock.
+    /// When this became the target, in ms of the owner's clock.
     pub since: u64,
 }
 
-/// The digest that those should tell who act on a revision.
+/// The digest that instances at the target revision are expected to report.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ExpectedDigest {
-    /// Digests of this kind say nothing: they differ from one to the other.
+    /// Digests of this kind are not compared, since they differ between instances.
     NotCompared,
-    /// It can't be said at present.
+    /// The reports do not determine it at present.
     Undecided,
-    /// This one.
+    /// The digest that most instances in service report.
     Majority(String),
 }
 
-/// How one stands to what is wanted.
-enum Judgement {
+/// How an instance's reported versions compare with the targets.
+enum VersionStatus {
     UpToDate,
-    /// At the wanted revision, by a digest that can't be judged at present; or nothing is known of what it acts on.
+    /// At the target revision while the expected digest is undetermined, or with no reported versions at all.
     Undecided,
     Behind {
-        /// By the owner's clock.
+        /// When the missed target was set, in ms of the owner's clock.
         since: u64,
         why: String,
-        /// It has the revision, with the digest of something else.
+        /// It is at the target revision, but reports another digest.
         by_digest: bool,
     },
 }
 
-/// Something to be done.
+/// An action for the owner to carry out.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
-    /// It is told again what stands.
+    /// Send the current state to this instance again.
     Notify(String),
-    /// All that is decided is sent to it anew, as to one that has just come.
+    /// Send this instance the full state, as on a new connection.
     SendSnapshot(String),
-    /// It is to be shut out.
+    /// Fence off this instance.
     FenceOff(FencedOffInstance),
-    /// It may come back.
+    /// Readmit this instance.
     Readmit(String),
-    /// It should be shut out and can't be: why.
+    /// This instance should be fenced off, but a limit forbids it: its name and the reason.
     RaiseAlarm(String, String),
 }
 
-/// How far one has come.
+/// The escalation step that a straggler has reached.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum EscalationStep {
-    /// Time to catch up.
+    /// Within the time to catch up.
     Waiting,
-    /// It was told again.
+    /// The current state was sent again.
     Notified,
-    /// All was sent to it anew.
+    /// A full snapshot was sent.
     SnapshotSent,
-    /// It is to be shut out, or is.
+    /// Due to be fenced off, or fenced off already.
     FenceOff,
 }
 
-/// One that is behind or unknown.
+/// An instance that is behind its targets or does not report.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Straggler {
-    /// Since when, by the owner's clock.
+    /// Since when, in ms of the owner's clock.
     pub since: u64,
-    /// How far it has come.
+    /// The step reached so far.
     pub step: EscalationStep,
-    /// Why, for people.
+    /// The reason, as operators see it.
     pub why: String,
-    /// Whether nothing is heard of it, which is another thing than to be behind.
-    pub unknown: bool,
-    alarmed: bool,
+    /// Whether it does not report, as opposed to reporting an outdated version.
+    pub is_unknown: bool,
+    /// Whether the alarm was already raised for this episode: it is raised once.
+    alarm_raised: bool,
+    /// Whether it is behind by its digest alone.
     by_digest: bool,
-    /// Of which life that is: one that starts anew has its time again.
+    /// The incarnation this applies to: a restarted instance gets the full time to catch up again.
     life: u64,
 }
 
 impl Straggler {
     fn new(known: &InstanceStatus, since: u64, why: String, by_digest: bool) -> Straggler {
-        let (unknown, life) = (known.is_silent, known.applied.life);
-        Straggler { since, step: EscalationStep::Waiting, why, unknown, alarmed: false, by_digest, life }
+        let (is_unknown, life) = (known.is_silent, known.applied.life);
+        Straggler {
+            since,
+            step: EscalationStep::Waiting,
+            why,
+            is_unknown,
+            alarm_raised: false,
+            by_digest,
+            life,
+        }
     }
 }
 
-/// All that are.
+/// The escalation state of the fleet.
 #[derive(Debug, Clone)]
 pub struct Escalation {
-    s: Settings,
-    all: BTreeMap<String, Straggler>,
-    /// Those that can't be judged at present: they stay as they are, in or out, and no step is taken.
+    settings: Settings,
+    /// By instance name.
+    stragglers: BTreeMap<String, Straggler>,
+    /// Instances whose status can't be determined at present: they stay in service or fenced off as they are,
+    /// and are not escalated.
     undecided: BTreeSet<String>,
-    /// Since when one that is shut out is up to date.
-    sound: BTreeMap<String, u64>,
-    /// When so many were last unknown that it was a split.
-    split: Option<u64>,
+    /// Since when each fenced-off instance is up to date, in ms of the owner's clock.
+    up_to_date_since: BTreeMap<String, u64>,
+    /// When the number of unknown instances last indicated a network partition.
+    last_split_at: Option<u64>,
 }
 
-/// What an operator intends of one instance.
+/// An operator's override for one instance.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum InstanceOverride {
-    /// It is to be shut out.
+    /// Fence it off, within the limits.
     FenceOff {
-        /// Who says so and why.
+        /// The operator and the reason.
         why: String,
     },
-    /// It is not to be, whatever it acts on.
+    /// Never fence it off, whatever it acts on; readmit it if it is fenced off.
     KeepInService,
 }
 
-fn judge(known: &InstanceStatus, wanted: &BTreeMap<String, TargetRevision>) -> Judgement {
+/// Compares an instance's reported versions with all targets. The result is the longest-standing shortfall if
+/// there is one, else undecided if any kind is undecided.
+fn compare_versions(known: &InstanceStatus, targets: &BTreeMap<String, TargetRevision>) -> VersionStatus {
     if known.applied.versions.is_empty() {
-        return Judgement::Undecided;
+        return VersionStatus::Undecided;
     }
-    let mut judged = Judgement::UpToDate;
-    for (kind, want) in wanted {
-        // Without a decision on zones it acts by itself, as it should.
-        let acts_on = |v: &&Version| !(kind == KIND_ZONES && v.revision == 0);
-        let Some(is) = known.applied.versions.get(kind).filter(acts_on) else { continue };
-        let found = judge_kind(kind, is, want);
-        judged = match (judged, found) {
-            (Judgement::Behind { since, why, by_digest }, Judgement::Behind { since: other, .. })
+    let mut status = VersionStatus::UpToDate;
+    for (kind, target) in targets {
+        // Without a decision on zones, an instance correctly routes by its own observations: that is not
+        // behind.
+        let is_effective = |v: &&Version| !(kind == KIND_ZONES && v.revision == 0);
+        let Some(applied) = known.applied.versions.get(kind).filter(is_effective) else { continue };
+        let found = compare_version(kind, applied, target);
+        status = match (status, found) {
+            (VersionStatus::Behind { since, why, by_digest }, VersionStatus::Behind { since: other, .. })
                 if since <= other =>
             {
-                Judgement::Behind { since, why, by_digest }
+                VersionStatus::Behind { since, why, by_digest }
             }
-            (_, found @ Judgement::Behind { .. }) => found,
-            (judged @ Judgement::Behind { .. }, _) => judged,
-            (Judgement::Undecided, _) | (_, Judgement::Undecided) => Judgement::Undecided,
-            _ => Judgement::UpToDate,
+            (_, found @ VersionStatus::Behind { .. }) => found,
+            (status @ VersionStatus::Behind { .. }, _) => status,
+            (VersionStatus::Undecided, _) | (_, VersionStatus::Undecided) => VersionStatus::Undecided,
+            _ => VersionStatus::UpToDate,
         };
     }
-    judged
+    status
 }
 
-fn judge_kind(kind: &str, is: &Version, want: &TargetRevision) -> Judgement {
-    let since = want.since;
-    if is.revision < want.revision {
-        let told = Version { revision: is.revision, digest: String::new() };
-        let why = format!("{kind} {} where {} is wanted", told.short(), want.revision);
-        return Judgement::Behind { since, why, by_digest: false };
+/// Compares the reported version of one kind with its target.
+fn compare_version(kind: &str, applied: &Version, target: &TargetRevision) -> VersionStatus {
+    let since = target.since;
+    if applied.revision < target.revision {
+        let reported = Version { revision: applied.revision, digest: String::new() };
+        let why = format!("{kind} {} where {} is wanted", reported.short(), target.revision);
+        return VersionStatus::Behind { since, why, by_digest: false };
     }
-    if is.revision > want.revision {
-        return Judgement::UpToDate;
+    if applied.revision > target.revision {
+        return VersionStatus::UpToDate;
     }
-    match &want.digest {
-        ExpectedDigest::Majority(digest) if *digest != is.digest => {
-            let why = format!("{kind} {} with the digest of something else", is.revision);
-            Judgement::Behind { since, why, by_digest: true }
+    match &target.digest {
+        ExpectedDigest::Majority(digest) if *digest != applied.digest => {
+            let why = format!("{kind} {} with the digest of something else", applied.revision);
+            VersionStatus::Behind { since, why, by_digest: true }
         }
-        ExpectedDigest::Undecided => Judgement::Undecided,
-        ExpectedDigest::Majority(_) | ExpectedDigest::NotCompared => Judgement::UpToDate,
+        ExpectedDigest::Undecided => VersionStatus::Undecided,
+        ExpectedDigest::Majority(_) | ExpectedDigest::NotCompared => VersionStatus::UpToDate,
     }
 }
 
 impl Escalation {
-    /// Nobody is behind.
+    /// Starts with no stragglers.
     #[must_use]
-    pub fn new(s: Settings) -> Escalation {
+    pub fn new(settings: Settings) -> Escalation {
         Escalation {
-            s,
-            all: BTreeMap::new(),
+            settings,
+            stragglers: BTreeMap::new(),
             undecided: BTreeSet::new(),
-            sound: BTreeMap::new(),
-            split: None,
+            up_to_date_since: BTreeMap::new(),
+            last_split_at: None,
         }
     }
 
-    /// Those that are behind or unknown.
+    /// The instances that are behind or unknown, by name.
     pub fn stragglers(&self) -> impl Iterator<Item = (&String, &Straggler)> {
-        self.all.iter()
+        self.stragglers.iter()
     }
 
-    /// Whether it can't be said at present what one acts on, or whether that is right.
+    /// Whether the instance's status can't be determined: its versions or the expected digest are unknown at
+    /// present.
     #[must_use]
     pub fn is_undecided(&self, name: &str) -> bool {
         self.undecided.contains(name)
     }
 
-    /// Time has passed. `sets`: the sets of shops, by first and how many; `stands`: who is shut out now.
+    /// Advances the escalation to `now` (ms of the owner's clock) and returns the actions that are due.
+    /// `at_ms` is the Unix time for new fence-off entries. `sets` holds the gatekeeper sets of shops as
+    /// (first, spread); `decision` says who is fenced off now.
     pub fn tick(
         &mut self,
         now: u64,
         at_ms: u64,
-        book: &AppliedVersionTable,
-        wanted: &BTreeMap<String, TargetRevision>,
-        (sets, hands): (&BTreeSet<(u32, u32)>, &BTreeMap<String, InstanceOverride>),
-        stands: &Decision,
+        table: &AppliedVersionTable,
+        targets: &BTreeMap<String, TargetRevision>,
+        (sets, overrides): (&BTreeSet<(u32, u32)>, &BTreeMap<String, InstanceOverride>),
+        decision: &Decision,
     ) -> Vec<Action> {
-        let mut acts = Vec::new();
-        self.look(book, wanted);
-        self.all.retain(|name, _| book.get(name).is_some());
-        self.sound.retain(|name, _| stands.is_fenced_off(name));
-        // The lower steps, for those that can be told anything.
+        let mut actions = Vec::new();
+        self.update_stragglers(table, targets);
+        self.stragglers.retain(|name, _| table.get(name).is_some());
+        self.up_to_date_since.retain(|name, _| decision.is_fenced_off(name));
+        // Notification and snapshot, for the instances that report and whose status is determined.
         let undecided = &self.undecided;
-        let may_be_told = |name: &str, s: &Straggler| !s.unknown && !undecided.contains(name);
-        for (name, straggler) in self.all.iter_mut().filter(|(n, s)| may_be_told(n, s)) {
-            let gone = now.saturating_sub(straggler.since);
-            let due = |ms: u64| gone >= ms;
+        let can_be_notified = |name: &str, s: &Straggler| !s.is_unknown && !undecided.contains(name);
+        for (name, straggler) in self.stragglers.iter_mut().filter(|(n, s)| can_be_notified(n, s)) {
+            let elapsed = now.saturating_sub(straggler.since);
+            let due = |ms: u64| elapsed >= ms;
             let next = match straggler.step {
-                EscalationStep::Waiting if due(self.s.tell_ms) => {
+                EscalationStep::Waiting if due(self.settings.tell_ms) => {
                     Some((EscalationStep::Notified, Action::Notify(name.clone())))
                 }
-                EscalationStep::Notified if due(self.s.tell_ms + self.s.snapshot_ms) => {
+                EscalationStep::Notified if due(self.settings.tell_ms + self.settings.snapshot_ms) => {
                     Some((EscalationStep::SnapshotSent, Action::SendSnapshot(name.clone())))
                 }
                 _ => None,
             };
-            if let Some((step, act)) = next {
+            if let Some((step, action)) = next {
                 straggler.step = step;
-                acts.push(act);
+                actions.push(action);
             }
         }
-        self.back(now, book, hands, stands, &mut acts);
-        self.out(now, at_ms, book, (sets, hands), stands, &mut acts);
-        acts
+        self.readmit(now, table, overrides, decision, &mut actions);
+        self.fence_off(now, at_ms, table, (sets, overrides), decision, &mut actions);
+        actions
     }
 
-    /// Who is behind, who is unknown, and who no longer is either.
-    fn look(&mut self, book: &AppliedVersionTable, wanted: &BTreeMap<String, TargetRevision>) {
+    /// Updates stragglers and undecided instances from the reported versions.
+    fn update_stragglers(&mut self, table: &AppliedVersionTable, targets: &BTreeMap<String, TargetRevision>) {
         self.undecided.clear();
-        for (name, known) in book.instances() {
+        for (name, known) in table.instances() {
             if known.is_silent {
                 let why = "nothing is heard of it".to_string();
-                self.put(name, Straggler::new(known, known.last_report_at, why, false));
+                self.upsert_straggler(name, Straggler::new(known, known.last_report_at, why, false));
                 continue;
             }
-            match judge(known, wanted) {
-                Judgement::UpToDate => drop(self.all.remove(name)),
-                Judgement::Undecided => {
+            match compare_versions(known, targets) {
+                VersionStatus::UpToDate => drop(self.stragglers.remove(name)),
+                VersionStatus::Undecided => {
                     self.undecided.insert(name.clone());
-                    if self.all.get(name).is_some_and(|s| !s.by_digest) {
-                        self.all.remove(name);
+                    if self.stragglers.get(name).is_some_and(|s| !s.by_digest) {
+                        self.stragglers.remove(name);
                     }
                 }
-                // It had its time from when it was heard again, or from when something new was wanted.
-                Judgement::Behind { since, why, by_digest } => {
-                    self.put(name, Straggler::new(known, since.max(known.reporting_since), why, by_digest));
+                // The time to catch up runs from the new target, or from when reports resumed if that was
+                // later.
+                VersionStatus::Behind { since, why, by_digest } => {
+                    self.upsert_straggler(
+                        name,
+                        Straggler::new(known, since.max(known.reporting_since), why, by_digest),
+                    );
                 }
             }
         }
     }
 
-    /// One is behind or unknown. It keeps its place, unless it was the other of both until now or has started anew.
-    fn put(&mut self, name: &str, found: Straggler) {
-        match self.all.get_mut(name) {
-            Some(known) if (known.unknown, known.life) == (found.unknown, found.life) => {
+    /// Inserts or updates a straggler. Its step and time are kept, unless it changed between behind and
+    /// unknown or has restarted.
+    fn upsert_straggler(&mut self, name: &str, found: Straggler) {
+        match self.stragglers.get_mut(name) {
+            Some(known) if (known.is_unknown, known.life) == (found.is_unknown, found.life) => {
                 known.why = found.why;
                 known.by_digest = found.by_digest;
             }
-            _ => drop(self.all.insert(name.to_string(), found)),
+            _ => drop(self.stragglers.insert(name.to_string(), found)),
         }
     }
 
-    /// Who may come back: it is heard, and up to date for long enough.
-    fn back(
+    /// Readmits fenced-off instances that report and were up to date for `back_ms`, and at once those that an
+    /// operator keeps in service.
+    fn readmit(
         &mut self,
         now: u64,
-        book: &AppliedVersionTable,
-        hands: &BTreeMap<String, InstanceOverride>,
-        stands: &Decision,
-        acts: &mut Vec<Action>,
+        table: &AppliedVersionTable,
+        overrides: &BTreeMap<String, InstanceOverride>,
+        decision: &Decision,
+        actions: &mut Vec<Action>,
     ) {
-        for out in &stands.out {
-            let name = &out.instance;
-            let by_hand = hands.get(name);
-            let gone = book.get(name).is_none();
-            let judged = !self.undecided.contains(name);
-            let well = !gone
-                && judged
-                && !self.all.contains_key(name)
-                && !matches!(by_hand, Some(InstanceOverride::FenceOff { .. }));
-            if !(well || by_hand == Some(&InstanceOverride::KeepInService)) {
-                self.sound.remove(name);
+        for fenced in &decision.out {
+            let name = &fenced.instance;
+            let operator_override = overrides.get(name);
+            let is_unlisted = table.get(name).is_none();
+            let is_determined = !self.undecided.contains(name);
+            let may_readmit = !is_unlisted
+                && is_determined
+                && !self.stragglers.contains_key(name)
+                && !matches!(operator_override, Some(InstanceOverride::FenceOff { .. }));
+            if !(may_readmit || operator_override == Some(&InstanceOverride::KeepInService)) {
+                self.up_to_date_since.remove(name);
                 continue;
             }
-            let since = *self.sound.entry(name.clone()).or_insert(now);
-            if now.saturating_sub(since) >= self.s.back_ms
-                || by_hand == Some(&InstanceOverride::KeepInService)
+            let since = *self.up_to_date_since.entry(name.clone()).or_insert(now);
+            if now.saturating_sub(since) >= self.settings.back_ms
+                || operator_override == Some(&InstanceOverride::KeepInService)
             {
-                acts.push(Action::Readmit(name.clone()));
+                actions.push(Action::Readmit(name.clone()));
             }
         }
     }
 
-    /// Who is to be shut out now, as far as the floors allow.
-    fn out(
+    /// Fences off the instances that are due, as far as the limits allow, and raises an alarm for the others.
+    fn fence_off(
         &mut self,
         now: u64,
         at_ms: u64,
-        book: &AppliedVersionTable,
-        (sets, hands): (&BTreeSet<(u32, u32)>, &BTreeMap<String, InstanceOverride>),
-        stands: &Decision,
-        acts: &mut Vec<Action>,
+        table: &AppliedVersionTable,
+        (sets, overrides): (&BTreeSet<(u32, u32)>, &BTreeMap<String, InstanceOverride>),
+        decision: &Decision,
+        actions: &mut Vec<Action>,
     ) {
-        let after = self.s.tell_ms + self.s.snapshot_ms + self.s.out_ms;
-        let (unknown_ms, kept_in) =
-            (self.s.unknown_ms, |name: &str| hands.get(name) == Some(&InstanceOverride::KeepInService));
-        let due = |s: &Straggler| now.saturating_sub(s.since) >= if s.unknown { unknown_ms } else { after };
-        let judged = |name: &str| !self.undecided.contains(name);
-        let mut wanted: Vec<(u64, String, String, bool)> = Vec::new();
-        for (name, s) in self.all.iter().filter(|(n, s)| due(s) && judged(n) && !kept_in(n)) {
-            wanted.push((s.since, name.clone(), s.why.clone(), s.unknown));
+        let fence_off_after_ms = self.settings.tell_ms + self.settings.snapshot_ms + self.settings.out_ms;
+        let (unknown_ms, is_kept_in_service) = (self.settings.unknown_ms, |name: &str| {
+            overrides.get(name) == Some(&InstanceOverride::KeepInService)
+        });
+        let due = |s: &Straggler| {
+            now.saturating_sub(s.since) >= if s.is_unknown { unknown_ms } else { fence_off_after_ms }
+        };
+        let is_determined = |name: &str| !self.undecided.contains(name);
+        let mut candidates: Vec<(u64, String, String, bool)> = Vec::new();
+        for (name, s) in
+            self.stragglers.iter().filter(|(n, s)| due(s) && is_determined(n) && !is_kept_in_service(n))
+        {
+            candidates.push((s.since, name.clone(), s.why.clone(), s.is_unknown));
         }
-        for (name, hand) in hands {
-            if let InstanceOverride::FenceOff { why } = hand
-                && book.get(name).is_some()
-                && !wanted.iter().any(|w| w.1 == *name)
+        for (name, operator_override) in overrides {
+            if let InstanceOverride::FenceOff { why } = operator_override
+                && table.get(name).is_some()
+                && !candidates.iter().any(|c| c.1 == *name)
             {
-                wanted.push((0, name.clone(), why.clone(), false));
+                candidates.push((0, name.clone(), why.clone(), false));
             }
         }
-        wanted.retain(|w| !stands.is_fenced_off(&w.1));
-        wanted.sort();
-        // Many that are unknown at once are far more often cut off than gone: it is not for this side to judge them. All count
-        // that are, not those alone whose time has come: a cut is not noticed of all at the same instant.
-        if self.unknown() > self.most(book.instances().count()) {
-            self.split = Some(now);
+        candidates.retain(|c| !decision.is_fenced_off(&c.1));
+        candidates.sort();
+        // When many instances are unknown at once, a network partition is far more likely than that all of
+        // them failed, and this side can't tell which side is at fault. All unknown instances count, not only
+        // those that are due, since the loss of reports is not noticed for all of them at the same instant.
+        if self.unknown_count() > self.max_fenced_off(table.instances().count()) {
+            self.last_split_at = Some(now);
         }
-        // Nor do they come back at the same instant: who is the last to be heard again has its time from the end of it.
-        let split = self.split.is_some_and(|at| now.saturating_sub(at) < unknown_ms);
-        let mut floor = Floor::new(book, stands, self);
-        for (_, name, why, unknown) in wanted {
-            let said = if unknown && split {
+        // Reports do not resume at the same instant either: the full `unknown_ms` runs again from the end of
+        // the partition.
+        let is_split = self.last_split_at.is_some_and(|at| now.saturating_sub(at) < unknown_ms);
+        let mut limits = FenceOffLimits::new(table, decision, self);
+        for (_, name, why, is_unknown) in candidates {
+            let permission = if is_unknown && is_split {
                 Err(format!(
                     "{} of {} are unknown at once: a split, as it seems",
-                    self.unknown(),
-                    book.instances().count()
+                    self.unknown_count(),
+                    table.instances().count()
                 ))
             } else {
-                floor.may(&name, sets, |many| self.most(many))
+                limits.try_fence_off(&name, sets, |instance_count| self.max_fenced_off(instance_count))
             };
-            let Some(straggler) = self.all.get_mut(&name) else {
-                // By hand alone.
-                match said {
-                    Ok(me) => acts.push(Action::FenceOff(FencedOffInstance {
+            let Some(straggler) = self.stragglers.get_mut(&name) else {
+                // Requested by an operator override only.
+                match permission {
+                    Ok(me) => actions.push(Action::FenceOff(FencedOffInstance {
                         instance: name,
                         me,
-                        why: short(&why),
+                        why: truncate_reason(&why),
                         at_ms,
                     })),
-                    Err(said) => acts.push(Action::RaiseAlarm(name, said)),
+                    Err(reason) => actions.push(Action::RaiseAlarm(name, reason)),
                 }
                 continue;
             };
             straggler.step = EscalationStep::FenceOff;
-            match said {
-                Ok(me) => acts.push(Action::FenceOff(FencedOffInstance {
+            match permission {
+                Ok(me) => actions.push(Action::FenceOff(FencedOffInstance {
                     instance: name,
                     me,
-                    why: short(&why),
+                    why: truncate_reason(&why),
                     at_ms,
                 })),
-                Err(said) if !straggler.alarmed => {
-                    straggler.alarmed = true;
-                    acts.push(Action::RaiseAlarm(name, format!("{why}; it stays: {said}")));
+                Err(reason) if !straggler.alarm_raised => {
+                    straggler.alarm_raised = true;
+                    actions.push(Action::RaiseAlarm(name, format!("{why}; it stays: {reason}")));
                 }
                 Err(_) => {}
             }
         }
     }
 
-    fn unknown(&self) -> usize {
-        self.all.values().filter(|s| s.unknown).count()
+    fn unknown_count(&self) -> usize {
+        self.stragglers.values().filter(|s| s.is_unknown).count()
     }
 
-    /// How many of so many may be out at once.
-    fn most(&self, many: usize) -> usize {
-        if many < 2 || self.s.out_milli == 0 { 0 } else { (many * self.s.out_milli as usize / 1000).max(1) }
+    /// How many of this number of instances may be fenced off at once.
+    fn max_fenced_off(&self, instance_count: usize) -> usize {
+        if instance_count < 2 || self.settings.out_milli == 0 {
+            0
+        } else {
+            (instance_count * self.settings.out_milli as usize / 1000).max(1)
+        }
     }
 }
 
-fn short(why: &str) -> String {
+/// Limits a reason to 120 characters.
+fn truncate_reason(why: &str) -> String {
     why.chars().take(120).collect()
 }
 
-/// What is left, as more are shut out.
-struct Floor<'a> {
-    book: &'a AppliedVersionTable,
-    out: BTreeSet<String>,
-    /// Numbers of those that serve and are known to.
-    well: BTreeSet<u32>,
+/// The limits on fence-offs: tracks who still serves while further instances are fenced off.
+struct FenceOffLimits<'a> {
+    table: &'a AppliedVersionTable,
+    fenced_off: BTreeSet<String>,
+    /// Numbers of the gatekeepers that are in service and report.
+    serving: BTreeSet<u32>,
 }
 
-impl<'a> Floor<'a> {
-    fn new(book: &'a AppliedVersionTable, stands: &Decision, ladder: &Escalation) -> Floor<'a> {
-        let out: BTreeSet<String> = stands.out.iter().map(|o| o.instance.clone()).collect();
+impl<'a> FenceOffLimits<'a> {
+    fn new(
+        table: &'a AppliedVersionTable,
+        decision: &Decision,
+        escalation: &Escalation,
+    ) -> FenceOffLimits<'a> {
+        let fenced_off: BTreeSet<String> = decision.out.iter().map(|o| o.instance.clone()).collect();
         let serves = |(name, k): (&String, &InstanceStatus)| {
-            let sound = !ladder.all.get(name).is_some_and(|s| s.unknown);
-            (sound && !out.contains(name)).then_some(k.applied.me)
+            let reports = !escalation.stragglers.get(name).is_some_and(|s| s.is_unknown);
+            (reports && !fenced_off.contains(name)).then_some(k.applied.me)
         };
-        Floor { book, well: book.instances().filter_map(serves).collect(), out }
+        FenceOffLimits { table, serving: table.instances().filter_map(serves).collect(), fenced_off }
     }
 
-    /// Whether it may go as well; gives its number and counts it out.
-    fn may(
+    /// Counts an instance as fenced off if the limits allow it, and returns its gatekeeper number.
+    ///
+    /// # Errors
+    /// With the limit that forbids it; nothing is counted then.
+    fn try_fence_off(
         &mut self,
         name: &str,
         sets: &BTreeSet<(u32, u32)>,
-        most: impl Fn(usize) -> usize,
+        max_fenced_off: impl Fn(usize) -> usize,
     ) -> Result<u32, String> {
-        let Some(known) = self.book.get(name) else { return Err("it is not known".into()) };
-        let (me, many) = (known.applied.me, known.applied.gateways);
+        let Some(known) = self.table.get(name) else { return Err("it is not known".into()) };
+        let (me, gatekeeper_count) = (known.applied.me, known.applied.gateways);
         let zone = &known.applied.zone;
-        let of = |n: &String| self.book.get(n).is_some_and(|k| k.applied.zone == *zone);
-        let there = self.book.instances().filter(|(n, _)| of(n)).count();
-        let gone = self.out.iter().filter(|n| of(n)).count();
-        if gone + 1 > most(there) {
-            return Err(format!("{gone} of {there} in zone {zone:?} are out, and {} may be", most(there)));
+        let in_zone = |n: &String| self.table.get(n).is_some_and(|k| k.applied.zone == *zone);
+        let zone_size = self.table.instances().filter(|(n, _)| in_zone(n)).count();
+        let fenced_in_zone = self.fenced_off.iter().filter(|n| in_zone(n)).count();
+        if fenced_in_zone + 1 > max_fenced_off(zone_size) {
+            return Err(format!(
+                "{fenced_in_zone} of {zone_size} in zone {zone:?} are out, and {} may be",
+                max_fenced_off(zone_size)
+            ));
         }
-        let mut rest = self.well.clone();
-        rest.remove(&me);
-        if rest.is_empty() {
+        let mut remaining = self.serving.clone();
+        remaining.remove(&me);
+        if remaining.is_empty() {
             return Err("it is the last".into());
         }
         for (first, spread) in sets {
-            let within = |n: u32| (n + many - first % many.max(1)) % many.max(1) < *spread;
-            if within(me) && !rest.iter().any(|n| within(*n)) {
+            let is_in_set = |n: u32| {
+                (n + gatekeeper_count - first % gatekeeper_count.max(1)) % gatekeeper_count.max(1) < *spread
+            };
+            if is_in_set(me) && !remaining.iter().any(|n| is_in_set(*n)) {
                 return Err(format!("it is the last of the set of {spread} from {first}"));
             }
         }
-        self.well = rest;
-        self.out.insert(name.to_string());
+        self.serving = remaining;
+        self.fenced_off.insert(name.to_string());
         Ok(me)
     }
 }
@@ -443,119 +497,123 @@
     use crate::applied_versions::{AppliedVersions, KIND_PLANS};
     use proptest::prelude::*;
 
-    fn acts(k: u32, many: u32, zones: u32, plans: u64) -> AppliedVersions {
+    fn applied_versions(k: u32, gatekeeper_count: u32, zones: u32, plans: u64) -> AppliedVersions {
         AppliedVersions {
             instance: format!("n{k}"),
             life: 7,
             number: plans.max(1),
             me: k,
-            gateways: many,
+            gateways: gatekeeper_count,
             zone: format!("z{}", k % zones),
             at_ms: 0,
             versions: [(KIND_PLANS.to_string(), Version { revision: plans, digest: "a".repeat(64) })].into(),
         }
     }
 
-    struct World {
-        book: AppliedVersionTable,
-        ladder: Escalation,
-        wanted: BTreeMap<String, TargetRevision>,
+    struct FleetModel {
+        table: AppliedVersionTable,
+        escalation: Escalation,
+        targets: BTreeMap<String, TargetRevision>,
         sets: BTreeSet<(u32, u32)>,
-        hands: BTreeMap<String, InstanceOverride>,
-        stands: Decision,
+        overrides: BTreeMap<String, InstanceOverride>,
+        decision: Decision,
         now: u64,
-        /// Revision of each, and whether its agent is heard.
+        /// Per gatekeeper: the revision of its plans, and whether its agent reports.
         fleet: Vec<(u64, bool)>,
         zones: u32,
-        /// Of all of them.
+        /// The incarnation of all gatekeepers.
         life: u64,
-        done: Vec<(u64, Action)>,
+        /// All actions so far, with the time.
+        actions_taken: Vec<(u64, Action)>,
     }
 
-    impl World {
-        fn new(many: u32, zones: u32) -> World {
+    impl FleetModel {
+        fn new(gatekeeper_count: u32, zones: u32) -> FleetModel {
             let s = Settings::default();
-            World {
-                book: AppliedVersionTable::new(s),
-                ladder: Escalation::new(s),
-                wanted: BTreeMap::new(),
+            FleetModel {
+                table: AppliedVersionTable::new(s),
+                escalation: Escalation::new(s),
+                targets: BTreeMap::new(),
                 sets: BTreeSet::new(),
-                hands: BTreeMap::new(),
-                stands: Decision::default(),
+                overrides: BTreeMap::new(),
+                decision: Decision::default(),
                 now: 0,
-                fleet: vec![(1, true); many as usize],
+                fleet: vec![(1, true); gatekeeper_count as usize],
                 zones,
                 life: 7,
-                done: Vec::new(),
+                actions_taken: Vec::new(),
             }
         }
 
-        fn want(&mut self, revision: u64) {
-            self.wanted.insert(
+        fn set_target_revision(&mut self, revision: u64) {
+            self.targets.insert(
                 KIND_PLANS.into(),
                 TargetRevision { revision, digest: ExpectedDigest::NotCompared, since: self.now },
             );
         }
 
         fn run(&mut self, ms: u64) {
-            let until = self.now + ms;
-            while self.now < until {
+            let end = self.now + ms;
+            while self.now < end {
                 self.now += 500;
-                let many = self.fleet.len() as u32;
-                for (k, (plans, heard)) in self.fleet.iter().enumerate() {
-                    if *heard {
-                        let told =
-                            AppliedVersions { life: self.life, ..acts(k as u32, many, self.zones, *plans) };
-                        let _ = self.book.record_report(self.now, "a", told, 0);
+                let gatekeeper_count = self.fleet.len() as u32;
+                for (k, (plans, is_reporting)) in self.fleet.iter().enumerate() {
+                    if *is_reporting {
+                        let reported = AppliedVersions {
+                            life: self.life,
+                            ..applied_versions(k as u32, gatekeeper_count, self.zones, *plans)
+                        };
+                        let _ = self.table.record_report(self.now, "a", reported, 0);
                     }
                 }
-                self.book.tick(self.now, |_| true);
-                let hands = (&self.sets, &self.hands);
-                let acts = self.ladder.tick(self.now, 0, &self.book, &self.wanted, hands, &self.stands);
-                for act in &acts {
-                    match act {
-                        Action::FenceOff(out) => self.stands.out.push(out.clone()),
-                        Action::Readmit(name) => self.stands.out.retain(|o| o.instance != *name),
+                self.table.tick(self.now, |_| true);
+                let overrides = (&self.sets, &self.overrides);
+                let actions =
+                    self.escalation.tick(self.now, 0, &self.table, &self.targets, overrides, &self.decision);
+                for action in &actions {
+                    match action {
+                        Action::FenceOff(fenced) => self.decision.out.push(fenced.clone()),
+                        Action::Readmit(name) => self.decision.out.retain(|o| o.instance != *name),
                         _ => {}
                     }
                 }
-                self.done.extend(acts.into_iter().map(|a| (self.now, a)));
+                self.actions_taken.extend(actions.into_iter().map(|a| (self.now, a)));
             }
         }
 
-        fn out(&self) -> Vec<&str> {
-            self.stands.out.iter().map(|o| o.instance.as_str()).collect()
+        fn fenced_off(&self) -> Vec<&str> {
+            self.decision.out.iter().map(|o| o.instance.as_str()).collect()
         }
     }
 
     #[test]
-    fn a_straggler_is_told_sent_all_and_shut_out_and_comes_back_by_catching_up() {
-        let mut world = World::new(6, 3);
-        world.run(1000);
-        world.want(2);
-        world.fleet.iter_mut().skip(1).for_each(|f| f.0 = 2);
-        world.run(20_000);
-        let kinds: Vec<&Action> = world.done.iter().map(|d| &d.1).collect();
+    fn escalation_notifies_sends_snapshot_and_fences_off_until_caught_up() {
+        let mut model = FleetModel::new(6, 3);
+        model.run(1000);
+        model.set_target_revision(2);
+        model.fleet.iter_mut().skip(1).for_each(|f| f.0 = 2);
+        model.run(20_000);
+        let kinds: Vec<&Action> = model.actions_taken.iter().map(|d| &d.1).collect();
         assert!(
             matches!(kinds[..], [Action::Notify(_), Action::SendSnapshot(_), Action::FenceOff(_)]),
             "{kinds:?}"
         );
-        assert_eq!(world.out(), ["n0"]);
-        assert!(world.stands.out[0].why.contains("plans 1 where 2 is wanted"), "{:?}", world.stands.out);
-        // It comes back by catching up, and in no other way.
-        world.run(60_000);
-        assert_eq!(world.out(), ["n0"]);
-        world.fleet[0].0 = 2;
-        world.run(3000);
-        assert_eq!(world.out(), Vec::<&str>::new());
+        assert_eq!(model.fenced_off(), ["n0"]);
+        assert!(model.decision.out[0].why.contains("plans 1 where 2 is wanted"), "{:?}", model.decision.out);
+        // It is readmitted by catching up, and not by the passing of time.
+        model.run(60_000);
+        assert_eq!(model.fenced_off(), ["n0"]);
+        model.fleet[0].0 = 2;
+        model.run(3000);
+        assert_eq!(model.fenced_off(), Vec::<&str>::new());
     }
 
     #[test]
-    fn a_new_owner_lets_nobody_in_before_it_can_judge_and_shuts_nobody_out() {
+    fn new_owner_changes_nothing_before_status_is_determined() {
         let s = Settings::default();
-        let (mut book, mut ladder) = (AppliedVersionTable::new(s), Escalation::new(s));
+        let (mut table, mut escalation) = (AppliedVersionTable::new(s), Escalation::new(s));
         let names = ["n0", "n1", "n2", "n3", "n4", "n5"];
-        let seat = |(me, name): (usize, &&str)| crate::decision::RosterEntry {
+        let roster_entry = |(me, name): (usize, &&str)| crate::decision::RosterEntry {
             instance: (*name).into(),
             agent: "a".into(),
             zone: "z0".into(),
@@ -563,77 +621,81 @@
             gateways: 6,
             life: 7,
         };
-        book.resume(0, &names.iter().enumerate().map(seat).collect::<Vec<_>>());
-        let out = FencedOffInstance { instance: "n5".into(), me: 5, why: "another digest".into(), at_ms: 0 };
-        let mut stands = Decision { out: vec![out], ..Decision::default() };
+        table.resume(0, &names.iter().enumerate().map(roster_entry).collect::<Vec<_>>());
+        let fenced =
+            FencedOffInstance { instance: "n5".into(), me: 5, why: "another digest".into(), at_ms: 0 };
+        let mut decision = Decision { out: vec![fenced], ..Decision::default() };
         let mut now = 0;
-        let mut play = |letter: &str, others: &str, turns: u32| {
-            let mut done = Vec::new();
-            for _ in 0..turns {
+        let mut run_ticks = |own_digest: &str, other_digest: &str, ticks: u32| {
+            let mut actions_taken = Vec::new();
+            for _ in 0..ticks {
                 now += 100;
                 for (k, name) in names.iter().enumerate() {
-                    let digest = if *name == "n5" { letter } else { others };
+                    let digest = if *name == "n5" { own_digest } else { other_digest };
                     if digest.is_empty() {
                         continue;
                     }
                     let version = Version { revision: 2, digest: digest.repeat(64) };
-                    let told = AppliedVersions {
+                    let reported = AppliedVersions {
                         versions: [(KIND_PLANS.to_string(), version)].into(),
-                        ..acts(k as u32, 6, 1, now)
+                        ..applied_versions(k as u32, 6, 1, now)
                     };
-                    book.record_report(now, "a", told, 0).expect("taken");
+                    table.record_report(now, "a", reported, 0).expect("taken");
                 }
-                book.tick(now, |_| true);
-                let digest = book.majority_digest(KIND_PLANS, 2, |name| stands.is_fenced_off(name));
-                let wanted = BTreeMap::from([(
+                table.tick(now, |_| true);
+                let digest = table.majority_digest(KIND_PLANS, 2, |name| decision.is_fenced_off(name));
+                let targets = BTreeMap::from([(
                     KIND_PLANS.to_string(),
                     TargetRevision { revision: 2, digest, since: 0 },
                 )]);
-                let hands = (&BTreeSet::new(), &BTreeMap::new());
-                for act in ladder.tick(now, 0, &book, &wanted, hands, &stands) {
-                    if let Action::Readmit(name) = &act {
-                        stands.out.retain(|o| o.instance != *name);
+                let overrides = (&BTreeSet::new(), &BTreeMap::new());
+                for action in escalation.tick(now, 0, &table, &targets, overrides, &decision) {
+                    if let Action::Readmit(name) = &action {
+                        decision.out.retain(|o| o.instance != *name);
                     }
-                    done.push(act);
+                    actions_taken.push(action);
                 }
             }
-            done
+            actions_taken
         };
-        let turns = u32::try_from(s.stale_ms / 100 - 1).expect("a few");
-        assert_eq!(play("b", "", turns), [], "nothing is heard but by the one that is out");
+        let ticks = u32::try_from(s.stale_ms / 100 - 1).expect("a few");
+        assert_eq!(run_ticks("b", "", ticks), [], "only the fenced-off instance reports");
         assert!(
-            !play("b", "a", 100).iter().any(|act| matches!(act, Action::Readmit(_) | Action::FenceOff(_)))
+            !run_ticks("b", "a", 100)
+                .iter()
+                .any(|action| matches!(action, Action::Readmit(_) | Action::FenceOff(_)))
         );
-        assert!(play("a", "a", 100).contains(&Action::Readmit("n5".into())));
+        assert!(run_ticks("a", "a", 100).contains(&Action::Readmit("n5".into())));
     }
 
     #[test]
-    fn one_that_starts_anew_has_its_time_to_catch_up() {
-        let mut world = World::new(6, 3);
-        world.run(1000);
-        world.want(2);
-        world.fleet.iter_mut().skip(1).for_each(|f| f.0 = 2);
+    fn restarted_straggler_gets_full_time_to_catch_up() {
+        let mut model = FleetModel::new(6, 3);
+        model.run(1000);
+        model.set_target_revision(2);
+        model.fleet.iter_mut().skip(1).for_each(|f| f.0 = 2);
         let s = Settings::default();
         let until_out = s.tell_ms + s.snapshot_ms + s.out_ms;
-        world.run(until_out - 1000);
-        world.life = 8;
-        world.run(until_out - 1000);
-        assert_eq!(world.out(), Vec::<&str>::new());
-        world.run(3000);
-        assert_eq!(world.out(), ["n0"]);
+        model.run(until_out - 1000);
+        model.life = 8;
+        model.run(until_out - 1000);
+        assert_eq!(model.fenced_off(), Vec::<&str>::new());
+        model.run(3000);
+        assert_eq!(model.fenced_off(), ["n0"]);
     }
 
     #[test]
-    fn the_last_of_a_set_stays_and_an_alarm_says_so() {
-        let mut world = World::new(6, 1);
-        world.sets.insert((0, 2));
-        world.run(1000);
-        world.want(2);
-        // All of a set are behind.
-        world.fleet.iter_mut().skip(2).for_each(|f| f.0 = 2);
-        world.run(40_000);
-        assert_eq!(world.out(), ["n0"]);
-        let alarms: Vec<_> = world.done.iter().filter(|d| matches!(d.1, Action::RaiseAlarm(..))).collect();
+    fn last_gatekeeper_of_set_stays_and_raises_alarm() {
+        let mut model = FleetModel::new(6, 1);
+        model.sets.insert((0, 2));
+        model.run(1000);
+        model.set_target_revision(2);
+        // All gatekeepers of the set are behind.
+        model.fleet.iter_mut().skip(2).for_each(|f| f.0 = 2);
+        model.run(40_000);
+        assert_eq!(model.fenced_off(), ["n0"]);
+        let alarms: Vec<_> =
+            model.actions_taken.iter().filter(|d| matches!(d.1, Action::RaiseAlarm(..))).collect();
         assert!(
             matches!(&alarms[..], [(_, Action::RaiseAlarm(name, why))] if name == "n1" && why.contains("the last of the set")),
             "{alarms:?}"
@@ -641,80 +703,91 @@
     }
 
     #[test]
-    fn one_that_is_silent_is_shut_out_and_half_of_all_are_not() {
-        let mut world = World::new(9, 3);
-        world.run(1000);
-        world.fleet[4].1 = false;
-        world.run(30_000);
-        assert_eq!(world.out(), ["n4"], "its agent is dead");
-        world.fleet[4].1 = true;
-        world.run(6000);
-        assert!(world.out().is_empty());
-        // A split: neither side may shut the other out, though it is not noticed of all at once.
+    fn silent_gatekeeper_is_fenced_off_but_half_of_fleet_is_not() {
+        let mut model = FleetModel::new(9, 3);
+        model.run(1000);
+        model.fleet[4].1 = false;
+        model.run(30_000);
+        assert_eq!(model.fenced_off(), ["n4"], "its agent has failed");
+        model.fleet[4].1 = true;
+        model.run(6000);
+        assert!(model.fenced_off().is_empty());
+        // A partition: neither side may fence off the other, though the reports do not stop at the same time.
         for k in [0, 1, 3, 4] {
-            world.fleet[k].1 = false;
-            world.run(1000);
+            model.fleet[k].1 = false;
+            model.run(1000);
         }
-        world.run(60_000);
-        assert!(world.out().is_empty(), "{:?}", world.out());
-        // It heals for some before others.
+        model.run(60_000);
+        assert!(model.fenced_off().is_empty(), "{:?}", model.fenced_off());
+        // Reports resume for some before others.
         for k in [0, 1, 3, 4] {
-            world.fleet[k].1 = true;
-            world.run(3000);
+            model.fleet[k].1 = true;
+            model.run(3000);
         }
-        world.run(5000);
-        assert!(world.out().is_empty(), "{:?}", world.out());
+        model.run(5000);
+        assert!(model.fenced_off().is_empty(), "{:?}", model.fenced_off());
         assert!(
-            world.done.iter().any(|d| matches!(&d.1, Action::RaiseAlarm(_, why) if why.contains("a split")))
+            model
+                .actions_taken
+                .iter()
+                .any(|d| matches!(&d.1, Action::RaiseAlarm(_, why) if why.contains("a split")))
         );
     }
 
     #[test]
-    fn by_hand_within_the_floors_and_kept_in_by_hand() {
-        let mut world = World::new(3, 3);
-        world.hands.insert("n1".into(), InstanceOverride::FenceOff { why: "ana: broken disk".into() });
-        world.run(2000);
-        assert!(world.out().is_empty(), "the only one of its zone");
-        let mut world = World::new(6, 2);
-        world.hands.insert("n1".into(), InstanceOverride::FenceOff { why: "ana: broken disk".into() });
-        world.run(2000);
-        assert_eq!(world.out(), ["n1"]);
-        world.hands.clear();
-        world.run(4000);
-        assert!(world.out().is_empty(), "its time is over");
-        world.hands.insert("n2".into(), InstanceOverride::KeepInService);
-        world.want(9);
-        world.run(60_000);
-        assert!(!world.out().contains(&"n2") && !world.out().is_empty(), "{:?}", world.out());
+    fn operator_overrides_fence_off_within_limits_and_keep_in_service() {
+        let mut model = FleetModel::new(3, 3);
+        model.overrides.insert("n1".into(), InstanceOverride::FenceOff { why: "ana: broken disk".into() });
+        model.run(2000);
+        assert!(model.fenced_off().is_empty(), "the only gatekeeper of its zone");
+        let mut model = FleetModel::new(6, 2);
+        model.overrides.insert("n1".into(), InstanceOverride::FenceOff { why: "ana: broken disk".into() });
+        model.run(2000);
+        assert_eq!(model.fenced_off(), ["n1"]);
+        model.overrides.clear();
+        model.run(4000);
+        assert!(model.fenced_off().is_empty(), "the override has expired");
+        model.overrides.insert("n2".into(), InstanceOverride::KeepInService);
+        model.set_target_revision(9);
+        model.run(60_000);
+        assert!(
+            !model.fenced_off().contains(&"n2") && !model.fenced_off().is_empty(),
+            "{:?}",
+            model.fenced_off()
+        );
     }
 
     proptest! {
-        /// Whoever is behind or silent, whenever: no zone and no set is ever left without one that serves, and never more
-        /// than the stated part of a zone is out.
+        /// Whichever gatekeepers are behind or silent, at any time: no zone and no set is left without a gatekeeper
+        /// in service, and never more than the configured fraction of a zone is fenced off.
         #[test]
-        fn the_floors_hold(
-            many in 2u32..14, zones in 1u32..4,
+        fn fence_off_limits_hold(
+            gatekeeper_count in 2u32..14, zones in 1u32..4,
             sets in prop::collection::vec((0u32..14, 1u32..6), 0..5),
             faults in prop::collection::vec((0usize..14, 0u64..3, any::<bool>(), 0u64..30_000), 1..20),
         ) {
-            let mut world = World::new(many, zones);
-            world.sets = sets.into_iter().map(|(f, s)| (f % many, s.min(many))).collect();
-            world.run(1000);
-            world.want(2);
-            for (k, plans, heard, ms) in faults {
-                let k = k % many as usize;
-                world.fleet[k] = (world.fleet[k].0.max(plans), heard);
-                world.run(ms);
-                let out: BTreeSet<u32> = world.stands.out.iter().map(|o| o.me).collect();
+            let mut model = FleetModel::new(gatekeeper_count, zones);
+            model.sets =
+                sets.into_iter().map(|(f, s)| (f % gatekeeper_count, s.min(gatekeeper_count))).collect();
+            model.run(1000);
+            model.set_target_revision(2);
+            for (k, plans, is_reporting, ms) in faults {
+                let k = k % gatekeeper_count as usize;
+                model.fleet[k] = (model.fleet[k].0.max(plans), is_reporting);
+                model.run(ms);
+                let fenced_off: BTreeSet<u32> = model.decision.out.iter().map(|o| o.me).collect();
                 for z in 0..zones {
-                    let there = (0..many).filter(|n| n % zones == z).count();
-                    let gone = out.iter().filter(|n| **n % zones == z).count();
-                    let most = if there < 2 { 0 } else { (there * 340 / 1000).max(1) };
-                    prop_assert!(gone <= most, "{gone} of {there} in z{z}");
+                    let zone_size = (0..gatekeeper_count).filter(|n| n % zones == z).count();
+                    let fenced_in_zone = fenced_off.iter().filter(|n| **n % zones == z).count();
+                    let limit = if zone_size < 2 { 0 } else { (zone_size * 340 / 1000).max(1) };
+                    prop_assert!(fenced_in_zone <= limit, "{fenced_in_zone} of {zone_size} in z{z}");
                 }
-                for (first, spread) in &world.sets {
-                    let left = (0..*spread).map(|d| (first + d) % many).filter(|n| !out.contains(n)).count();
-                    prop_assert!(left > 0, "the set of {spread} from {first} is gone");
+                for (first, spread) in &model.sets {
+                    let in_service = (0..*spread)
+                        .map(|d| (first + d) % gatekeeper_count)
+                        .filter(|n| !fenced_off.contains(n))
+                        .count();
+                    prop_assert!(in_service > 0, "none of the set of {spread} from {first} is in service");
                 }
             }
         }
--- a/crates/audit/src/hash_chain.rs
+++ b/crates/audit/src/hash_chain.rs
@@ -1,31 +1,33 @@
-//! A history of rows, each with the digest of the one before it: one that is changed, taken out or put in shows, and with an
-//! anchor kept elsewhere one that ends too early does too. The digest is SHA-256 over the row as JSON.
+//! A hash chain of history rows: each row holds the digest of the row before it, so that changed, removed and
+//! inserted rows are detected. With a checkpoint that is stored elsewhere, truncation is detected as well.
+//! The digest is SHA-256 over the row as a JSON array.
 
 use crate::applied_version_table::HistoryEvent;
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 use std::fmt;
 
-/// How far a history goes, and the digest of its last row.
+/// The end of a history at some time: the number and digest of its last row.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Checkpoint {
-    /// The row's number; 0 before the first.
+    /// The number of the row; 0 before the first row.
     pub number: u64,
-    /// Its digest; empty before the first.
+    /// The digest of the row as hex digits; empty before the first row.
     pub hash: String,
 }
 
-/// A row.
+/// A row of the history.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChainRow {
-    /// From 1, with none left out.
+    /// The number of the row, from 1 without gaps.
     pub number: u64,
-    /// When it was entered, Unix time in ms by the owner's clock, for people: rows are ordered by number.
+    /// When the row was entered, Unix time in ms by the owner's clock. Shown to operators only: rows are
+    /// ordered by number.
     pub at_ms: u64,
-    /// The owner's epoch.
+    /// The epoch of the owner that entered the row.
     pub epoch: u64,
-    /// Whom it is about; see [`HistoryEvent`].
+    /// The instance that it concerns; see [`HistoryEvent`].
     pub instance: String,
     /// See [`HistoryEvent`].
     pub life: u64,
@@ -39,17 +41,17 @@
     pub within_ms: u64,
     /// See [`HistoryEvent`].
     pub told_ms: u64,
-    /// The digest of the row before.
+    /// The digest of the previous row.
     pub prev: String,
-    /// Its own, over all of the above.
+    /// The digest of this row, over all fields above.
     pub hash: String,
 }
 
 impl ChainRow {
-    /// The digest that it should have.
+    /// Computes the digest of the row from its other fields.
     #[must_use]
     pub fn digest(&self) -> String {
-        let all = serde_json::json!([
+        let fields = serde_json::json!([
             self.number,
             self.at_ms,
             self.epoch,
@@ -62,11 +64,11 @@
             self.told_ms,
             self.prev,
         ]);
-        hex(&Sha256::digest(all.to_string().as_bytes()))
+        hex(&Sha256::digest(fields.to_string().as_bytes()))
     }
 }
 
-/// Bytes as hex digits.
+/// Formats bytes as lowercase hex digits.
 #[must_use]
 pub fn hex(bytes: &[u8]) -> String {
     use fmt::Write;
@@ -76,11 +78,11 @@
     })
 }
 
-/// Makes rows of events, after what stands.
+/// Makes the rows for `events` that follow on the history's end `after`.
 #[must_use]
 pub fn append(after: &Checkpoint, at_ms: u64, epoch: u64, events: Vec<HistoryEvent>) -> Vec<ChainRow> {
     let mut last = after.clone();
-    let row = |e: HistoryEvent| {
+    let next_row = |e: HistoryEvent| {
         let mut row = ChainRow {
             number: last.number + 1,
             at_ms,
@@ -99,22 +101,24 @@
         last = Checkpoint { number: row.number, hash: row.hash.clone() };
         row
     };
-    events.into_iter().map(row).collect()
+    events.into_iter().map(next_row).collect()
 }
 
-/// What is wrong with a history.
+/// A fault found in a history. Numbers are row numbers.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ChainError {
-    /// The row does not have the digest of what it says: it was changed.
+    /// The row's digest does not match its content: the row was changed.
     Changed(u64),
-    /// Rows from one to the other are not there.
+    /// The rows from the first number to the second, inclusive, are missing.
     Missing(u64, u64),
-    /// The row does not follow on the one before it: one of the two was put in or made anew.
+    /// The row's `prev` is not the digest of the row before it, or its number does not increase: one of the
+    /// two was inserted or rewritten.
     Foreign(u64),
-    /// Rows from this one on were there once, as an anchor says.
+    /// The rows from this number on are missing, although a checkpoint shows that they existed.
     CutOff(u64),
-    /// The row is another than the one that was anchored: a restored backup was written on, or the end was made anew.
+    /// The row's digest differs from its checkpoint: rows were appended to a restored backup, or the end was
+    /// rewritten.
     Rewritten(u64),
 }
 
@@ -124,59 +128,63 @@
             ChainError::Changed(n) => write!(f, "row {n} was changed"),
             ChainError::Missing(a, b) => write!(f, "rows {a} to {b} are gone"),
             ChainError::Foreign(n) => {
-                write!(f, "row {n} does not follow on the one before: one was put in or made anew")
+                write!(
+                    f,
+                    "row {n} does not follow on the row before it: one of the two was inserted or rewritten"
+                )
             }
             ChainError::CutOff(n) => write!(f, "the history was cut off: rows from {n} on were there once"),
             ChainError::Rewritten(n) => {
-                write!(f, "row {n} is another than the one that was anchored: written on after a restore?")
+                write!(f, "row {n} differs from its checkpoint: rewritten, or appended after a restore")
             }
         }
     }
 }
 
-/// Looks through a history, in parts of rows by number.
+/// Verifies a history row by row, in the order of the numbers.
 #[derive(Debug, Clone)]
 pub struct ChainVerifier {
     last: Checkpoint,
-    anchors: Vec<Checkpoint>,
-    broken: Vec<ChainError>,
+    checkpoints: Vec<Checkpoint>,
+    errors: Vec<ChainError>,
     rows: u64,
 }
 
 impl ChainVerifier {
-    /// From where the history begins, as retention has left it, with anchors kept elsewhere.
+    /// Starts after `base`, the last row that retention removed, with the checkpoints that are stored
+    /// elsewhere. Checkpoints up to `base` are ignored.
     #[must_use]
-    pub fn new(base: Checkpoint, mut anchors: Vec<Checkpoint>) -> ChainVerifier {
-        anchors.retain(|a| a.number > base.number);
-        anchors.sort_by_key(|a| a.number);
-        ChainVerifier { last: base, anchors, broken: Vec::new(), rows: 0 }
+    pub fn new(base: Checkpoint, mut checkpoints: Vec<Checkpoint>) -> ChainVerifier {
+        checkpoints.retain(|a| a.number > base.number);
+        checkpoints.sort_by_key(|a| a.number);
+        ChainVerifier { last: base, checkpoints, errors: Vec::new(), rows: 0 }
     }
 
-    /// The next row.
+    /// Verifies the next row and records its faults.
     pub fn check_row(&mut self, row: &ChainRow) {
         self.rows += 1;
         if row.number > self.last.number + 1 {
-            self.broken.push(ChainError::Missing(self.last.number + 1, row.number - 1));
+            self.errors.push(ChainError::Missing(self.last.number + 1, row.number - 1));
         } else if row.prev != self.last.hash || row.number <= self.last.number {
-            self.broken.push(ChainError::Foreign(row.number));
+            self.errors.push(ChainError::Foreign(row.number));
         }
         if row.digest() != row.hash {
-            self.broken.push(ChainError::Changed(row.number));
+            self.errors.push(ChainError::Changed(row.number));
         }
-        let anchored = self.anchors.iter().find(|a| a.number == row.number);
-        if anchored.is_some_and(|a| a.hash != row.hash) {
-            self.broken.push(ChainError::Rewritten(row.number));
+        let checkpoint = self.checkpoints.iter().find(|a| a.number == row.number);
+        if checkpoint.is_some_and(|a| a.hash != row.hash) {
+            self.errors.push(ChainError::Rewritten(row.number));
         }
         self.last = Checkpoint { number: row.number, hash: row.hash.clone() };
     }
 
-    /// What is wrong, and how many rows were looked at.
+    /// The faults found, and the number of rows verified.
     #[must_use]
     pub fn finish(mut self) -> (Vec<ChainError>, u64) {
-        if self.anchors.last().is_some_and(|a| a.number > self.last.number) {
-            self.broken.push(ChainError::CutOff(self.last.number + 1));
+        if self.checkpoints.last().is_some_and(|a| a.number > self.last.number) {
+            self.errors.push(ChainError::CutOff(self.last.number + 1));
         }
-        (self.broken, self.rows)
+        (self.errors, self.rows)
     }
 }
 
@@ -197,26 +205,26 @@
         (0..n).map(event).collect()
     }
 
-    fn verify(rows: &[ChainRow], anchors: Vec<Checkpoint>) -> Vec<ChainError> {
-        let mut verify = ChainVerifier::new(Checkpoint::default(), anchors);
+    fn verify(rows: &[ChainRow], checkpoints: Vec<Checkpoint>) -> Vec<ChainError> {
+        let mut verify = ChainVerifier::new(Checkpoint::default(), checkpoints);
         rows.iter().for_each(|r| verify.check_row(r));
         verify.finish().0
     }
 
-    fn anchor(rows: &[ChainRow]) -> Checkpoint {
+    fn checkpoint_at_end(rows: &[ChainRow]) -> Checkpoint {
         rows.last().map_or(Checkpoint::default(), |r| Checkpoint { number: r.number, hash: r.hash.clone() })
     }
 
     #[test]
-    fn a_row_changed_removed_or_put_in_a_cut_end_and_a_restored_backup_are_named() {
+    fn verifier_detects_changed_removed_inserted_truncated_and_restored_rows() {
         let rows = append(&Checkpoint::default(), 5, 3, events(300));
-        let end = anchor(&rows);
+        let end = checkpoint_at_end(&rows);
         assert_eq!(verify(&rows, vec![end.clone()]), []);
 
         let mut changed = rows.clone();
         changed[49].now_is = "other".into();
         assert_eq!(verify(&changed, vec![end.clone()]), [ChainError::Changed(50)]);
-        // Whoever makes its digest anew gives it away with the next row's.
+        // If the digest is recomputed, the next row no longer follows on it.
         changed[49].hash = changed[49].digest();
         assert_eq!(verify(&changed, vec![end.clone()]), [ChainError::Foreign(51)]);
 
@@ -224,32 +232,32 @@
         removed.remove(99);
         assert_eq!(verify(&removed, vec![end.clone()]), [ChainError::Missing(100, 100)]);
 
-        let mut put_in = rows.clone();
-        let mut row = put_in[9].clone();
+        let mut inserted = rows.clone();
+        let mut row = inserted[9].clone();
         row.now_is = "never was".into();
         row.hash = row.digest();
-        put_in.insert(10, row);
-        assert_eq!(verify(&put_in, vec![end.clone()]), [ChainError::Foreign(10), ChainError::Foreign(11)]);
+        inserted.insert(10, row);
+        assert_eq!(verify(&inserted, vec![end.clone()]), [ChainError::Foreign(10), ChainError::Foreign(11)]);
 
         assert_eq!(verify(&rows[..200], vec![end.clone()]), [ChainError::CutOff(201)]);
-        // Without an anchor nobody could tell.
+        // Without a checkpoint, truncation can't be detected.
         assert_eq!(verify(&rows[..200], vec![]), []);
 
-        // A backup of 200 rows that was written on up to where it was.
+        // A restored backup of 200 rows, with new rows appended past the checkpoint.
         let mut restored = rows[..200].to_vec();
-        restored.extend(append(&anchor(&rows[..200]), 77, 4, events(150)));
+        restored.extend(append(&checkpoint_at_end(&rows[..200]), 77, 4, events(150)));
         assert_eq!(verify(&restored, vec![end.clone()]), [ChainError::Rewritten(300)]);
-        // All made anew from row 150 on, digests and all.
-        let mut anew = rows[..150].to_vec();
-        anew.extend(append(&anchor(&rows[..150]), 5, 3, events(150)));
-        assert_eq!(verify(&anew, vec![end]), [ChainError::Rewritten(300)]);
+        // All rows after 150 rewritten, with valid digests.
+        let mut rewritten = rows[..150].to_vec();
+        rewritten.extend(append(&checkpoint_at_end(&rows[..150]), 5, 3, events(150)));
+        assert_eq!(verify(&rewritten, vec![end]), [ChainError::Rewritten(300)]);
     }
 
     #[test]
-    fn what_retention_has_left_is_verified_from_its_base() {
+    fn verifier_starts_at_base_left_by_retention() {
         let rows = append(&Checkpoint::default(), 5, 3, events(100));
-        let (base, end) = (anchor(&rows[..40]), anchor(&rows));
-        let mut verify = ChainVerifier::new(base, vec![anchor(&rows[..20]), end]);
+        let (base, end) = (checkpoint_at_end(&rows[..40]), checkpoint_at_end(&rows));
+        let mut verify = ChainVerifier::new(base, vec![checkpoint_at_end(&rows[..20]), end]);
         rows[40..].iter().for_each(|r| verify.check_row(r));
         assert_eq!(verify.finish(), (vec![], 60));
     }
--- a/crates/audit/src/lib.rs
+++ b/crates/audit/src/lib.rs
@@ -1,18 +1,23 @@
-//! An audit of a fleet, without input, output or clock.
+//! The audit of a fleet: which versions each gatekeeper acts on, and what is done about outdated ones. This
+//! crate does no input or output and reads no clock.
 //!
 //! # Why
 //!
-//! After a change nobody could say which gatekeeper had turned a shop away by the old plan, and one whose agent had died went on
-//! deciding by last week's figures while all others took its word for quotas. So each gatekeeper tells what it acts on, by
-//! revision and digest; one owner keeps the book, sees who is behind, has it brought up step by step, and shuts it out by a
-//! decision in common where nothing else has helped.
+//! Two faults led to it. After a change of plans it was not possible to find out which gatekeeper had refused
+//! a shop's request under the old plan. And a gatekeeper whose agent had failed went on deciding by figures a
+//! week old, while all others relied on its replies for quotas.
 //!
-//! - [`applied_versions`]: what an instance acts on, as it told.
-//! - [`applied_version_table`]: what is known of whom, and since when of whom nothing.
-//! - [`escalation`]: what is done about those that are behind, within floors.
-//! - [`decision`]: who is shut out, and the history's anchor.
-//! - [`hash_chain`]: a history of rows, each with the digest of all before it.
-//! - [`replay`]: what each instance acted on at a time, and what can't be told.
+//! So each gatekeeper reports the versions that it acts on, by revision and digest. One elected owner records
+//! the reports, detects instances that are behind, escalates step by step, and as the last resort fences an
+//! instance off by a decision that all gatekeepers receive.
+//!
+//! - [`applied_versions`]: the versions that an instance reports.
+//! - [`applied_version_table`]: the latest report of each instance, and which instances are silent.
+//! - [`escalation`]: the steps taken for instances that are behind, and the limits on fencing them off.
+//! - [`decision`]: the fenced-off instances, the roster and the checkpoints of the history.
+//! - [`hash_chain`]: a history of rows, each with the digest of the row before it.
+//! - [`replay`]: what each instance acted on at a given time, and which changes are uncertain.
+//! - [`settings`]: the times and limits of the escalation.
 
 pub mod applied_version_table;
 pub mod applied_versions;
--- a/crates/audit/src/replay.rs
+++ b/crates/audit/src/replay.rs
@@ -1,81 +1,84 @@
-//! What each instance acted on at a time, by the history. Rows are ordered by their number alone; when a change happened is
-//! known to lie between when the instance was last heard before it and when it was entered. What falls between is shown as
-//! such, and not guessed.
+//! Reconstructs from the history what each instance acted on at a given time.
+//!
+//! Rows are ordered by their number alone. A change happened at some time between the instance's last report
+//! before it and the entry of its row. If the given time lies in that interval, the change is listed as
+//! uncertain instead of being counted as applied or not.
 
 use crate::hash_chain::ChainRow;
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// An instance at a time.
+/// The state of an instance at the given time.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize)]
 pub struct ReplayedInstance {
-    /// Its life.
+    /// Its incarnation.
     pub life: u64,
-    /// What it acted on, by kind: revision and digest.
+    /// The versions it acted on, by kind, as revision and digest.
     pub versions: BTreeMap<String, String>,
-    /// Whether it was heard.
+    /// Whether it reported.
     pub heard: bool,
-    /// Whether it was shut out.
+    /// Whether it was fenced off.
     pub out: bool,
-    /// Changes that may have been in effect already, or not yet: the row, and what it says.
+    /// Changes that may or may not have been in effect: the row's number and a description.
     pub between: Vec<(u64, String)>,
 }
 
-/// Plays rows up to a time.
+/// Applies the rows of a history up to a given time.
 #[derive(Debug, Clone)]
 pub struct Replay {
     at_ms: u64,
-    all: BTreeMap<String, ReplayedInstance>,
-    only: String,
+    instances: BTreeMap<String, ReplayedInstance>,
+    only_instance: String,
 }
 
 impl Replay {
-    /// What was so at this time, Unix time in ms by the owners' clocks; of one instance, or of all with an empty name.
+    /// Starts a replay up to `at_ms`, Unix time in ms by the owners' clocks, for one instance, or for all if
+    /// `only_instance` is empty.
     #[must_use]
-    pub fn new(at_ms: u64, only: &str) -> Replay {
-        Replay { at_ms, all: BTreeMap::new(), only: only.to_string() }
+    pub fn new(at_ms: u64, only_instance: &str) -> Replay {
+        Replay { at_ms, instances: BTreeMap::new(), only_instance: only_instance.to_string() }
     }
 
-    /// The next row, by number.
+    /// Applies the next row; rows have to come in the order of their numbers.
     pub fn apply_row(&mut self, row: &ChainRow) {
-        if row.instance.is_empty() || !self.only.is_empty() && row.instance != self.only {
+        if row.instance.is_empty() || !self.only_instance.is_empty() && row.instance != self.only_instance {
             return;
         }
-        let entered = row.at_ms <= self.at_ms;
-        let may_have_been = row.at_ms.saturating_sub(row.within_ms) <= self.at_ms;
-        if !entered && !may_have_been {
+        let is_entered = row.at_ms <= self.at_ms;
+        let may_have_happened = row.at_ms.saturating_sub(row.within_ms) <= self.at_ms;
+        if !is_entered && !may_have_happened {
             return;
         }
-        let then = self.all.entry(row.instance.clone()).or_default();
-        if !entered {
+        let state = self.instances.entry(row.instance.clone()).or_default();
+        if !is_entered {
             if row.kind != "heard" {
-                then.between.push((row.number, format!("{} {} to {}", row.kind, row.was, row.now_is)));
+                state.between.push((row.number, format!("{} {} to {}", row.kind, row.was, row.now_is)));
             }
             return;
         }
         match row.kind.as_str() {
             "life" => {
-                *then = ReplayedInstance {
+                *state = ReplayedInstance {
                     life: row.life,
                     heard: true,
-                    out: then.out,
+                    out: state.out,
                     ..ReplayedInstance::default()
                 };
             }
-            "heard" => then.heard = row.now_is != "silent" && row.now_is != "forgotten",
-            "out" => then.out = row.now_is != "in",
+            "heard" => state.heard = row.now_is != "silent" && row.now_is != "forgotten",
+            "out" => state.out = row.now_is != "in",
             "alarm" | "told" => {}
             kind => {
-                (then.life, then.heard) = (row.life, true);
-                then.versions.insert(kind.to_string(), row.now_is.clone());
+                (state.life, state.heard) = (row.life, true);
+                state.versions.insert(kind.to_string(), row.now_is.clone());
             }
         }
     }
 
-    /// By instance.
+    /// The reconstructed states, by instance.
     #[must_use]
     pub fn finish(self) -> BTreeMap<String, ReplayedInstance> {
-        self.all
+        self.instances
     }
 }
 
@@ -97,7 +100,7 @@
     }
 
     #[test]
-    fn a_change_between_two_words_is_shown_as_between_and_not_guessed() {
+    fn change_between_two_reports_is_uncertain_in_between() {
         let rows = [
             row(1, 1000, "life", "7", 0),
             row(2, 1000, "plans", "41:aa", 0),
@@ -112,9 +115,9 @@
         };
         assert_eq!(at(1500).versions["plans"], "41:aa");
         assert!(at(1500).between.is_empty());
-        let between = at(3000);
-        assert_eq!((between.versions["plans"].as_str(), between.between.len()), ("41:aa", 1));
-        assert!(between.between[0].1.contains("42:bb"));
+        let uncertain = at(3000);
+        assert_eq!((uncertain.versions["plans"].as_str(), uncertain.between.len()), ("41:aa", 1));
+        assert!(uncertain.between[0].1.contains("42:bb"));
         assert_eq!(at(5000).versions["plans"], "42:bb");
         assert!(at(8999).heard && !at(9000).heard && !at(9400).out && at(9500).out);
         assert_eq!(at(500), ReplayedInstance::default());
--- a/crates/audit/src/settings.rs
+++ b/crates/audit/src/settings.rs
@@ -1,30 +1,31 @@
-//! Times and floors, each with its range.
+//! The settings of the escalation (`[audit.ladder]`), each with its range.
 
 use serde::{Deserialize, Serialize};
 
-/// What is waited for, and how far it goes. Times in ms, parts in thousandths.
+/// Times and limits of the escalation. Times are in ms, fractions in thousandths.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Settings {
-    /// Of whom nothing was heard for so long, nothing is known.
+    /// An instance without a report for this long is silent: its state is unknown.
     pub stale_ms: u64,
-    /// Who was silent for so long is forgotten, unless it is shut out.
+    /// An instance that was silent for this long is removed from the table, unless it is fenced off.
     pub forget_ms: u64,
-    /// Time to catch up once something new is wanted; after it, it is told again.
+    /// Time to catch up with a new target; after it the current state is sent again.
     pub tell_ms: u64,
-    /// So much later all that is decided is sent to it anew.
+    /// Time from that notification until a full snapshot is sent.
     pub snapshot_ms: u64,
-    /// So much later it is shut out, as far as the floors allow.
+    /// Time from the snapshot until the instance is fenced off, as far as the limits allow.
     pub out_ms: u64,
-    /// Of whom nothing is known for so long is shut out, as far as the floors allow.
+    /// An instance without a report for this long is fenced off, as far as the limits allow.
     pub unknown_ms: u64,
-    /// One that is shut out comes back when it has been up to date for so long.
+    /// A fenced-off instance is readmitted once it was up to date for this long.
     pub back_ms: u64,
-    /// Never more than this part of the gatekeepers of a zone at once, but one at the least.
+    /// The largest fraction of a zone's gatekeepers that may be fenced off at once. Above 0 it allows at
+    /// least one, in zones of two or more.
     pub out_milli: u32,
-    /// When clients of one that is shut out should come back.
+    /// The delay after which clients of a fenced-off gatekeeper should retry.
     pub retry_ms: u64,
-    /// The history's end is entered in the council's log this often at the least, while it grows.
+    /// The longest interval between checkpoints of the history in the council's log, while the history grows.
     pub anchor_ms: u64,
 }
 
@@ -46,16 +47,16 @@
 }
 
 impl Settings {
-    /// Whether they can be acted on.
+    /// Checks that each setting is in its range.
     ///
     /// # Errors
-    /// With the field and its range.
+    /// With the name of the first setting out of range, its value and the range.
     pub fn check(&self) -> Result<(), String> {
-        let range = |name: &str, value: u64, least: u64, most: u64| {
-            if (least..=most).contains(&value) {
+        let range = |name: &str, value: u64, min: u64, max: u64| {
+            if (min..=max).contains(&value) {
                 Ok(())
             } else {
-                Err(format!("{name}: {value}; {least} to {most}"))
+                Err(format!("{name}: {value}; {min} to {max}"))
             }
         };
         range("stale_ms", self.stale_ms, 100, 600_000)?;
@@ -76,7 +77,7 @@
     use super::*;
 
     #[test]
-    fn what_cannot_work_names_the_field_and_its_range() {
+    fn check_names_setting_value_and_range() {
         assert_eq!(Settings::default().check(), Ok(()));
         let bad: [(&str, Settings); 4] = [
             ("stale_ms: 1; 100 to 600000", Settings { stale_ms: 1, ..Settings::default() }),
@@ -84,8 +85,8 @@
             ("out_milli: 501; 0 to 500", Settings { out_milli: 501, ..Settings::default() }),
             ("anchor_ms: 0; 100 to", Settings { anchor_ms: 0, ..Settings::default() }),
         ];
-        for (word, settings) in bad {
-            assert!(settings.check().is_err_and(|said| said.starts_with(word)), "{word}");
+        for (expected, settings) in bad {
+            assert!(settings.check().is_err_and(|e| e.starts_with(expected)), "{expected}");
         }
     }
 }
