--- a/crates/council/src/file.rs
+++ b/crates/council/src/file.rs
@@ -60,14 +60,14 @@
             }
             FileError::Corrupt(what) => write!(
                 f,
-                "council.file: the file is damaged ({what}); this agent does not vote: move the file away, then \
-                 remove and add this agent"
+                "council.file: the file is damaged ({what}); this agent does not vote: move the file away, \
+                 then remove and add this agent"
             ),
             FileError::Outdated { has, known } => write!(
                 f,
                 "council.file: the file is an older copy: it has {has} of {known} known writes; acknowledged \
-                 votes or entries may be missing, so this agent does not vote: move the file away, then remove \
-                 and add this agent"
+                 votes or entries may be missing, so this agent does not vote: move the file away, then \
+                 remove and add this agent"
             ),
             FileError::Foreign(what) => {
                 write!(f, "council.file: the file belongs to {what}, not to this agent")
@@ -105,6 +105,7 @@
 /// A snapshot: its metadata, and the replicated state as JSON.
 pub(crate) type StoredSnapshot = (SnapshotMeta<u64, Member>, Vec<u8>);
 
+/// The open database and its mark file.
 struct OpenFile {
     db: Connection,
     mark: fs::File,
@@ -305,16 +306,19 @@
         })
     }
 
+    /// The stored vote; none in a new file.
     pub(crate) fn vote(&self) -> Result<Option<Vote<u64>>, FileError> {
         read_meta_column(&self.lock().db, "vote")
     }
 
+    /// Stores the vote; it is synced when this returns.
     pub(crate) fn set_vote(&self, vote: &Vote<u64>) -> Result<(), FileError> {
         self.write(|tx| {
             write_meta_column(tx, "vote", &serde_json::to_string(vote).map_err(|e| from_json_error(&e))?)
         })
     }
 
+    /// The stored committed index; it may lag behind, as its writes are not synced.
     pub(crate) fn committed(&self) -> Result<Option<LogId<u64>>, FileError> {
         Ok(read_meta_column::<Option<LogId<u64>>>(&self.lock().db, "committed")?.flatten())
     }
@@ -330,6 +334,7 @@
         done.and(synced).map_err(|e| from_sqlite_error(&e))
     }
 
+    /// The last purged and the last stored entry's ids.
     pub(crate) fn log_bounds(&self) -> Result<LogBounds, FileError> {
         let open = self.lock();
         let purged: Option<LogId<u64>> = read_meta_column(&open.db, "purged")?;
@@ -345,6 +350,7 @@
         Ok(LogBounds { purged, last: last.map(|e| e.log_id).or(purged) })
     }
 
+    /// Reads the entries from index `from` up to, without, index `to`.
     pub(crate) fn entries(&self, from: u64, to: u64) -> Result<Vec<Entry>, FileError> {
         let open = self.lock();
         let mut rows = open
@@ -361,6 +367,7 @@
         texts.map(read).collect()
     }
 
+    /// Stores entries in one synced write; entries at the same indexes are replaced.
     pub(crate) fn append(&self, entries: &[Entry]) -> Result<(), FileError> {
         self.write(|tx| {
             for entry in entries {
@@ -392,6 +399,7 @@
         })
     }
 
+    /// The stored snapshot, if there is one.
     pub(crate) fn snapshot(&self) -> Result<Option<StoredSnapshot>, FileError> {
         let open = self.lock();
         let row: Option<(String, String)> = open
@@ -405,6 +413,7 @@
         .transpose()
     }
 
+    /// Replaces the stored snapshot.
     pub(crate) fn set_snapshot(
         &self,
         meta: &SnapshotMeta<u64, Member>,
@@ -514,6 +523,7 @@
     tx.execute(&sql, [text]).map(drop).map_err(|e| from_sqlite_error(&e))
 }
 
+/// Replaces the snapshot row.
 fn insert_snapshot(tx: &Transaction<'_>, meta: &str, state: &str) -> Result<(), FileError> {
     let sql = "INSERT OR REPLACE INTO snapshot (id, meta, whole) VALUES (1, ?1, ?2)";
     tx.execute(sql, [meta, state]).map(drop).map_err(|e| from_sqlite_error(&e))
--- a/crates/council/src/member.rs
+++ b/crates/council/src/member.rs
@@ -197,9 +197,11 @@
 /// The answer to a hello.
 #[derive(Serialize, Deserialize)]
 struct HelloReply {
+    /// Its member number; 0 where it has none yet.
     id: u64,
     /// Whether its group is not initialized: its log is empty.
     blank: bool,
+    /// Its configured voters.
     voters: Vec<Member>,
 }
 
@@ -586,6 +588,7 @@
         }
     }
 
+    /// Creates the Raft node on the stored log, vote and snapshot.
     async fn new_raft(&self, id: u64) -> Result<Raft<TypeConfig>, String> {
         let heartbeat = self.shared.settings.heartbeat_ms;
         let config = openraft::Config {
@@ -652,6 +655,7 @@
         }
     }
 
+    /// The name of a member in the current membership.
     fn member_name(&self, raft: &Raft<TypeConfig>, id: u64) -> Option<String> {
         let metrics = raft.metrics();
         let metrics = metrics.borrow();
@@ -677,6 +681,7 @@
         *lock(&self.shared.rejected_by).entry(why.cause()).or_default() += 1;
     }
 
+    /// Checks a message and runs the handler of its kind.
     async fn dispatch_message(self: &Arc<Self>, message: Envelope) -> Result<Envelope, Rejection> {
         if let Some(why) = self.stop_reason() {
             return Err(Rejection::Stopped(why));
@@ -737,8 +742,8 @@
         body: &[u8],
     ) -> Result<Vec<u8>, Rejection> {
         let Some(raft) = self.raft() else { return Err(Rejection::Stopped("it has not begun".into())) };
-        // A member that knows of no members yet accepts any sender, since it knows only who gave it its
-        // number.
+        // A member that knows of no members yet accepts any sender, as it has to accept the one that gave it
+        // its number.
         let known = {
             let metrics = raft.metrics();
             let m = metrics.borrow();
