--- a/crates/agent/src/audit.rs
+++ b/crates/agent/src/audit.rs
@@ -843,7 +843,7 @@
     pub async fn history(&self, asked: &HistoryRequest) -> Result<HistoryResponse, String> {
         let keeper = self.keeper.as_ref().ok_or("this agent keeps no record, and so no history")?;
         let most = i64::from(asked.most.clamp(1, HISTORY_MOST));
-        let op = Op::History { after: signed(asked.after), most };
+        let op = Op::History { after: signed(asked.after), limit: most };
         let reply = keeper.backend().run(op).await.map_err(|e| e.to_string())?;
         let Reply::History(rows, (number, hash)) = reply else {
             return Err("the record answered something else".into());
--- a/crates/agent/src/duties.rs
+++ b/crates/agent/src/duties.rs
@@ -64,7 +64,9 @@
 impl From<Error> for StepError {
     fn from(e: Error) -> StepError {
         match e {
-            Error::Fenced { stands, by, .. } => StepError::Fenced { stands, by },
+            Error::Fenced { current_epoch: stands, current_owner: by, .. } => {
+                StepError::Fenced { stands, by }
+            }
             e => StepError::Failed(e.to_string()),
         }
     }
@@ -126,7 +128,7 @@
         let secs = Duration::from_secs;
         match lease.duty() {
             ROLL_UP => {
-                let done = self.did(&lease, FleetWork::RollUp { most: ROLL_AT_ONCE }).await?;
+                let done = self.did(&lease, FleetWork::RollUp { limit: ROLL_AT_ONCE }).await?;
                 let again = if done > 0 { SOON } else { Duration::from_millis(500) };
                 Ok(StepDone { note: format!("{done} batches"), again })
             }
@@ -138,7 +140,7 @@
             RETENTION => {
                 let before_ms =
                     unix_ms() - i64::from(self.duties.keep_days) * frostvale_record::fleet::DAY_MS;
-                let done = self.did(&lease, FleetWork::Retain { before_ms, most: RETAIN_AT_ONCE }).await?;
+                let done = self.did(&lease, FleetWork::Retain { before_ms, limit: RETAIN_AT_ONCE }).await?;
                 Ok(StepDone {
                     note: format!("{done} rows let go"),
                     again: if done > 0 { SOON * 5 } else { secs(60) },
@@ -201,7 +203,7 @@
             return Ok(StepDone { note: "no folder".into(), again: Duration::from_secs(60) });
         };
         let before_ms = unix_ms() - i64::from(self.duties.export_after_s) * 1000;
-        let prepare = FleetWork::PrepareExport { before_ms, most: EXPORT_AT_ONCE };
+        let prepare = FleetWork::PrepareExport { before_ms, limit: EXPORT_AT_ONCE };
         let Reply::Export(Some(part)) = self.effect(lease, prepare).await? else {
             return Ok(StepDone { note: "nothing new".into(), again: Duration::from_secs(2) });
         };
--- a/crates/agent/tests/record_harness/mod.rs
+++ b/crates/agent/tests/record_harness/mod.rs
@@ -140,7 +140,7 @@
 
 /// Units by shop: passed and served.
 pub async fn ledger(backend: &dyn Backend) -> BTreeMap<String, (i64, i64)> {
-    let op = Op::Totals { shop: String::new(), from_ms: 0, to_ms: i64::MAX, most: 100_000 };
+    let op = Op::Totals { shop: String::new(), from_ms: 0, to_ms: i64::MAX, limit: 100_000 };
     let totals = until("totals", async || match backend.run(op.clone()).await {
         Ok(Reply::Totals(totals)) => Some(totals),
         _ => None,
--- a/crates/ctl/src/record.rs
+++ b/crates/ctl/src/record.rs
@@ -274,7 +274,7 @@
 
 async fn totals(backend: &Arc<dyn Backend>, wanted: Use) -> Result<(), Error> {
     let Use { shop, from_ms, to_ms, output } = wanted;
-    let Reply::Totals(all) = backend.run(Op::Totals { shop, from_ms, to_ms, most: ROWS }).await? else {
+    let Reply::Totals(all) = backend.run(Op::Totals { shop, from_ms, to_ms, limit: ROWS }).await? else {
         return Ok(());
     };
     let figures = |t: &UsageTotal| [t.passed_milli, t.refused_milli, t.served_milli].map(units);
--- a/crates/record/src/error.rs
+++ b/crates/record/src/error.rs
@@ -1,61 +1,61 @@
-//! What can go wrong, by what is to be done about it.
+//! The errors of the store of record, divided by what the caller has to do about them.
 
 use std::fmt;
 
-/// Why something was not done.
+/// Why an operation failed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Error {
-    /// Somebody else changed it first: what it is now, whose that is and since when.
+    /// Another change came first: the revision that is current, who made it and when.
     Conflict {
-        /// What it was about.
+        /// The plan, shop or override that was to be changed.
         subject: String,
-        /// The revision that stands.
+        /// The current revision.
         revision: i64,
-        /// Whose it is.
+        /// Who made that revision.
         by: String,
-        /// Since when, Unix time in ms.
+        /// When it was made, Unix time in ms.
         since_ms: i64,
     },
-    /// It came from a former owner of the duty: nothing was done.
+    /// The request came from a former owner of the duty; nothing was done.
     Fenced {
-        /// Which duty.
+        /// The duty.
         duty: String,
-        /// The epoch it came under.
+        /// The epoch of the request.
         epoch: u64,
-        /// The one that stands.
-        stands: u64,
-        /// Whose that is.
-        by: String,
+        /// The highest epoch that the record has seen.
+        current_epoch: u64,
+        /// The owner with that epoch, as `agent#life`.
+        current_owner: String,
     },
-    /// It can't be done as it is asked: the field, and what it may be.
+    /// The request is invalid; names the field and the values that it accepts.
     Invalid(String),
-    /// The database can't be reached or does not answer in time. Nothing was done.
+    /// The database is unreachable or does not answer in time. Nothing was done.
     Unavailable(String),
-    /// The connection ended while all was being made final: it was done, or it was not.
+    /// The connection ended during the commit: the operation took effect or did not.
     InDoubt(String),
-    /// Two did something at once; nothing was done, and it may be tried again at once.
+    /// The operation collided with a concurrent one. Nothing was done, and it may be retried at once.
     Contended(String),
     /// The schema is newer than this program.
     SchemaTooNew {
-        /// The database's version.
+        /// The schema version of the database.
         found: i64,
-        /// The newest that is known here.
+        /// The newest version that this program supports.
         known: i64,
     },
-    /// No room on the disk. Nothing was done.
+    /// The disk is full. Nothing was done.
     Full(String),
-    /// The file may not be written.
+    /// The file or the server does not permit writes.
     ReadOnly(String),
-    /// Another process holds the file.
+    /// Another process holds a lock on the file.
     Locked(String),
-    /// The data can't be trusted.
+    /// The data is damaged or not what the schema promises.
     Corrupt(String),
-    /// The place can't be used as it is written down.
+    /// The configured location cannot be used.
     Unusable(String),
 }
 
 impl Error {
-    /// Whether the same may succeed later with nothing changed by hand.
+    /// Whether the same operation may succeed later without manual intervention.
     #[must_use]
     pub fn is_transient(&self) -> bool {
         matches!(
@@ -68,7 +68,7 @@
         )
     }
 
-    /// One word for the state that the record is in.
+    /// The state of the record in one word, for status reports.
     #[must_use]
     pub fn state(&self) -> &'static str {
         match self {
@@ -89,31 +89,40 @@
         match self {
             Error::Conflict { subject, revision, by, since_ms } => write!(
                 f,
-                "{subject}: {by} was first: it is at revision {revision} since {since_ms} ms (Unix time); nothing was \
-                 changed; look at it and set it again on top of that revision"
+                "{subject}: conflicting change by {by}: at revision {revision} since {since_ms} ms (Unix time); \
+                 nothing was changed; check it and set it again on top of that revision"
             ),
-            Error::Fenced { duty, epoch, stands, by } => {
-                write!(f, "duty {duty}: epoch {epoch} is refused, {stands} of {by} stands; nothing was done")
+            Error::Fenced { duty, epoch, current_epoch, current_owner } => {
+                write!(
+                    f,
+                    "duty {duty}: refused epoch {epoch}: the current epoch is {current_epoch}, \
+                     owned by {current_owner}; nothing was done"
+                )
             }
             Error::Invalid(what) => f.write_str(what),
-            Error::Unavailable(what) => write!(f, "the record can't be reached: {what}; nothing was done"),
-            Error::InDoubt(what) => write!(f, "the record's answer was lost ({what}): it was done or not"),
-            Error::Contended(what) => write!(f, "the record was busy with another change: {what}"),
+            Error::Unavailable(what) => write!(f, "cannot reach the record: {what}; nothing was done"),
+            Error::InDoubt(what) => {
+                write!(f, "lost the record's answer: {what}; the change may or may not have been made")
+            }
+            Error::Contended(what) => write!(f, "collided with another change of the record: {what}"),
             Error::SchemaTooNew { found, known } => write!(
                 f,
-                "the record's schema has version {found}, this program knows {known}: use the program that made it, \
-                 or a newer one; nothing was touched"
+                "the record's schema has version {found}, this program supports up to {known}: use the program \
+                 that made it, or a newer one; nothing was changed"
             ),
             Error::Full(what) => {
-                write!(f, "no room on the record's disk: {what}; nothing was done; make room")
+                write!(
+                    f,
+                    "cannot write the record: the disk is full: {what}; nothing was done; free some space"
+                )
             }
             Error::ReadOnly(what) => {
-                write!(f, "the record may not be written: {what}; give the agent write access")
+                write!(f, "cannot write the record: {what}; give the agent write access")
             }
-            Error::Locked(what) => write!(f, "another process holds the record: {what}"),
+            Error::Locked(what) => write!(f, "the record is locked by another process: {what}"),
             Error::Corrupt(what) => write!(
                 f,
-                "the record's file is damaged: {what}; stop the agent and put a backup in its place"
+                "the record's file is damaged: {what}; stop the agent and replace the file with a backup"
             ),
             Error::Unusable(what) => f.write_str(what),
         }
--- a/crates/record/src/lib.rs
+++ b/crates/record/src/lib.rs
@@ -1,17 +1,19 @@
-//! The store of record: what a restart must not forget.
+//! The store of record: the data that has to survive a restart.
 //!
 //! # Why
 //!
-//! Plans, overrides and use lived in gatekeepers alone. A restart gave every shop a full store and forgot what billing
-//! needs. So agents keep them in a database, SQLite for one host or PostgreSQL for a fleet, and the gatekeepers go on
-//! with what they last knew whenever that database is slow, gone, or wrong.
+//! Plans, overrides and use were kept in the memory of gatekeepers only. A restart gave every shop a full
+//! token bucket and lost what billing needs. Agents therefore keep this data in a database: SQLite for one
+//! host, PostgreSQL for a fleet. While that database is slow, unreachable or wrong, the gatekeepers continue
+//! with the last data that they received.
 //!
-//! - [`model`]: what is kept. Units are whole thousandths, times UTC milliseconds; nothing is a float.
-//! - [`ops`]: what can be done, once for both databases, each in one transaction.
-//! - [`fleet`]: work on behalf of the fleet, behind the fence of its owner.
-//! - [`sqlite`], [`postgres`]: the two of them.
-//! - [`upload`], [`restore`]: decisions without input or output: when to send what is spooled, and what a gatekeeper
-//!   that comes back may be given.
+//! - [`model`]: the stored records. Units are whole thousandths, times are UTC milliseconds; there are no
+//!   floats.
+//! - [`ops`]: the operations, written once for both databases; each runs in one transaction.
+//! - [`fleet`]: work on behalf of the fleet, guarded by the fence of the duty's owner.
+//! - [`sqlite`], [`postgres`]: the two backends.
+//! - [`upload`], [`restore`]: decisions without I/O: when to upload spooled use, and which token levels a
+//!   restarted gatekeeper may be given.
 //! - [`spool`]: use that waits for the database, in a bounded local file.
 
 pub mod error;
@@ -33,42 +35,45 @@
 use async_trait::async_trait;
 use std::sync::Arc;
 
-/// A database that the record is kept in.
+/// A database that holds the record.
 #[async_trait]
 pub trait Backend: Send + Sync {
-    /// Does one thing in one transaction: all of it or nothing. Safe to do again after [`Error::InDoubt`].
+    /// Runs one operation in one transaction, entirely or not at all. It is safe to run the operation again
+    /// after [`Error::InDoubt`].
     async fn run(&self, op: Op) -> Result<Reply, Error>;
-    /// Brings the schema to the newest version; gives the version found and the version it is at now.
+    /// Migrates the schema to the newest version; returns the version found and the version it has now.
     async fn migrate(&self) -> Result<(i64, i64), Error>;
-    /// Waits for a change by anyone, or for so long. Changes may be missed: who waits looks anyway.
-    async fn changed(&self, most: std::time::Duration);
+    /// Waits until anyone changes the record, or for `max_wait`. Notifications may be missed, so the caller
+    /// has to read the record in either case.
+    async fn changed(&self, max_wait: std::time::Duration);
     /// `sqlite` or `postgres`.
     fn kind(&self) -> &'static str;
-    /// Whether the data is whole, as far as the database can tell.
+    /// Checks the integrity of the data, as far as the database can tell, and describes the result.
     async fn check(&self) -> Result<String, Error>;
-    /// Copies all of it to a file while it is in use.
+    /// Copies the whole record to a file while it is in use.
     async fn backup(&self, to: &std::path::Path) -> Result<(), Error>;
 }
 
-/// Where the record is.
+/// Where the record is and how to connect to it: the settings under `record.`.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RecordLocation {
     /// `sqlite:PATH` or `postgres://USER@HOST:PORT/DATABASE`.
     pub url: String,
     /// A file with the password, for PostgreSQL.
     pub password_file: Option<std::path::PathBuf>,
-    /// A PEM file with who signs the server's certificate; wanted off loopback.
+    /// A PEM file with the authority that signs the server's certificate; required unless the server is on
+    /// loopback.
     pub ca: Option<std::path::PathBuf>,
-    /// How long a connection may take to come up.
+    /// The time limit for opening a connection; 10 ms to 600 s.
     pub connect_timeout: std::time::Duration,
-    /// How long a statement may take.
+    /// The time limit for a statement; 10 ms to 600 s.
     pub statement_timeout: std::time::Duration,
-    /// Connections at once, for PostgreSQL.
+    /// The size of the connection pool, for PostgreSQL; 1 to 100.
     pub connections: usize,
 }
 
 impl RecordLocation {
-    /// With the usual limits.
+    /// A location with the default limits.
     #[must_use]
     pub fn new(url: &str) -> RecordLocation {
         RecordLocation {
@@ -81,21 +86,25 @@
         }
     }
 
-    /// Whether it can be used; nothing is opened.
+    /// Validates the settings without opening anything.
     ///
     /// # Errors
-    /// With the field and what it may be.
+    /// Names the field and the values that it accepts.
     pub fn check(&self) -> Result<(), String> {
         if let Some(path) = self.url.strip_prefix("sqlite:") {
-            return if path.is_empty() { Err("record.url: sqlite: wants a path".into()) } else { Ok(()) };
+            return if path.is_empty() {
+                Err("record.url: sqlite: must be followed by a path".into())
+            } else {
+                Ok(())
+            };
         }
         postgres::config(self).map(drop)
     }
 
-    /// Opens it. A PostgreSQL need not be there yet.
+    /// Opens the record. A PostgreSQL server need not be reachable yet.
     ///
     /// # Errors
-    /// When the place can't be used, or an SQLite file can't be opened.
+    /// The settings are invalid, or the SQLite file cannot be opened.
     pub async fn open(&self) -> Result<Arc<dyn Backend>, Error> {
         match self.url.strip_prefix("sqlite:") {
             Some(path) => Ok(Arc::new(sqlite::Sqlite::open(std::path::Path::new(path)).await?)),
--- a/crates/record/src/model.rs
+++ b/crates/record/src/model.rs
@@ -1,53 +1,53 @@
-//! What is kept. Units are whole thousandths, times UTC milliseconds.
+//! The stored records. Units are whole thousandths, times are UTC milliseconds.
 
-/// Who changes something, and why.
+/// Who makes a change, and why.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Change {
-    /// Unique to this change: sent again after a lost answer it is known for the same.
+    /// Unique to this change: a change that is sent again after a lost answer is recognised by it.
     pub id: String,
-    /// The revision that it is based on; 0 where there must be none yet.
+    /// The revision that the change is based on; 0 if there is no entry yet.
     pub base: i64,
-    /// Who.
+    /// Who makes the change.
     pub by: String,
-    /// From where.
+    /// Where the change comes from.
     pub source: String,
-    /// Why.
+    /// Why the change is made.
     pub why: String,
-    /// When, UTC ms.
+    /// When it is made, UTC ms.
     pub at_ms: i64,
 }
 
-/// A plan's figures.
+/// A plan with its limits.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Plan {
-    /// Its name.
+    /// The name of the plan, 1 to 64 printable bytes.
     pub name: String,
-    /// Units a second, in thousandths.
+    /// Refill rate of the quota, thousandths of a unit per second.
     pub rate_milli: i64,
-    /// The most that a store holds.
+    /// Capacity of the quota's token bucket, in thousandths.
     pub burst_milli: i64,
-    /// Attempts out at once; 0 is no limit.
+    /// The maximum number of attempts in flight; 0 is no limit.
     pub open: i64,
-    /// The hard ceiling's units a second; 0 is none.
+    /// Refill rate of the hard ceiling, thousandths of a unit per second; 0 is no ceiling.
     pub ceiling_rate_milli: i64,
-    /// The most that the ceiling's store holds.
+    /// Capacity of the ceiling's token bucket, in thousandths.
     pub ceiling_burst_milli: i64,
-    /// How far it may go below nothing.
+    /// How far the ceiling's token bucket may go below zero, in thousandths.
     pub ceiling_slack_milli: i64,
-    /// From when it holds, UTC ms.
+    /// When the plan takes effect, UTC ms.
     pub from_ms: i64,
 }
 
 impl Plan {
-    /// Whether the figures can be acted on.
+    /// Validates the limits.
     ///
     /// # Errors
-    /// With the field and what it may be.
+    /// Names the field and the values that it accepts.
     pub fn check(&self) -> Result<(), crate::Error> {
-        const MOST: i64 = 1_000_000_000_000;
-        let bad = |text: String| Err(crate::Error::Invalid(text));
+        const MAX_MILLI: i64 = 1_000_000_000_000;
+        let invalid = |text: String| Err(crate::Error::Invalid(text));
         if self.name.is_empty() || self.name.len() > 64 || self.name.chars().any(char::is_control) {
-            return bad("name: 1 to 64 bytes that can be printed".into());
+            return invalid("name: must be 1 to 64 printable bytes".into());
         }
         for (field, value) in [
             ("rate_milli", self.rate_milli),
@@ -56,83 +56,83 @@
             ("ceiling_burst_milli", self.ceiling_burst_milli),
             ("ceiling_slack_milli", self.ceiling_slack_milli),
         ] {
-            if !(0..=MOST).contains(&value) {
-                return bad(format!("{field}: {value}; 0 to {MOST}"));
+            if !(0..=MAX_MILLI).contains(&value) {
+                return invalid(format!("{field}: {value} is out of range: 0 to {MAX_MILLI}"));
             }
         }
         if !(0..=1_000_000).contains(&self.open) {
-            return bad(format!("open: {}; 0 to 1000000", self.open));
+            return invalid(format!("open: {} is out of range: 0 to 1000000", self.open));
         }
         if self.rate_milli > 0 && self.burst_milli == 0 {
-            return bad("burst_milli: over 0 where there is a rate".into());
+            return invalid("burst_milli: must be over 0 if rate_milli is over 0".into());
         }
         if self.ceiling_rate_milli > 0 && self.ceiling_burst_milli == 0 {
-            return bad("ceiling_burst_milli: over 0 where there is a ceiling".into());
+            return invalid("ceiling_burst_milli: must be over 0 if ceiling_rate_milli is over 0".into());
         }
         Ok(())
     }
 }
 
-/// A shop.
+/// A shop's plan and its set of gatekeepers.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Shop {
-    /// 16 hex digits.
+    /// The shop, 16 hex digits.
     pub shop: String,
-    /// Its plan.
+    /// The name of its plan.
     pub plan: String,
-    /// The first gatekeeper of its set.
+    /// Index of the first gatekeeper of its set.
     pub first: i64,
-    /// How many the set has.
+    /// The number of gatekeepers in its set.
     pub spread: i64,
 }
 
-/// Something that stands over the usual for a time.
+/// An operator's override of what applies otherwise, for a limited time.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Override {
     /// `weight`, `out` or `pin`.
     pub kind: String,
-    /// What it is about.
+    /// What is overridden.
     pub subject: String,
-    /// Its value.
+    /// The value that applies instead.
     pub value: String,
-    /// Until when, UTC ms.
+    /// When the override ends, UTC ms.
     pub until_ms: i64,
 }
 
-/// Something kept with its revision and whose it is.
+/// A stored value with its revision and its last change.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Versioned<T> {
-    /// What.
+    /// The value.
     pub value: T,
-    /// Grows with every change of anything.
+    /// The revision of its last change; one counter is shared by all entries.
     pub revision: i64,
-    /// Who set it.
+    /// Who made that change.
     pub by: String,
-    /// When, UTC ms.
+    /// When it was made, UTC ms.
     pub at_ms: i64,
-    /// Why.
+    /// Why it was made.
     pub why: String,
 }
 
-/// All that gatekeepers are to know, as of a revision.
+/// All data that gatekeepers need, as of one revision.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Snapshot {
-    /// The newest revision of anything.
+    /// The newest revision of any entry.
     pub revision: i64,
-    /// The plans.
+    /// The plans as they were last set.
     pub plans: Vec<Versioned<Plan>>,
     /// The overrides.
     pub overrides: Vec<Versioned<Override>>,
-    /// The plans that the owner of the publish duty has had take effect, by name.
+    /// The plans in effect, which the owner of the publish duty has published, by name.
     pub published: Vec<Published>,
-    /// Grows whenever the set of published plans changes; 0 while none is published.
+    /// Increases whenever the set of published plans changes; 0 while none is published.
     pub published_revision: i64,
-    /// What stands for each duty.
+    /// The highest epoch of each duty.
     pub fences: Vec<StandingFence>,
 }
 
 impl Snapshot {
-    /// Whether a plan's time has come that is not published yet.
+    /// Whether a plan is due that is not published yet.
     #[must_use]
     pub fn has_due(&self, now_ms: i64) -> bool {
         let is_published = |plan: &Versioned<Plan>| {
@@ -142,229 +142,229 @@
     }
 }
 
-/// A plan in effect: its figures stay until the next ones are published, whatever was set meanwhile.
+/// A plan in effect: its limits apply until the next ones are published, whatever was set in the meantime.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Published {
-    /// The plan, with the figures of this revision.
+    /// The plan, with its limits as of this revision.
     pub plan: Plan,
-    /// The revision at which it was set.
+    /// The revision at which they were set.
     pub revision: i64,
 }
 
 /// The highest epoch that the record has seen of a duty.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct StandingFence {
-    /// Which duty.
+    /// The duty.
     pub duty: String,
     /// The epoch.
     pub epoch: i64,
-    /// Whose it is, as `agent#life`.
+    /// The owner with that epoch, as `agent#life`.
     pub owner: String,
-    /// Since when, UTC ms.
+    /// When the owner last passed the fence, UTC ms.
     pub at_ms: i64,
 }
 
-/// A part of the export: its rows never change, whoever writes it out.
+/// A part of the export: its rows never change, whichever agent writes it out.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Export {
-    /// From 1, with none left out.
+    /// The number of the part, from 1 without gaps.
     pub number: i64,
-    /// Its rows.
+    /// The rows of the part.
     pub rows: Vec<ExportRow>,
 }
 
-/// Use of a day that came since the part before.
+/// Use of one day that was added since the previous part.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct ExportRow {
-    /// The day's begin, UTC ms.
+    /// The start of the day, UTC ms.
     pub day_ms: i64,
-    /// 16 hex digits.
+    /// The shop, 16 hex digits.
     pub shop: String,
-    /// Its plan.
+    /// The name of its plan.
     pub plan: String,
-    /// The class.
+    /// The request class.
     pub class: String,
-    /// Units sent on or granted, in thousandths.
+    /// Units forwarded or granted, in thousandths.
     pub passed_milli: i64,
-    /// Units refused.
+    /// Units refused, in thousandths.
     pub refused_milli: i64,
-    /// Units served.
+    /// Units whose answer was served, in thousandths.
     pub served_milli: i64,
 }
 
-/// A part of the export as it is kept.
+/// The state of a part of the export.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct ExportPart {
-    /// Its number.
+    /// The number of the part.
     pub number: i64,
-    /// How many rows.
+    /// The number of its rows.
     pub rows: i64,
-    /// When it was begun, UTC ms.
+    /// When it was prepared, UTC ms.
     pub made_ms: i64,
     /// Whether it is written out.
     pub done: bool,
-    /// The digest of its file.
+    /// The digest of its file; empty until it is written out.
     pub digest: String,
-    /// Under which epoch.
+    /// The epoch of the owner that wrote it out.
     pub epoch: i64,
 }
 
 /// What one shop used of one class in a batch.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct UsageLine {
-    /// 16 hex digits.
+    /// The shop, 16 hex digits.
     pub shop: String,
-    /// Its plan.
+    /// The name of its plan.
     pub plan: String,
-    /// The class.
+    /// The request class.
     pub class: String,
-    /// Units sent on or granted, in thousandths.
+    /// Units forwarded or granted, in thousandths.
     pub passed_milli: i64,
-    /// Units refused.
+    /// Units refused, in thousandths.
     pub refused_milli: i64,
-    /// Units whose answer was served.
+    /// Units whose answer was served, in thousandths.
     pub served_milli: i64,
 }
 
-/// Use that one life of one gatekeeper reports.
+/// Use reported by one life of one gatekeeper.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct UsageBatch {
     /// The gatekeeper.
     pub instance: String,
-    /// When its life began, UTC ms by its own clock: tells its lives apart.
+    /// When the gatekeeper's life began, UTC ms by its own clock: distinguishes its lives.
     pub epoch_ms: i64,
-    /// From 1, with no number left out.
+    /// The number of the batch, from 1 without gaps.
     pub seq: i64,
-    /// The period, UTC ms.
+    /// The start of the period, UTC ms.
     pub from_ms: i64,
-    /// Its end.
+    /// The end of the period, UTC ms.
     pub to_ms: i64,
-    /// Whether this is the last one of a life that ended in order.
+    /// Whether this is the final usage report of a life that was shut down gracefully.
     pub last: bool,
-    /// The plans' revision that all of it was decided under; 0 where that was the settings' own.
+    /// The revision of the plans under which all of it was decided; 0 if the plans came from the settings.
     pub revision: i64,
-    /// What was used.
+    /// The use by shop, plan and class.
     pub lines: Vec<UsageLine>,
 }
 
 /// Use by shop, plan, class and hour.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct UsageTotal {
-    /// 16 hex digits.
+    /// The shop, 16 hex digits.
     pub shop: String,
-    /// Its plan.
+    /// The name of its plan.
     pub plan: String,
-    /// The class.
+    /// The request class.
     pub class: String,
-    /// The hour's begin, UTC ms.
+    /// The start of the hour, UTC ms.
     pub hour_ms: i64,
-    /// Units sent on or granted.
+    /// Units forwarded or granted, in thousandths.
     pub passed_milli: i64,
-    /// Units refused.
+    /// Units refused, in thousandths.
     pub refused_milli: i64,
-    /// Units served.
+    /// Units whose answer was served, in thousandths.
     pub served_milli: i64,
 }
 
-/// Use that nobody knows: a life of a gatekeeper ended without its last word.
+/// Unreported usage: a life of a gatekeeper ended without a final usage report.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct UsageGap {
     /// The gatekeeper.
     pub instance: String,
-    /// The life.
+    /// The life: when it began, UTC ms.
     pub epoch_ms: i64,
-    /// The last batch that landed; 0 is none.
+    /// The number of the last batch that was stored; 0 is none.
     pub after_seq: i64,
-    /// From when on nothing is known, UTC ms.
+    /// The end of the last reported period, UTC ms.
     pub from_ms: i64,
-    /// When it was seen to be gone.
+    /// When the life was found to have ended, UTC ms.
     pub to_ms: i64,
-    /// Why.
+    /// Why the gap was recorded.
     pub why: String,
 }
 
-/// What a shop's stores at one gatekeeper held.
+/// The levels of a shop's token buckets at one gatekeeper.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct TokenLevel {
-    /// The shop's key in notes between gatekeepers.
+    /// The shop's key in messages between gatekeepers.
     pub key: i64,
-    /// The plan's number at the gatekeeper.
+    /// The index of the plan at the gatekeeper.
     pub plan: i64,
-    /// The store, in thousandths.
+    /// The level of the quota's token bucket, in thousandths.
     pub store_milli: i64,
-    /// The slice of the ceiling.
+    /// The level of the gatekeeper's local share of the ceiling, in thousandths.
     pub ceiling_milli: i64,
-    /// As of when, UTC ms.
+    /// The time of the levels, UTC ms.
     pub at_ms: i64,
 }
 
 /// An entry of the audit trail.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct AuditEntry {
-    /// When, UTC ms.
+    /// When the change was made, UTC ms.
     pub at_ms: i64,
-    /// Who.
+    /// Who made it.
     pub by: String,
-    /// From where.
+    /// Where it came from.
     pub source: String,
-    /// What was done.
+    /// The kind of change, such as `plan set`.
     pub what: String,
-    /// To what.
+    /// What was changed.
     pub subject: String,
-    /// What it was, as JSON; empty where there was none.
+    /// The former value as JSON; empty if there was none.
     pub before: String,
-    /// What it is.
+    /// The new value as JSON.
     pub after: String,
-    /// Why.
+    /// Why the change was made.
     pub why: String,
-    /// The revision that it made.
+    /// The revision that the change made.
     pub revision: i64,
 }
 
-/// A row of the fleet's history; what its fields mean, and how rows are chained, `frostvale-audit` says.
+/// A row of the fleet's history. `frostvale-audit` documents the fields and the hash chain.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct HistoryRow {
-    /// From 1, with none left out.
+    /// The number of the row, from 1 without gaps.
     pub number: i64,
     /// When it was entered, UTC ms.
     pub at_ms: i64,
-    /// The owner's epoch.
+    /// The epoch of the owner that entered it.
     pub epoch: i64,
-    /// Whom it is about.
+    /// The instance that the row is about.
     pub instance: String,
-    /// Its life.
+    /// The life of that instance.
     pub life: i64,
-    /// What kind of thing.
+    /// The kind of event.
     pub kind: String,
-    /// What it was.
+    /// The former value.
     pub was: String,
-    /// What it is.
+    /// The new value.
     pub now_is: String,
-    /// How long before its entry it may have happened, in ms.
+    /// How long before its entry the event may have happened, in ms.
     pub within_ms: i64,
-    /// When the instance told, by its own clock.
+    /// When the instance reported the event, by the instance's own clock.
     pub told_ms: i64,
-    /// The digest of the row before.
+    /// The hash of the previous row.
     pub prev: String,
-    /// Its own.
+    /// The hash of this row.
     pub hash: String,
 }
 
-/// Units by the revision of plans that they were decided under.
+/// Units by the revision of the plans under which they were decided.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct RevisionUse {
     /// The gatekeeper.
     pub instance: String,
-    /// Its life.
+    /// The life: when it began, UTC ms.
     pub epoch_ms: i64,
-    /// The revision.
+    /// The revision of the plans.
     pub revision: i64,
-    /// Units sent on or granted, in thousandths.
+    /// Units forwarded or granted, in thousandths.
     pub passed_milli: i64,
-    /// Units refused.
+    /// Units refused, in thousandths.
     pub refused_milli: i64,
-    /// From when, UTC ms by the gatekeeper's clock.
+    /// The start of the first period, UTC ms by the gatekeeper's clock.
     pub from_ms: i64,
-    /// To when.
+    /// The end of the last period.
     pub to_ms: i64,
 }
--- a/crates/record/src/ops.rs
+++ b/crates/record/src/ops.rs
@@ -1,5 +1,6 @@
-//! What can be done, written once for both databases. Each is one transaction, and safe to be done again: batches and
-//! changes carry numbers of their own, by which a second try after a lost answer is known.
+//! The operations of the record, written once for both databases. Each is one transaction and safe to repeat:
+//! batches and changes carry identifiers of their own, by which a second attempt after a lost answer is
+//! recognised.
 
 use crate::error::Error;
 use crate::fleet::{self, FleetWork};
@@ -12,12 +13,12 @@
 use frostvale_owner::Fence;
 use serde_json::json;
 
-/// A value in a row or a statement.
+/// A value in a row or a parameter of a statement.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Value {
-    /// A whole number.
+    /// An integer.
     Int(i64),
-    /// Text.
+    /// A text.
     Text(String),
 }
 
@@ -39,35 +40,37 @@
     }
 }
 
-/// A row of an answer.
+/// A row of a result.
 #[derive(Debug, Clone, Default)]
 pub struct Row(pub Vec<Value>);
 
 impl Row {
+    /// The integer in column `k`; [`Error::Corrupt`] if there is none.
     pub(crate) fn int(&self, k: usize) -> Result<i64, Error> {
         match self.0.get(k) {
             Some(Value::Int(n)) => Ok(*n),
-            other => Err(Error::Corrupt(format!("column {k} is no number: {other:?}"))),
+            other => Err(Error::Corrupt(format!("column {k} is not an integer: {other:?}"))),
         }
     }
 
+    /// The text in column `k`; [`Error::Corrupt`] if there is none.
     pub(crate) fn text(&self, k: usize) -> Result<String, Error> {
         match self.0.get(k) {
             Some(Value::Text(text)) => Ok(text.clone()),
-            other => Err(Error::Corrupt(format!("column {k} is no text: {other:?}"))),
+            other => Err(Error::Corrupt(format!("column {k} is not a text: {other:?}"))),
         }
     }
 }
 
-/// A transaction that is open.
+/// An open transaction.
 pub trait Tx: Send {
-    /// Rows of a statement.
+    /// Runs a statement and returns its rows.
     fn query(
         &mut self,
         sql: &'static str,
         args: Vec<Value>,
     ) -> impl Future<Output = Result<Vec<Row>, Error>> + Send;
-    /// How many rows a statement changed.
+    /// Runs a statement and returns how many rows it changed.
     fn execute(
         &mut self,
         sql: &'static str,
@@ -79,117 +82,119 @@
     ($($value:expr),* $(,)?) => { vec![$(Value::from($value)),*] };
 }
 
-/// Something to be done.
+/// An operation of the record.
 #[derive(Debug, Clone)]
 pub enum Op {
-    /// All that gatekeepers are to know.
+    /// Reads all data that gatekeepers need.
     Load,
-    /// Sets a plan, on top of the change's base.
+    /// Sets a plan, based on the revision in the change.
     SetPlan(Plan, Change),
-    /// Sets a shop.
+    /// Sets a shop, based on the revision in the change.
     SetShop(Shop, Change),
     /// Reads a shop.
     Shop(String),
-    /// Sets an override.
+    /// Sets an override, based on the revision in the change.
     SetOverride(Override, Change),
-    /// Lands batches of use, each once.
+    /// Stores batches of use, each batch once.
     Append {
         /// The batches.
         batches: Vec<UsageBatch>,
-        /// When, UTC ms.
+        /// The time at which they are stored, UTC ms.
         now_ms: i64,
     },
-    /// Notes gaps.
+    /// Records a gap, or replaces the one of the same life.
     Gap(UsageGap),
     /// Reads the gaps.
     Gaps,
-    /// Keeps what stores hold.
+    /// Stores token levels, unless newer ones are stored.
     SaveLevels {
-        /// Whose.
+        /// The instance that reported them.
         instance: String,
-        /// What they hold.
+        /// The token levels.
         levels: Vec<TokenLevel>,
     },
-    /// Reads what an instance's stores held, if it is not older than this.
+    /// Reads the token levels of an instance that are not older than `since_ms`.
     Levels {
-        /// Whose.
+        /// The instance.
         instance: String,
-        /// UTC ms.
+        /// The oldest time accepted, UTC ms.
         since_ms: i64,
     },
-    /// Forgets what stores held before this.
+    /// Deletes token levels older than `before_ms`.
     ForgetLevels {
-        /// UTC ms.
+        /// The oldest time that is kept, UTC ms.
         before_ms: i64,
     },
-    /// Reads use.
+    /// Reads use by shop, plan, class and hour.
     Totals {
-        /// Whose; empty is all.
+        /// The shop; empty for all shops.
         shop: String,
-        /// From this hour on, UTC ms.
+        /// The first hour, UTC ms.
         from_ms: i64,
-        /// Before this one.
+        /// The end of the range, excluded, UTC ms.
         to_ms: i64,
-        /// So many rows at the most.
-        most: i64,
+        /// The maximum number of rows.
+        limit: i64,
     },
-    /// The newest batch of a life: its number, its end, whether it was the last; and how many have landed.
+    /// Reads the number of a life's newest batch, the end of its period and whether it was the final report,
+    /// and how many batches are stored.
     Watermark {
-        /// Whose.
+        /// The instance.
         instance: String,
-        /// Which life.
+        /// Its life: when it began, UTC ms.
         epoch_ms: i64,
     },
-    /// An instance was seen.
+    /// Records that an instance was observed.
     Seen {
-        /// Which.
+        /// The instance.
         name: String,
-        /// Where.
+        /// The host it runs on.
         host: String,
-        /// Its life.
+        /// Its life: when it began, UTC ms.
         epoch_ms: i64,
-        /// When, UTC ms.
+        /// When it was observed, UTC ms.
         now_ms: i64,
-        /// The revision that it runs.
+        /// The revision of the plans that it applies.
         revision: i64,
     },
-    /// Reads the instances: name, host, life, when seen, revision.
+    /// Reads the instances: name, host, life, time of the last observation, revision.
     Instances,
-    /// Reads the latest of the audit trail.
+    /// Reads the newest entries of the audit trail, up to this number.
     Audit(i64),
-    /// Publishes the plans whose time has come, where no council says who does: any agent may, and it is done once.
+    /// Publishes the plans that are due, where there is no council to decide who publishes: any agent may do
+    /// it, and it takes effect once.
     PublishDue {
-        /// When, UTC ms.
+        /// The current time, UTC ms.
         now_ms: i64,
     },
-    /// Something on behalf of the fleet, which only a live lease can ask for.
+    /// Runs a step on behalf of the fleet, which requires the fence of a live lease.
     ForFleet {
-        /// The proof.
+        /// The fence of the lease.
         fence: Fence,
-        /// What.
+        /// The step.
         work: FleetWork,
-        /// When, UTC ms.
+        /// The current time, UTC ms.
         now_ms: i64,
     },
     /// Reads where the history begins and ends.
     HistoryEnds,
-    /// Reads rows of the history after a number, so many at the most; and where it begins.
+    /// Reads rows of the history after a number, and where the history begins.
     History {
-        /// The number.
+        /// The number before the first row.
         after: i64,
-        /// Rows.
-        most: i64,
+        /// The maximum number of rows.
+        limit: i64,
     },
-    /// Reads units by the plans' revision.
+    /// Reads units by the revision of the plans.
     UseByRevision,
     /// Reads the parts of the export.
     Exports,
-    /// Reads use by day, so many rows at the most: with what is exported of it.
+    /// Reads use by day, up to this number of rows, and how much of it is exported.
     Days(i64),
 }
 
 impl Op {
-    /// Whether others are to be told.
+    /// Whether other processes are notified after the operation.
     #[must_use]
     pub fn notifies_others(&self) -> bool {
         matches!(
@@ -203,57 +208,59 @@
     }
 }
 
-/// What came of it.
+/// The result of an operation.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Reply {
-    /// Done.
+    /// The operation was carried out.
     Done,
-    /// Done, as this revision.
+    /// The change was made at this revision.
     Revision(i64),
-    /// All that gatekeepers are to know.
+    /// All data that gatekeepers need.
     Snapshot(Snapshot),
-    /// A shop.
+    /// A shop, if it is stored.
     Shop(Option<Versioned<Shop>>),
-    /// For each batch, whether it landed now; else it had before.
+    /// For each batch, whether it was stored now; false if it had been stored before.
     Stored(Vec<bool>),
-    /// Gaps.
+    /// The gaps.
     Gaps(Vec<UsageGap>),
-    /// Levels.
+    /// The token levels.
     Levels(Vec<TokenLevel>),
-    /// Use.
+    /// Use by shop, plan, class and hour.
     Totals(Vec<UsageTotal>),
-    /// The newest batch: number, end of its period, whether it was the last of its life; and how many there are.
+    /// The newest batch: number, end of its period, whether it was the final report of its life; and how many
+    /// batches are stored.
     Watermark(Option<(i64, i64, bool)>, i64),
-    /// Instances: name, host, life, when seen, revision.
+    /// The instances: name, host, life, time of the last observation, revision.
     Instances(Vec<(String, String, i64, i64, i64)>),
     /// The audit trail, newest first.
     Audit(Vec<AuditEntry>),
-    /// Work for the fleet: how much was done.
+    /// How many entries a step on behalf of the fleet changed.
     Affected(u64),
-    /// Where the history begins and ends: number and digest of the row before its first, and of its last.
+    /// Where the history begins and ends: number and hash of the row before its first row, and of its last
+    /// row.
     HistoryEnds((i64, String), (i64, String)),
-    /// Rows of the history, and where it begins.
+    /// Rows of the history, and where the history begins.
     History(Vec<HistoryRow>, (i64, String)),
-    /// Units by the plans' revision.
+    /// Units by the revision of the plans.
     Revisions(Vec<RevisionUse>),
-    /// The part of the export that is to be written out.
+    /// The part of the export that is to be written out, if there is one.
     Export(Option<Export>),
-    /// Parts of the export.
+    /// The parts of the export.
     Exports(Vec<ExportPart>),
-    /// Use by day, and how much of it (passed) is exported.
+    /// Use by day, and how much of it (passed, in thousandths) is exported.
     Days(Vec<(crate::model::ExportRow, i64)>),
 }
 
-/// Does it, in a transaction that the caller makes final or gives up.
+/// Runs an operation in a transaction that the caller commits or rolls back.
 ///
 /// # Errors
-/// When it can't be done; then the transaction is to be given up.
+/// The operation cannot be carried out; the caller has to roll back the transaction.
 pub async fn apply<T: Tx>(tx: &mut T, op: &Op) -> Result<Reply, Error> {
     match op {
         Op::Load => load(tx).await,
         Op::SetPlan(plan, change) => set_plan(tx, plan, change).await,
         Op::SetShop(shop, change) => set_shop(tx, shop, change).await,
-        Op::Shop(shop) => Ok(Reply::Shop(shop_of(tx, shop).await?.map(|(kept, _)| kept))),
+        Op::Shop(shop) => Ok(Reply::Shop(find_shop(tx, shop).await?.map(|(stored, _)| stored))),
         Op::SetOverride(over, change) => set_override(tx, over, change).await,
         Op::Append { batches, now_ms } => append(tx, batches, *now_ms).await,
         Op::Gap(gap) => {
@@ -299,8 +306,8 @@
             tx.execute(sql::LEVELS_OLD, args![*before_ms]).await?;
             Ok(Reply::Done)
         }
-        Op::Totals { shop, from_ms, to_ms, most } => {
-            let rows = tx.query(sql::TOTALS, args![shop, *from_ms, *to_ms, *most]).await?;
+        Op::Totals { shop, from_ms, to_ms, limit } => {
+            let rows = tx.query(sql::TOTALS, args![shop, *from_ms, *to_ms, *limit]).await?;
             let total = |r: &Row| {
                 Ok(UsageTotal {
                     shop: r.text(0)?,
@@ -334,9 +341,9 @@
             let (base, head) = history_ends(tx).await?;
             Ok(Reply::HistoryEnds(base, head))
         }
-        Op::History { after, most } => {
+        Op::History { after, limit } => {
             let (base, _) = history_ends(tx).await?;
-            let rows = tx.query(sql::HISTORY, args![*after, *most]).await?;
+            let rows = tx.query(sql::HISTORY, args![*after, *limit]).await?;
             let row = |r: &Row| {
                 Ok(HistoryRow {
                     number: r.int(0)?,
@@ -357,7 +364,7 @@
         }
         Op::UseByRevision => {
             let rows = tx.query(sql::USE_BY_REVISION, vec![]).await?;
-            let one = |r: &Row| {
+            let revision_use = |r: &Row| {
                 Ok(RevisionUse {
                     instance: r.text(0)?,
                     epoch_ms: r.int(1)?,
@@ -368,7 +375,7 @@
                     to_ms: r.int(6)?,
                 })
             };
-            Ok(Reply::Revisions(rows.iter().map(one).collect::<Result<_, Error>>()?))
+            Ok(Reply::Revisions(rows.iter().map(revision_use).collect::<Result<_, Error>>()?))
         }
         Op::Exports => {
             let rows = tx.query(sql::EXPORTS, vec![]).await?;
@@ -384,18 +391,18 @@
             };
             Ok(Reply::Exports(rows.iter().map(part).collect::<Result<_, Error>>()?))
         }
-        Op::Days(most) => {
-            let rows = tx.query(sql::DAYS, args![*most]).await?;
+        Op::Days(limit) => {
+            let rows = tx.query(sql::DAYS, args![*limit]).await?;
             let day = |r: &Row| Ok((fleet::day_row(r)?, r.int(7)?));
             Ok(Reply::Days(rows.iter().map(day).collect::<Result<_, Error>>()?))
         }
         Op::Instances => {
             let rows = tx.query(sql::INSTANCES, vec![]).await?;
-            let one = |r: &Row| Ok((r.text(0)?, r.text(1)?, r.int(2)?, r.int(3)?, r.int(4)?));
-            Ok(Reply::Instances(rows.iter().map(one).collect::<Result<_, Error>>()?))
+            let instance = |r: &Row| Ok((r.text(0)?, r.text(1)?, r.int(2)?, r.int(3)?, r.int(4)?));
+            Ok(Reply::Instances(rows.iter().map(instance).collect::<Result<_, Error>>()?))
         }
-        Op::Audit(most) => {
-            let rows = tx.query(sql::AUDIT, args![*most]).await?;
+        Op::Audit(limit) => {
+            let rows = tx.query(sql::AUDIT, args![*limit]).await?;
             let entry = |r: &Row| {
                 Ok(AuditEntry {
                     revision: r.int(0)?,
@@ -414,21 +421,22 @@
     }
 }
 
-/// What is kept, and the change that made it so.
+/// A stored value, and the id of the change that made it.
 type Found<T> = (Versioned<T>, String);
 
-fn kept<T>(value: T, row: &Row, at: usize) -> Result<Found<T>, Error> {
-    let kept = Versioned {
+/// Reads the revision, author, time, reason and change id of a value from the columns beginning at `at`.
+fn versioned<T>(value: T, row: &Row, at: usize) -> Result<Found<T>, Error> {
+    let stored = Versioned {
         value,
         revision: row.int(at)?,
         by: row.text(at + 1)?,
         at_ms: row.int(at + 2)?,
         why: row.text(at + 3)?,
     };
-    Ok((kept, row.text(at + 4)?))
+    Ok((stored, row.text(at + 4)?))
 }
 
-fn plan_of(r: &Row) -> Result<Found<Plan>, Error> {
+fn plan_from_row(r: &Row) -> Result<Found<Plan>, Error> {
     let plan = Plan {
         name: r.text(0)?,
         rate_milli: r.int(1)?,
@@ -439,67 +447,75 @@
         ceiling_slack_milli: r.int(6)?,
         from_ms: r.int(7)?,
     };
-    kept(plan, r, 8)
+    versioned(plan, r, 8)
 }
 
-fn override_of(r: &Row) -> Result<Found<Override>, Error> {
+fn override_from_row(r: &Row) -> Result<Found<Override>, Error> {
     let over = Override { kind: r.text(0)?, subject: r.text(1)?, value: r.text(2)?, until_ms: r.int(3)? };
-    kept(over, r, 4)
+    versioned(over, r, 4)
 }
 
-async fn shop_of<T: Tx>(tx: &mut T, shop: &str) -> Result<Option<Found<Shop>>, Error> {
+async fn find_shop<T: Tx>(tx: &mut T, shop: &str) -> Result<Option<Found<Shop>>, Error> {
     let rows = tx.query(sql::SHOP, args![shop]).await?;
-    let one = |r: &Row| {
-        kept(Shop { shop: r.text(0)?, plan: r.text(1)?, first: r.int(2)?, spread: r.int(3)? }, r, 4)
+    let shop_from_row = |r: &Row| {
+        versioned(Shop { shop: r.text(0)?, plan: r.text(1)?, first: r.int(2)?, spread: r.int(3)? }, r, 4)
     };
-    rows.first().map(one).transpose()
+    rows.first().map(shop_from_row).transpose()
 }
 
+/// Reads the snapshot for gatekeepers.
 async fn load<T: Tx>(tx: &mut T) -> Result<Reply, Error> {
     let head = tx.query(sql::HEAD, vec![]).await?;
-    let revision = head.first().ok_or_else(|| Error::Corrupt("no head".into()))?.int(0)?;
+    let revision = head.first().ok_or_else(|| Error::Corrupt("the head row is missing".into()))?.int(0)?;
     let plans = tx.query(sql::PLANS, vec![]).await?;
     let overrides = tx.query(sql::OVERRIDES, vec![]).await?;
     let (published, published_revision) = (publish::published(tx).await?, publish::revision(tx).await?);
     let fences = tx.query(sql::FENCES, vec![]).await?;
-    let standing = |r: &Row| {
+    let fence = |r: &Row| {
         Ok(StandingFence { duty: r.text(0)?, epoch: r.int(1)?, owner: r.text(2)?, at_ms: r.int(3)? })
     };
     Ok(Reply::Snapshot(Snapshot {
         revision,
-        plans: plans.iter().map(|r| plan_of(r).map(|f| f.0)).collect::<Result<_, _>>()?,
-        overrides: overrides.iter().map(|r| override_of(r).map(|f| f.0)).collect::<Result<_, _>>()?,
+        plans: plans.iter().map(|r| plan_from_row(r).map(|f| f.0)).collect::<Result<_, _>>()?,
+        overrides: overrides.iter().map(|r| override_from_row(r).map(|f| f.0)).collect::<Result<_, _>>()?,
         published,
         published_revision,
-        fences: fences.iter().map(standing).collect::<Result<_, Error>>()?,
+        fences: fences.iter().map(fence).collect::<Result<_, Error>>()?,
     }))
 }
 
-/// Whether a change may go on. One that has landed already (its answer was lost) gives its revision.
-fn may<T>(found: Option<&Found<T>>, change: &Change, subject: &str) -> Result<Option<i64>, Error> {
+/// Checks whether a change may be made. Returns the revision of a change that was made already, whose answer
+/// was lost.
+///
+/// # Errors
+/// [`Error::Conflict`] if the change is not based on the current revision, [`Error::Invalid`] if it names no
+/// author or id, or is based on a revision of an entry that does not exist.
+fn check_base<T>(found: Option<&Found<T>>, change: &Change, subject: &str) -> Result<Option<i64>, Error> {
     if change.by.is_empty() || change.id.is_empty() {
-        return Err(Error::Invalid("by: who changes it must be told".into()));
+        return Err(Error::Invalid("by: must name who makes the change".into()));
     }
     match found {
-        Some((kept, id)) if *id == change.id => Ok(Some(kept.revision)),
-        Some((kept, _)) if kept.revision != change.base => Err(Error::Conflict {
+        Some((stored, id)) if *id == change.id => Ok(Some(stored.revision)),
+        Some((stored, _)) if stored.revision != change.base => Err(Error::Conflict {
             subject: subject.to_string(),
-            revision: kept.revision,
-            by: kept.by.clone(),
-            since_ms: kept.at_ms,
+            revision: stored.revision,
+            by: stored.by.clone(),
+            since_ms: stored.at_ms,
         }),
         None if change.base != 0 => {
-            Err(Error::Invalid(format!("{subject}: there is none at revision {}", change.base)))
+            Err(Error::Invalid(format!("{subject}: does not exist, so it has no revision {}", change.base)))
         }
         _ => Ok(None),
     }
 }
 
-pub(crate) async fn next<T: Tx>(tx: &mut T) -> Result<i64, Error> {
+/// Allocates the next revision.
+pub(crate) async fn next_revision<T: Tx>(tx: &mut T) -> Result<i64, Error> {
     let rows = tx.query(sql::HEAD_NEXT, vec![]).await?;
-    rows.first().ok_or_else(|| Error::Corrupt("no head".into()))?.int(0)
+    rows.first().ok_or_else(|| Error::Corrupt("the head row is missing".into()))?.int(0)
 }
 
+/// Adds an entry to the audit trail.
 pub(crate) async fn audit<T: Tx>(
     tx: &mut T,
     revision: i64,
@@ -513,20 +529,20 @@
     tx.execute(sql::AUDIT_NEW, args).await.map(drop)
 }
 
-/// The row was there or not a moment ago, and is no longer so: somebody was faster within this very transaction.
-fn raced(subject: &str) -> Error {
-    Error::Contended(format!("{subject} was changed meanwhile"))
+/// The entry that was read in this transaction was created or changed concurrently before the write.
+fn concurrent_change(subject: &str) -> Error {
+    Error::Contended(format!("{subject} was changed concurrently"))
 }
 
 async fn set_plan<T: Tx>(tx: &mut T, plan: &Plan, change: &Change) -> Result<Reply, Error> {
     plan.check()?;
     let rows = tx.query(sql::PLAN, args![&plan.name]).await?;
-    let found = rows.first().map(plan_of).transpose()?;
+    let found = rows.first().map(plan_from_row).transpose()?;
     let subject = format!("plan {}", plan.name);
-    if let Some(revision) = may(found.as_ref(), change, &subject)? {
+    if let Some(revision) = check_base(found.as_ref(), change, &subject)? {
         return Ok(Reply::Revision(revision));
     }
-    let revision = next(tx).await?;
+    let revision = next_revision(tx).await?;
     let mut args = args![
         &plan.name,
         plan.rate_milli,
@@ -549,26 +565,26 @@
         tx.execute(sql::PLAN_NEW, args).await?
     };
     if changed != 1 {
-        return Err(raced(&subject));
+        return Err(concurrent_change(&subject));
     }
-    let was = found.map_or(String::new(), |(kept, _)| publish::to_json(&kept.value));
+    let was = found.map_or(String::new(), |(stored, _)| publish::to_json(&stored.value));
     audit(tx, revision, change, "plan set", &plan.name, (was, publish::to_json(plan))).await?;
     Ok(Reply::Revision(revision))
 }
 
 async fn set_shop<T: Tx>(tx: &mut T, shop: &Shop, change: &Change) -> Result<Reply, Error> {
     if shop.shop.len() != 16 || !shop.shop.bytes().all(|b| b.is_ascii_hexdigit()) {
-        return Err(Error::Invalid("shop: 16 hex digits".into()));
+        return Err(Error::Invalid("shop: must be 16 hex digits".into()));
     }
     if shop.first < 0 || shop.spread < 1 {
-        return Err(Error::Invalid("first, spread: from 0, and from 1".into()));
+        return Err(Error::Invalid("first, spread: must be at least 0 and 1".into()));
     }
-    let found = shop_of(tx, &shop.shop).await?;
+    let found = find_shop(tx, &shop.shop).await?;
     let subject = format!("shop {}", shop.shop);
-    if let Some(revision) = may(found.as_ref(), change, &subject)? {
+    if let Some(revision) = check_base(found.as_ref(), change, &subject)? {
         return Ok(Reply::Revision(revision));
     }
-    let revision = next(tx).await?;
+    let revision = next_revision(tx).await?;
     let Change { by, at_ms, why, id, .. } = change;
     let mut args = args![&shop.shop, &shop.plan, shop.first, shop.spread, revision, by, *at_ms, why, id];
     let changed = if found.is_some() {
@@ -578,28 +594,30 @@
         tx.execute(sql::SHOP_NEW, args).await?
     };
     if changed != 1 {
-        return Err(raced(&subject));
+        return Err(concurrent_change(&subject));
     }
     let text = |s: &Shop| json!({"plan": s.plan, "first": s.first, "spread": s.spread}).to_string();
-    let was = found.map_or(String::new(), |(kept, _)| text(&kept.value));
+    let was = found.map_or(String::new(), |(stored, _)| text(&stored.value));
     audit(tx, revision, change, "shop set", &shop.shop, (was, text(shop))).await?;
     Ok(Reply::Revision(revision))
 }
 
 async fn set_override<T: Tx>(tx: &mut T, over: &Override, change: &Change) -> Result<Reply, Error> {
     if !["weight", "out", "pin"].contains(&over.kind.as_str()) {
-        return Err(Error::Invalid(format!("kind: {:?}; weight, out or pin", over.kind)));
+        return Err(Error::Invalid(format!("kind: {:?} is not one of weight, out, pin", over.kind)));
     }
     if over.subject.is_empty() || over.until_ms <= 0 {
-        return Err(Error::Invalid("subject, until_ms: both wanted; nothing stands for ever".into()));
+        return Err(Error::Invalid(
+            "subject, until_ms: both are required; an override cannot be unlimited".into(),
+        ));
     }
     let rows = tx.query(sql::OVERRIDE, args![&over.kind, &over.subject]).await?;
-    let found = rows.first().map(override_of).transpose()?;
+    let found = rows.first().map(override_from_row).transpose()?;
     let subject = format!("override {} of {}", over.kind, over.subject);
-    if let Some(revision) = may(found.as_ref(), change, &subject)? {
+    if let Some(revision) = check_base(found.as_ref(), change, &subject)? {
         return Ok(Reply::Revision(revision));
     }
-    let revision = next(tx).await?;
+    let revision = next_revision(tx).await?;
     let Change { by, at_ms, why, id, .. } = change;
     let mut args =
         args![&over.kind, &over.subject, &over.value, over.until_ms, revision, by, *at_ms, why, id];
@@ -610,22 +628,23 @@
         tx.execute(sql::OVERRIDE_NEW, args).await?
     };
     if changed != 1 {
-        return Err(raced(&subject));
+        return Err(concurrent_change(&subject));
     }
     let text = |o: &Override| json!({"value": o.value, "until_ms": o.until_ms}).to_string();
-    let was = found.map_or(String::new(), |(kept, _)| text(&kept.value));
-    let about = format!("{} {}", over.kind, over.subject);
-    audit(tx, revision, change, "override set", &about, (was, text(over))).await?;
+    let was = found.map_or(String::new(), |(stored, _)| text(&stored.value));
+    let audit_subject = format!("{} {}", over.kind, over.subject);
+    audit(tx, revision, change, "override set", &audit_subject, (was, text(over))).await?;
     Ok(Reply::Revision(revision))
 }
 
-/// A place in the history: number and digest.
-type Place = (i64, String);
+/// A position in the history: number and hash of a row.
+type HistoryPosition = (i64, String);
 
 /// Where the history begins and ends.
-pub(crate) async fn history_ends<T: Tx>(tx: &mut T) -> Result<(Place, Place), Error> {
+pub(crate) async fn history_ends<T: Tx>(tx: &mut T) -> Result<(HistoryPosition, HistoryPosition), Error> {
     let base = tx.query(sql::HISTORY_BASE, vec![]).await?;
-    let base = base.first().ok_or_else(|| Error::Corrupt("the history's base is gone".into()))?;
+    let base =
+        base.first().ok_or_else(|| Error::Corrupt("the row of the history's base is missing".into()))?;
     let base = (base.int(0)?, base.text(1)?);
     let head = tx.query(sql::HISTORY_HEAD, vec![]).await?;
     let head = head.first().map(|r| Ok::<_, Error>((r.int(0)?, r.text(1)?))).transpose()?;
@@ -634,14 +653,15 @@
 
 const HOUR_MS: i64 = 3_600_000;
 
+/// Stores batches that are not stored yet, with their lines in the ledger and in the totals by hour.
 async fn append<T: Tx>(tx: &mut T, batches: &[UsageBatch], now_ms: i64) -> Result<Reply, Error> {
-    let mut landed = Vec::with_capacity(batches.len());
+    let mut stored = Vec::with_capacity(batches.len());
     for b in batches {
         let mut args = args![&b.instance, b.epoch_ms, b.seq, b.from_ms, b.to_ms, i64::from(b.last), now_ms];
         args.push(b.revision.into());
-        let new = tx.execute(sql::BATCH_NEW, args).await? == 1;
-        landed.push(new);
-        if !new {
+        let is_new = tx.execute(sql::BATCH_NEW, args).await? == 1;
+        stored.push(is_new);
+        if !is_new {
             continue;
         }
         let hour_ms = b.to_ms.div_euclid(HOUR_MS) * HOUR_MS;
@@ -649,7 +669,7 @@
             let UsageLine { shop, plan, class, passed_milli, refused_milli, served_milli } = l;
             let figures = [*passed_milli, *refused_milli, *served_milli];
             if figures.iter().any(|f| *f < 0) {
-                return Err(Error::Invalid(format!("use of {shop}: below 0")));
+                return Err(Error::Invalid(format!("use of shop {shop}: must not be negative")));
             }
             let mut line = args![&b.instance, b.epoch_ms, b.seq, shop, plan, class];
             line.extend(figures.map(Value::Int));
@@ -659,5 +679,5 @@
             tx.execute(sql::TOTAL_ADD, total).await?;
         }
     }
-    Ok(Reply::Stored(landed))
+    Ok(Reply::Stored(stored))
 }
--- a/crates/record/src/postgres.rs
+++ b/crates/record/src/postgres.rs
@@ -1,6 +1,7 @@
-//! PostgreSQL, for a fleet. Every step has a time limit, here and at the server; a connection that missed one is
-//! thrown away. What the server gave up for another's sake is tried again; what may have been made final is said to be
-//! in doubt, and the operations are such that doing them again is safe.
+//! The PostgreSQL backend, for a fleet. Each statement has a time limit, at the client and at the server; a
+//! connection on which a statement timed out is discarded. Transactions that the server aborts because of a
+//! concurrent one are retried. A transaction that may have been committed is reported as in doubt, and all
+//! operations are safe to repeat.
 
 use crate::error::Error;
 use crate::ops::{self, Op, Reply, Row, Tx, Value};
@@ -21,17 +22,17 @@
 use tokio_postgres::{AsyncMessage, Config, NoTls};
 use tokio_postgres_rustls::MakeRustlsConnect;
 
-/// The channel on which changes are told.
+/// The channel on which changes are notified.
 const CHANNEL: &str = "frostvale";
-/// The advisory lock under which the schema is changed.
+/// Takes the advisory lock under which the schema is migrated.
 const MIGRATION_LOCK: &str = "SELECT pg_advisory_xact_lock(727574)::TEXT AS locked";
-/// What gave way to another transaction is tried so often in all.
-const TRIES: u32 = 8;
+/// The maximum number of attempts of a transaction that collides with others.
+const MAX_ATTEMPTS: u32 = 8;
 
-/// A record in a server.
+/// A record on a PostgreSQL server.
 pub struct Postgres {
     pool: Pool,
-    statement: Duration,
+    statement_timeout: Duration,
     changes: watch::Sender<u64>,
     listener: tokio::task::JoinHandle<()>,
 }
@@ -42,65 +43,69 @@
     }
 }
 
-/// What a place says, as the client wants it; and whether it is on loopback.
+/// Converts a location to the client's configuration; also returns whether all hosts are on loopback.
 ///
 /// # Errors
-/// With the field and what it may be.
-pub(crate) fn config(place: &RecordLocation) -> Result<(Config, bool), String> {
-    let mut config: Config = place.url.parse().map_err(|_| {
-        // The text may hold a secret: it is not shown.
-        "record.url: sqlite:PATH or postgres://USER@HOST:PORT/DATABASE".to_string()
+/// Names the field and the values that it accepts.
+pub(crate) fn config(location: &RecordLocation) -> Result<(Config, bool), String> {
+    let mut config: Config = location.url.parse().map_err(|_| {
+        // The URL may contain a secret, so it is not shown.
+        "record.url: must be sqlite:PATH or postgres://USER@HOST:PORT/DATABASE".to_string()
     })?;
-    if !place.url.starts_with("postgres://") && !place.url.starts_with("postgresql://") {
-        return Err("record.url: sqlite:PATH or postgres://USER@HOST:PORT/DATABASE".into());
+    if !location.url.starts_with("postgres://") && !location.url.starts_with("postgresql://") {
+        return Err("record.url: must be sqlite:PATH or postgres://USER@HOST:PORT/DATABASE".into());
     }
     if config.get_password().is_some() {
-        return Err("record.url: a password stands in record.password_file, not in the URL".into());
+        return Err("record.url: must not contain a password; use record.password_file".into());
     }
-    let local = |host: &Host| match host {
+    let is_local = |host: &Host| match host {
         Host::Unix(_) => true,
         Host::Tcp(name) => name == "localhost" || name.parse().is_ok_and(|ip: IpAddr| ip.is_loopback()),
     };
-    let loopback = !config.get_hosts().is_empty() && config.get_hosts().iter().all(local);
+    let is_loopback = !config.get_hosts().is_empty() && config.get_hosts().iter().all(is_local);
     if config.get_hosts().is_empty() {
-        return Err("record.url: it names no host".into());
+        return Err("record.url: must name a host".into());
     }
-    if !loopback && place.ca.is_none() {
-        return Err("record.ca: wanted where the server is not on loopback".into());
+    if !is_loopback && location.ca.is_none() {
+        return Err("record.ca: required unless the server is on loopback".into());
     }
     let range = Duration::from_millis(10)..=Duration::from_secs(600);
-    if !range.contains(&place.connect_timeout) || !range.contains(&place.statement_timeout) {
-        return Err("record.connect_ms, record.statement_ms: 10 to 600000".into());
+    if !range.contains(&location.connect_timeout) || !range.contains(&location.statement_timeout) {
+        return Err("record.connect_ms, record.statement_ms: must be 10 to 600000".into());
     }
-    if !(1..=100).contains(&place.connections) {
-        return Err("record.connections: 1 to 100".into());
+    if !(1..=100).contains(&location.connections) {
+        return Err("record.connections: must be 1 to 100".into());
     }
-    if let Some(file) = &place.password_file {
+    if let Some(file) = &location.password_file {
         let text = std::fs::read_to_string(file)
             .map_err(|e| format!("record.password_file: cannot read {}: {e}", file.display()))?;
         config.password(text.trim_end_matches(['\r', '\n']));
     }
-    // An agent that is stopped in the middle of a transaction holds its rows, and with them whoever owns the duty next:
-    // the server gives up what lies idle as long as a statement may take.
-    let most = place.statement_timeout.as_millis();
-    config.connect_timeout(place.connect_timeout).application_name("frostvale").options(format!(
-        "-c statement_timeout={most} -c lock_timeout={most} -c idle_in_transaction_session_timeout={most}"
+    // An agent that is suspended in the middle of a transaction keeps its row locks and blocks the next owner
+    // of the duty: the server therefore aborts a transaction that is idle for as long as a statement may
+    // take.
+    let timeout_ms = location.statement_timeout.as_millis();
+    config.connect_timeout(location.connect_timeout).application_name("frostvale").options(format!(
+        "-c statement_timeout={timeout_ms} -c lock_timeout={timeout_ms} \
+             -c idle_in_transaction_session_timeout={timeout_ms}"
     ));
-    if place.ca.is_some() {
+    if location.ca.is_some() {
         config.ssl_mode(tokio_postgres::config::SslMode::Require);
     }
-    Ok((config, loopback))
+    Ok((config, is_loopback))
 }
 
+/// A TLS connector that trusts only the certificates in the file `ca`.
 fn tls(ca: &Path) -> Result<MakeRustlsConnect, String> {
     let mut roots = rustls::RootCertStore::empty();
-    let read = CertificateDer::pem_file_iter(ca).map_err(|e| format!("record.ca: {}: {e}", ca.display()))?;
-    for cert in read {
+    let certificates =
+        CertificateDer::pem_file_iter(ca).map_err(|e| format!("record.ca: {}: {e}", ca.display()))?;
+    for cert in certificates {
         let cert = cert.map_err(|e| format!("record.ca: {}: {e}", ca.display()))?;
         roots.add(cert).map_err(|e| format!("record.ca: {}: {e}", ca.display()))?;
     }
     if roots.is_empty() {
-        return Err(format!("record.ca: {}: no certificate in it", ca.display()));
+        return Err(format!("record.ca: {}: contains no certificate", ca.display()));
     }
     let provider = Arc::new(rustls::crypto::ring::default_provider());
     let client = rustls::ClientConfig::builder_with_provider(provider)
@@ -111,8 +116,8 @@
     Ok(MakeRustlsConnect::new(client))
 }
 
-/// What an error means here. `making_final`: while the commit was out.
-fn meaning(e: &tokio_postgres::Error, making_final: bool) -> Error {
+/// Translates an error of PostgreSQL to an error of the record. `during_commit`: the `COMMIT` had been sent.
+fn translate_error(e: &tokio_postgres::Error, during_commit: bool) -> Error {
     let text = match e.as_db_error() {
         Some(db) => format!("{} ({})", db.message(), db.code().code()),
         None => {
@@ -121,7 +126,7 @@
         }
     };
     let Some(code) = e.code() else {
-        return if making_final { Error::InDoubt(text) } else { Error::Unavailable(text) };
+        return if during_commit { Error::InDoubt(text) } else { Error::Unavailable(text) };
     };
     match code {
         c if *c == SqlState::T_R_SERIALIZATION_FAILURE || *c == SqlState::T_R_DEADLOCK_DETECTED => {
@@ -132,17 +137,18 @@
         c if *c == SqlState::READ_ONLY_SQL_TRANSACTION => Error::ReadOnly(text),
         c if *c == SqlState::DATA_CORRUPTED || *c == SqlState::INDEX_CORRUPTED => Error::Corrupt(text),
         c if c.code().starts_with("42") || c.code().starts_with("22") => Error::Corrupt(text),
-        _ if making_final => Error::InDoubt(text),
+        _ if during_commit => Error::InDoubt(text),
         _ => Error::Unavailable(text),
     }
 }
 
-struct Open<'a> {
+/// An open transaction.
+struct OpenTransaction<'a> {
     client: &'a ClientWrapper,
-    most: Duration,
+    timeout: Duration,
 }
 
-/// Values as the client binds them.
+/// Parameters as the client binds them.
 fn bound(args: &[Value]) -> Vec<&(dyn ToSql + Sync)> {
     args.iter()
         .map(|value| match value {
@@ -152,17 +158,21 @@
         .collect()
 }
 
-fn late() -> Error {
+/// The error for a statement that timed out outside of a commit.
+fn timed_out() -> Error {
     Error::Unavailable("no answer in time".into())
 }
 
-impl Tx for Open<'_> {
+impl Tx for OpenTransaction<'_> {
     async fn query(&mut self, sql: &'static str, args: Vec<Value>) -> Result<Vec<Row>, Error> {
         let work = async {
             let statement = self.client.prepare_cached(sql).await?;
             self.client.query(&statement, &bound(&args)).await
         };
-        let rows = timeout(self.most, work).await.map_err(|_| late())?.map_err(|e| meaning(&e, false))?;
+        let rows = timeout(self.timeout, work)
+            .await
+            .map_err(|_| timed_out())?
+            .map_err(|e| translate_error(&e, false))?;
         let value = |row: &tokio_postgres::Row, k: usize| {
             row.try_get::<_, i64>(k)
                 .map(Value::Int)
@@ -179,39 +189,40 @@
             let statement = self.client.prepare_cached(sql).await?;
             self.client.execute(&statement, &bound(&args)).await
         };
-        timeout(self.most, work).await.map_err(|_| late())?.map_err(|e| meaning(&e, false))
+        timeout(self.timeout, work).await.map_err(|_| timed_out())?.map_err(|e| translate_error(&e, false))
     }
 }
 
 impl Postgres {
-    /// Prepares connections; nothing is connected before it is needed.
+    /// Prepares the connection pool and starts the listener; connections of the pool are opened when needed.
     ///
     /// # Errors
-    /// When the place can't be used.
-    pub fn new(place: &RecordLocation) -> Result<Postgres, String> {
-        let (config, _) = config(place)?;
+    /// The settings are invalid.
+    pub fn new(location: &RecordLocation) -> Result<Postgres, String> {
+        let (config, _) = config(location)?;
         let manager = ManagerConfig { recycling_method: RecyclingMethod::Fast };
-        let tls = place.ca.as_deref().map(tls).transpose()?;
+        let tls = location.ca.as_deref().map(tls).transpose()?;
         let manager = match tls.clone() {
             Some(tls) => Manager::from_config(config.clone(), tls, manager),
             None => Manager::from_config(config.clone(), NoTls, manager),
         };
         let pool = Pool::builder(manager)
-            .max_size(place.connections)
-            .wait_timeout(Some(place.connect_timeout))
-            .create_timeout(Some(place.connect_timeout))
-            .recycle_timeout(Some(place.connect_timeout))
+            .max_size(location.connections)
+            .wait_timeout(Some(location.connect_timeout))
+            .create_timeout(Some(location.connect_timeout))
+            .recycle_timeout(Some(location.connect_timeout))
             .runtime(deadpool_postgres::Runtime::Tokio1)
             .build()
-            .map_err(|e| format!("record: {e}"))?;
+            .map_err(|e| format!("record: cannot build the connection pool: {e}"))?;
         let changes = watch::Sender::new(0);
-        let listener = tokio::spawn(listen(config, tls, place.connect_timeout, changes.clone()));
-        Ok(Postgres { pool, statement: place.statement_timeout, changes, listener })
+        let listener = tokio::spawn(listen(config, tls, location.connect_timeout, changes.clone()));
+        Ok(Postgres { pool, statement_timeout: location.statement_timeout, changes, listener })
     }
 
+    /// Takes a connection from the pool.
     async fn connection(&self) -> Result<Object, Error> {
         self.pool.get().await.map_err(|e| match e {
-            deadpool_postgres::PoolError::Backend(e) => match meaning(&e, false) {
+            deadpool_postgres::PoolError::Backend(e) => match translate_error(&e, false) {
                 Error::Corrupt(text) => Error::Unavailable(text),
                 other => other,
             },
@@ -219,40 +230,43 @@
         })
     }
 
-    /// Does something in a transaction. One that is not ended in order leaves the pool with its connection.
+    /// Runs `work` in a transaction. A connection whose transaction did not end properly is removed from the
+    /// pool.
     async fn transaction(&self, work: &Work) -> Result<Done, Error> {
         let client = self.connection().await?;
-        let done = self.within(&client, work).await;
+        let done = self.run_transaction(&client, work).await;
         if let Err(Error::Unavailable(_) | Error::InDoubt(_) | Error::Contended(_)) = &done {
-            // Whatever it still holds open ends with it.
+            // Closing the connection ends a transaction that is still open on it.
             drop(Object::take(client));
         }
         done
     }
 
-    async fn within(&self, client: &Object, work: &Work) -> Result<Done, Error> {
-        step(client, self.statement, "BEGIN ISOLATION LEVEL REPEATABLE READ", false).await?;
-        let done = work.done(&mut Open { client, most: self.statement }).await;
+    /// Runs `work` between `BEGIN` and `COMMIT` or `ROLLBACK`.
+    async fn run_transaction(&self, client: &Object, work: &Work) -> Result<Done, Error> {
+        execute_on(client, self.statement_timeout, "BEGIN ISOLATION LEVEL REPEATABLE READ", false).await?;
+        let done = work.run(&mut OpenTransaction { client, timeout: self.statement_timeout }).await;
         match done {
             Ok(done) => {
-                step(client, self.statement, "COMMIT", true).await?;
+                execute_on(client, self.statement_timeout, "COMMIT", true).await?;
                 Ok(done)
             }
             Err(e @ (Error::Unavailable(_) | Error::InDoubt(_))) => Err(e),
             Err(e) => {
-                step(client, self.statement, "ROLLBACK", false).await?;
+                execute_on(client, self.statement_timeout, "ROLLBACK", false).await?;
                 Err(e)
             }
         }
     }
 
-    async fn again(&self, work: Work) -> Result<Done, Error> {
-        let mut tries = 0;
+    /// Runs `work` and retries it with a growing pause while it collides with other transactions.
+    async fn run_with_retries(&self, work: Work) -> Result<Done, Error> {
+        let mut attempts = 0;
         loop {
-            tries += 1;
+            attempts += 1;
             match self.transaction(&work).await {
-                Err(Error::Contended(_)) if tries < TRIES => {
-                    tokio::time::sleep(Duration::from_millis(2 << tries)).await;
+                Err(Error::Contended(_)) if attempts < MAX_ATTEMPTS => {
+                    tokio::time::sleep(Duration::from_millis(2 << attempts)).await;
                 }
                 done => return done,
             }
@@ -260,14 +274,14 @@
     }
 }
 
-/// What is done in one transaction.
+/// The work of one transaction.
 enum Work {
     Op(Op),
     Migrate,
     Check,
 }
 
-/// What came of it.
+/// The result of [`Work`].
 enum Done {
     Op(Reply),
     Migrated(i64, i64),
@@ -275,12 +289,12 @@
 }
 
 impl Work {
-    async fn done(&self, tx: &mut Open<'_>) -> Result<Done, Error> {
+    async fn run(&self, tx: &mut OpenTransaction<'_>) -> Result<Done, Error> {
         match self {
             Work::Op(op) => {
                 let reply = ops::apply(tx, op).await?;
                 if op.notifies_others() {
-                    step_in(tx, &format!("NOTIFY {CHANNEL}")).await?;
+                    execute_in(tx, &format!("NOTIFY {CHANNEL}")).await?;
                 }
                 Ok(Done::Op(reply))
             }
@@ -290,12 +304,12 @@
                 let totals = tx.query(sql::SUM_TOTALS, vec![]).await?;
                 let sum = |rows: &[Row]| match rows.first().and_then(|row| row.0.first()) {
                     Some(Value::Int(sum)) => Ok(*sum),
-                    other => Err(Error::Corrupt(format!("no sum: {other:?}"))),
+                    other => Err(Error::Corrupt(format!("the sum is missing: {other:?}"))),
                 };
                 let (ledger, totals) = (sum(&ledger)?, sum(&totals)?);
                 if ledger != totals {
                     return Err(Error::Corrupt(format!(
-                        "the ledger has {ledger} thousandths, the totals {totals}"
+                        "the ledger has {ledger} thousandths, the totals have {totals}"
                     )));
                 }
                 Ok(Done::Checked(format!("ledger and totals agree at {ledger} thousandths")))
@@ -304,22 +318,24 @@
     }
 }
 
-async fn migrate(tx: &mut Open<'_>) -> Result<(i64, i64), Error> {
-    // Two agents that migrate at once do it once: the second one waits here, and finds it done.
+/// Brings the schema to the newest version; returns the version found and the version it has now.
+async fn migrate(tx: &mut OpenTransaction<'_>) -> Result<(i64, i64), Error> {
+    // Two agents that migrate concurrently do it once: the second one waits here and then finds the new
+    // version.
     tx.query(MIGRATION_LOCK, vec![]).await?;
-    step_in(tx, sql::VERSION_TABLE).await?;
-    step_in(tx, sql::VERSION_FIRST).await?;
+    execute_in(tx, sql::VERSION_TABLE).await?;
+    execute_in(tx, sql::VERSION_FIRST).await?;
     let rows = tx.query(sql::VERSION_GET, vec![]).await?;
     let found = match rows.first().and_then(|row| row.0.first()) {
         Some(Value::Int(found)) => *found,
-        _ => return Err(Error::Corrupt("no schema version".into())),
+        _ => return Err(Error::Corrupt("the schema version is missing".into())),
     };
     if found > sql::VERSION {
         return Err(Error::SchemaTooNew { found, known: sql::VERSION });
     }
     for version in sql::MIGRATIONS.iter().skip(usize::try_from(found).unwrap_or(usize::MAX)) {
         for statement in *version {
-            step_in(tx, statement).await?;
+            execute_in(tx, statement).await?;
         }
     }
     if found < sql::VERSION {
@@ -328,23 +344,35 @@
     Ok((found, sql::VERSION))
 }
 
-async fn step(client: &Object, most: Duration, text: &str, making_final: bool) -> Result<(), Error> {
-    match timeout(most, client.batch_execute(text)).await {
-        Ok(done) => done.map_err(|e| meaning(&e, making_final)),
-        Err(_) if making_final => Err(Error::InDoubt("no answer in time".into())),
-        Err(_) => Err(late()),
+/// Runs a statement without parameters on a connection.
+async fn execute_on(
+    client: &Object,
+    time_limit: Duration,
+    text: &str,
+    during_commit: bool,
+) -> Result<(), Error> {
+    match timeout(time_limit, client.batch_execute(text)).await {
+        Ok(done) => done.map_err(|e| translate_error(&e, during_commit)),
+        Err(_) if during_commit => Err(Error::InDoubt("no answer in time".into())),
+        Err(_) => Err(timed_out()),
     }
 }
 
-/// Hears of changes for as long as the record lives. What is missed while it is not connected is found by looking.
-async fn listen(config: Config, tls: Option<MakeRustlsConnect>, most: Duration, changes: watch::Sender<u64>) {
+/// Signals notified changes for as long as the record is open. Changes that are missed while it is not
+/// connected are found by reading the record.
+async fn listen(
+    config: Config,
+    tls: Option<MakeRustlsConnect>,
+    connect_timeout: Duration,
+    changes: watch::Sender<u64>,
+) {
     let mut pause = Duration::from_millis(100);
     loop {
-        let heard = match tls.clone() {
-            Some(tls) => listen_once(&config, tls, most, &changes).await,
-            None => listen_once(&config, NoTls, most, &changes).await,
+        let was_listening = match tls.clone() {
+            Some(tls) => listen_once(&config, tls, connect_timeout, &changes).await,
+            None => listen_once(&config, NoTls, connect_timeout, &changes).await,
         };
-        if heard {
+        if was_listening {
             pause = Duration::from_millis(100);
         }
         tokio::time::sleep(pause).await;
@@ -352,29 +380,37 @@
     }
 }
 
-async fn listen_once<T>(config: &Config, tls: T, most: Duration, changes: &watch::Sender<u64>) -> bool
+/// Connects and listens until the connection ends; returns whether it was listening.
+async fn listen_once<T>(
+    config: &Config,
+    tls: T,
+    connect_timeout: Duration,
+    changes: &watch::Sender<u64>,
+) -> bool
 where
     T: tokio_postgres::tls::MakeTlsConnect<tokio_postgres::Socket> + 'static,
 {
-    let Ok(Ok((client, mut connection))) = timeout(most, config.connect(tls)).await else { return false };
+    let Ok(Ok((client, mut connection))) = timeout(connect_timeout, config.connect(tls)).await else {
+        return false;
+    };
     let text = format!("LISTEN {CHANNEL}");
-    let ask = client.batch_execute(&text);
-    tokio::pin!(ask);
-    let mut asked = false;
+    let listen = client.batch_execute(&text);
+    tokio::pin!(listen);
+    let mut is_listening = false;
     loop {
         tokio::select! {
-            done = &mut ask, if !asked => {
+            done = &mut listen, if !is_listening => {
                 if done.is_err() {
                     return false;
                 }
-                asked = true;
-                // What happened before it listened.
+                is_listening = true;
+                // Changes may have been made before it was listening.
                 changes.send_modify(|n| *n += 1);
             }
             message = futures::future::poll_fn(|cx| connection.poll_message(cx)) => match message {
                 Some(Ok(AsyncMessage::Notification(_))) => changes.send_modify(|n| *n += 1),
                 Some(Ok(_)) => {}
-                Some(Err(_)) | None => return asked,
+                Some(Err(_)) | None => return is_listening,
             }
         }
     }
@@ -383,22 +419,22 @@
 #[async_trait]
 impl Backend for Postgres {
     async fn run(&self, op: Op) -> Result<Reply, Error> {
-        match self.again(Work::Op(op)).await? {
+        match self.run_with_retries(Work::Op(op)).await? {
             Done::Op(reply) => Ok(reply),
             _ => Ok(Reply::Done),
         }
     }
 
     async fn migrate(&self) -> Result<(i64, i64), Error> {
-        match self.again(Work::Migrate).await? {
+        match self.run_with_retries(Work::Migrate).await? {
             Done::Migrated(found, now) => Ok((found, now)),
             _ => Ok((sql::VERSION, sql::VERSION)),
         }
     }
 
-    async fn changed(&self, most: Duration) {
+    async fn changed(&self, max_wait: Duration) {
         let mut changes = self.changes.subscribe();
-        let _ = timeout(most, changes.changed()).await;
+        let _ = timeout(max_wait, changes.changed()).await;
     }
 
     fn kind(&self) -> &'static str {
@@ -406,20 +442,19 @@
     }
 
     async fn check(&self) -> Result<String, Error> {
-        match self.again(Work::Check).await? {
-            Done::Checked(said) => Ok(said),
+        match self.run_with_retries(Work::Check).await? {
+            Done::Checked(result) => Ok(result),
             _ => Ok(String::new()),
         }
     }
 
     async fn backup(&self, _: &Path) -> Result<(), Error> {
-        Err(Error::Invalid(
-            "backup: PostgreSQL has its own tools for that (pg_dump); this is for SQLite".into(),
-        ))
+        Err(Error::Invalid("backup: only SQLite is supported; use PostgreSQL's own tools (pg_dump)".into()))
     }
 }
 
-async fn step_in(tx: &mut Open<'_>, text: &str) -> Result<(), Error> {
-    let done = timeout(tx.most, tx.client.batch_execute(text)).await.map_err(|_| late())?;
-    done.map_err(|e| meaning(&e, false))
+/// Runs a statement without parameters in a transaction.
+async fn execute_in(tx: &mut OpenTransaction<'_>, text: &str) -> Result<(), Error> {
+    let done = timeout(tx.timeout, tx.client.batch_execute(text)).await.map_err(|_| timed_out())?;
+    done.map_err(|e| translate_error(&e, false))
 }
--- a/crates/record/src/spool.rs
+++ b/crates/record/src/spool.rs
@@ -1,9 +1,9 @@
-//! Use that waits for the database: a bounded file, durable before anything is acknowledged. Torn writes are SQLite's
-//! business, which keeps whole transactions only.
+//! Use that waits for the database: a bounded file, written durably before anything is acknowledged. SQLite
+//! handles torn writes: it keeps whole transactions only.
 
 use crate::error::Error;
 use crate::model::{UsageBatch, UsageLine};
-use crate::sqlite::{Sqlite, meaning};
+use crate::sqlite::{Sqlite, translate_error};
 use rusqlite::{Connection, OptionalExtension};
 use serde_json::{Value, json};
 use std::path::Path;
@@ -11,20 +11,21 @@
 /// A batch in the spool.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SpooledBatch {
-    /// Its place.
+    /// The row id; the spool is read in this order.
     pub id: i64,
-    /// Bytes that it takes.
+    /// The size of the batch in the spool, in bytes.
     pub bytes: u64,
     /// The batch.
     pub batch: UsageBatch,
 }
 
-/// A spool in a file.
+/// A spool in an SQLite file.
 pub struct Spool {
     file: Sqlite,
 }
 
-fn write(batch: &UsageBatch) -> String {
+/// Encodes a batch as the JSON text that the spool stores.
+fn encode(batch: &UsageBatch) -> String {
     let lines: Vec<Value> = batch
         .lines
         .iter()
@@ -34,7 +35,8 @@
     json!([instance, epoch_ms, seq, from_ms, to_ms, last, lines, revision]).to_string()
 }
 
-fn read(text: &str) -> Option<UsageBatch> {
+/// Decodes a stored batch; `None` if the text is malformed.
+fn decode(text: &str) -> Option<UsageBatch> {
     let value: Value = serde_json::from_str(text).ok()?;
     let line = |l: &Value| {
         Some(UsageLine {
@@ -54,21 +56,21 @@
         to_ms: value[4].as_i64()?,
         last: value[5].as_bool()?,
         lines: value[6].as_array()?.iter().map(line).collect::<Option<_>>()?,
-        // One that was spooled before these were told apart.
+        // Missing in a batch that was spooled by a version without revisions.
         revision: value[7].as_i64().unwrap_or(0),
     })
 }
 
 impl Spool {
-    /// Opens a spool, or makes it; gives the batches and bytes in it.
+    /// Opens a spool or creates it; returns the number of batches in it and their size in bytes.
     ///
     /// # Errors
-    /// When the file can't be used.
+    /// The file cannot be used.
     pub async fn open(path: &Path) -> Result<(Spool, usize, u64), Error> {
         let file = Sqlite::open(path).await?;
         let (count, bytes) = file
             .with(|c| {
-                let made = || -> rusqlite::Result<(i64, i64)> {
+                let create = || -> rusqlite::Result<(i64, i64)> {
                     c.execute_batch(
                         "CREATE TABLE IF NOT EXISTS spool (id INTEGER PRIMARY KEY, instance TEXT NOT NULL, \
                          epoch_ms INTEGER NOT NULL, seq INTEGER NOT NULL, bytes INTEGER NOT NULL, body TEXT NOT NULL, \
@@ -78,30 +80,30 @@
                         Ok((r.get(0)?, r.get(1)?))
                     })
                 };
-                made().map_err(|e| meaning(&e))
+                create().map_err(|e| translate_error(&e))
             })
             .await?;
         Ok((Spool { file }, usize::try_from(count).unwrap_or(0), u64::try_from(bytes).unwrap_or(0)))
     }
 
-    /// Bytes that a batch takes.
+    /// The size of a batch in the spool, in bytes.
     #[must_use]
     pub fn size_bytes(batch: &UsageBatch) -> u64 {
-        write(batch).len() as u64
+        encode(batch).len() as u64
     }
 
-    /// Puts batches in, durably. For each whether it is new: one that is there already stays there once.
+    /// Adds batches durably. Returns for each whether it is new: a batch that is there already is kept once.
     ///
     /// # Errors
-    /// When the file takes none; then none is in it.
+    /// The file cannot be written; then none of the batches is added.
     pub async fn append(&self, batches: Vec<UsageBatch>) -> Result<Vec<bool>, Error> {
         self.file
             .with(move |c| {
-                let put = |c: &mut Connection| -> rusqlite::Result<Vec<bool>> {
+                let insert = |c: &mut Connection| -> rusqlite::Result<Vec<bool>> {
                     let tx = c.transaction()?;
-                    let mut new = Vec::with_capacity(batches.len());
+                    let mut is_new = Vec::with_capacity(batches.len());
                     for b in &batches {
-                        let text = write(b);
+                        let text = encode(b);
                         let bytes = i64::try_from(text.len()).unwrap_or(i64::MAX);
                         let n = tx
                             .prepare_cached(
@@ -109,45 +111,45 @@
                                  ON CONFLICT (instance, epoch_ms, seq) DO NOTHING",
                             )?
                             .execute((&b.instance, b.epoch_ms, b.seq, bytes, text))?;
-                        new.push(n == 1);
+                        is_new.push(n == 1);
                     }
                     tx.commit()?;
-                    Ok(new)
+                    Ok(is_new)
                 };
-                put(c).map_err(|e| meaning(&e))
+                insert(c).map_err(|e| translate_error(&e))
             })
             .await
     }
 
-    /// The oldest so many.
+    /// The oldest batches, up to `limit`.
     ///
     /// # Errors
-    /// When the file can't be read.
-    pub async fn oldest(&self, most: usize) -> Result<Vec<SpooledBatch>, Error> {
-        let most = i64::try_from(most).unwrap_or(i64::MAX);
+    /// The file cannot be read, or an entry is malformed.
+    pub async fn oldest(&self, limit: usize) -> Result<Vec<SpooledBatch>, Error> {
+        let limit = i64::try_from(limit).unwrap_or(i64::MAX);
         let rows = self
             .file
             .with(move |c| {
-                let get = || -> rusqlite::Result<Vec<(i64, i64, String)>> {
+                let select = || -> rusqlite::Result<Vec<(i64, i64, String)>> {
                     let mut s = c.prepare_cached("SELECT id, bytes, body FROM spool ORDER BY id LIMIT ?1")?;
-                    let rows = s.query_map([most], |r| Ok((r.get(0)?, r.get(1)?, r.get(2)?)))?;
+                    let rows = s.query_map([limit], |r| Ok((r.get(0)?, r.get(1)?, r.get(2)?)))?;
                     rows.collect()
                 };
-                get().map_err(|e| meaning(&e))
+                select().map_err(|e| translate_error(&e))
             })
             .await?;
-        let one = |(id, bytes, text): (i64, i64, String)| {
+        let decode_row = |(id, bytes, text): (i64, i64, String)| {
             let batch =
-                read(&text).ok_or_else(|| Error::Corrupt(format!("spool: entry {id} can't be read")))?;
+                decode(&text).ok_or_else(|| Error::Corrupt(format!("spool: cannot decode entry {id}")))?;
             Ok(SpooledBatch { id, bytes: u64::try_from(bytes).unwrap_or(0), batch })
         };
-        rows.into_iter().map(one).collect()
+        rows.into_iter().map(decode_row).collect()
     }
 
-    /// The last batch of an instance's latest life that waits here.
+    /// The newest spooled batch of an instance's latest life.
     ///
     /// # Errors
-    /// When the file can't be read.
+    /// The file cannot be read.
     pub async fn latest(&self, instance: &str) -> Result<Option<UsageBatch>, Error> {
         let instance = instance.to_string();
         let text = self
@@ -155,18 +157,18 @@
             .with(move |c| {
                 let sql =
                     "SELECT body FROM spool WHERE instance = ?1 ORDER BY epoch_ms DESC, seq DESC LIMIT 1";
-                let get =
+                let select =
                     || c.prepare_cached(sql)?.query_row([instance], |r| r.get::<_, String>(0)).optional();
-                get().map_err(|e| meaning(&e))
+                select().map_err(|e| translate_error(&e))
             })
             .await?;
-        Ok(text.as_deref().and_then(read))
+        Ok(text.as_deref().and_then(decode))
     }
 
-    /// Takes out what has landed.
+    /// Removes batches that were stored in the database.
     ///
     /// # Errors
-    /// When the file can't be written; what stays in it lands once more, and is known for the same.
+    /// The file cannot be written; batches that remain are sent again, and the database recognises them.
     pub async fn remove(&self, ids: Vec<i64>) -> Result<(), Error> {
         self.file
             .with(move |c| {
@@ -177,7 +179,7 @@
                     }
                     tx.commit()
                 };
-                remove(c).map_err(|e| meaning(&e))
+                remove(c).map_err(|e| translate_error(&e))
             })
             .await
     }
--- a/crates/record/tests/fleet.rs
+++ b/crates/record/tests/fleet.rs
@@ -98,8 +98,9 @@
         let (old, new) = (fence("roll-up", "a", 5), fence("roll-up", "b", 6));
         assert_eq!(work(&*backend, &old, FleetWork::Touch, 0).await, Ok(Reply::Affected(0)));
         assert_eq!(work(&*backend, &new, FleetWork::Touch, 0).await, Ok(Reply::Affected(0)));
-        let refused = work(&*backend, &old, FleetWork::RollUp { most: 10 }, 0).await;
-        let stands = Error::Fenced { duty: "roll-up".into(), epoch: 5, stands: 6, by: "b#1".into() };
+        let refused = work(&*backend, &old, FleetWork::RollUp { limit: 10 }, 0).await;
+        let stands =
+            Error::Fenced { duty: "roll-up".into(), epoch: 5, current_epoch: 6, current_owner: "b#1".into() };
         assert_eq!(refused, Err(stands));
         assert_eq!(days(&*backend).await, (0, 0), "nothing was done");
         // One number, two owners: the first that came has it.
@@ -107,7 +108,7 @@
         assert!(matches!(work(&*backend, &twin, FleetWork::Touch, 0).await, Err(Error::Fenced { .. })));
         // Another duty's numbers are its own affair.
         assert!(work(&*backend, &fence("gaps", "a", 2), FleetWork::Touch, 0).await.is_ok());
-        assert_eq!(work(&*backend, &new, FleetWork::RollUp { most: 10 }, 0).await, Ok(Reply::Affected(1)));
+        assert_eq!(work(&*backend, &new, FleetWork::RollUp { limit: 10 }, 0).await, Ok(Reply::Affected(1)));
         let Ok(Reply::Snapshot(all)) = backend.run(Op::Load).await else { panic!("no snapshot") };
         let stands: Vec<(&str, i64, &str)> =
             all.fences.iter().map(|f| (f.duty.as_str(), f.epoch, f.owner.as_str())).collect();
@@ -122,12 +123,12 @@
         let units = |n: i64| 3 * n * 1000;
         append(&*backend, (1..=5).map(|seq| batch(1, seq, 0, seq, false)).collect(), 10).await;
         for left in [2, 2, 1, 0] {
-            let done = work(&*backend, &owner, FleetWork::RollUp { most: 2 }, 0).await;
+            let done = work(&*backend, &owner, FleetWork::RollUp { limit: 2 }, 0).await;
             assert_eq!(done, Ok(Reply::Affected(left)));
         }
         assert_eq!(days(&*backend).await, (units(15), 0));
         // A day that has not ended is not exported.
-        let prepare = |before_ms| FleetWork::PrepareExport { before_ms, most: 1 };
+        let prepare = |before_ms| FleetWork::PrepareExport { before_ms, limit: 1 };
         assert_eq!(work(&*backend, &owner, prepare(DAY_MS - 1), 0).await, Ok(Reply::Export(None)));
         let Ok(Reply::Export(Some(one))) = work(&*backend, &owner, prepare(DAY_MS), 0).await else {
             panic!("no part")
@@ -136,7 +137,7 @@
         // Its owner dies before it is written: the next one finds the very same part.
         append(&*backend, vec![batch(1, 6, 0, 100, false)], 20).await;
         let heir = fence("export", "b", 2);
-        work(&*backend, &heir, FleetWork::RollUp { most: 10 }, 0).await.expect("rolled up");
+        work(&*backend, &heir, FleetWork::RollUp { limit: 10 }, 0).await.expect("rolled up");
         let again = work(&*backend, &heir, prepare(DAY_MS), 0).await;
         assert_eq!(again, Ok(Reply::Export(Some(one.clone()))));
         // The old owner wakes up: it may neither prepare nor finish.
@@ -169,13 +170,13 @@
         let owner = fence("retention", "a", 1);
         let all: Vec<UsageBatch> = [1, 2, 3, 5, 6].map(|seq| batch(1, seq, 0, seq, false)).to_vec();
         append(&*backend, all.clone(), 10).await;
-        let retain = FleetWork::Retain { before_ms: 100, most: 100 };
+        let retain = FleetWork::Retain { before_ms: 100, limit: 100 };
         assert_eq!(
             work(&*backend, &owner, retain.clone(), 0).await,
             Ok(Reply::Affected(0)),
             "not rolled up yet"
         );
-        work(&*backend, &owner, FleetWork::RollUp { most: 100 }, 0).await.expect("rolled up");
+        work(&*backend, &owner, FleetWork::RollUp { limit: 100 }, 0).await.expect("rolled up");
         assert_eq!(
             work(&*backend, &owner, retain.clone(), 0).await,
             Ok(Reply::Affected(3)),
@@ -183,7 +184,7 @@
         );
         assert_eq!(append(&*backend, all, 20).await, [false; 5], "known, whether kept or let go of");
         assert_eq!(append(&*backend, vec![batch(1, 4, 0, 4, false)], 30).await, [true]);
-        work(&*backend, &owner, FleetWork::RollUp { most: 100 }, 0).await.expect("rolled up");
+        work(&*backend, &owner, FleetWork::RollUp { limit: 100 }, 0).await.expect("rolled up");
         assert_eq!(
             work(&*backend, &owner, retain, 0).await,
             Ok(Reply::Affected(2)),
@@ -344,7 +345,7 @@
             work(&*backend, &owner, FleetWork::RetainHistory { before_ms: 1050 }, 0).await,
             Ok(Reply::Affected(10))
         );
-        let Ok(Reply::History(rows, base)) = backend.run(Op::History { after: 0, most: 5 }).await else {
+        let Ok(Reply::History(rows, base)) = backend.run(Op::History { after: 0, limit: 5 }).await else {
             panic!("none")
         };
         assert_eq!((base, rows.len(), rows[0].clone()), ((10, "h10".into()), 5, history_row(11, 1100)));
