--- a/crates/record/src/error.rs
+++ b/crates/record/src/error.rs
@@ -89,8 +89,8 @@
         match self {
             Error::Conflict { subject, revision, by, since_ms } => write!(
                 f,
-                "{subject}: conflicting change by {by}: at revision {revision} since {since_ms} ms (Unix time); \
-                 nothing was changed; check it and set it again on top of that revision"
+                "{subject}: conflicting change by {by}: at revision {revision} since {since_ms} ms \
+                 (Unix time); nothing was changed; check it and set it again on top of that revision"
             ),
             Error::Fenced { duty, epoch, current_epoch, current_owner } => {
                 write!(
@@ -107,8 +107,8 @@
             Error::Contended(what) => write!(f, "collided with another change of the record: {what}"),
             Error::SchemaTooNew { found, known } => write!(
                 f,
-                "the record's schema has version {found}, this program supports up to {known}: use the program \
-                 that made it, or a newer one; nothing was changed"
+                "the record's schema has version {found}, this program supports up to {known}: use the \
+                 program that made it, or a newer one; nothing was changed"
             ),
             Error::Full(what) => {
                 write!(
--- a/crates/record/tests/fleet.rs
+++ b/crates/record/tests/fleet.rs
@@ -1,4 +1,5 @@
-//! Work on behalf of the fleet, on both databases: who is refused, and that each unit counts once however steps are cut off.
+//! Work on behalf of the fleet, on both backends: which owners are refused, and that each unit counts once
+//! however steps are interrupted.
 
 use frostvale_owner::fence::Owner;
 use frostvale_owner::{Action, Command, DutyController, Fence, Settings, State};
@@ -9,7 +10,8 @@
 use std::net::Ipv4Addr;
 use std::sync::Arc;
 
-/// A fence as the owner of this epoch has it: there is no other way to one than by a lease.
+/// The fence of the owner with this epoch. Only a lease can produce a fence, so this runs a controller until
+/// it has one.
 fn fence(duty: &str, agent: &str, epoch: u64) -> Fence {
     let mut state = State::default();
     let mut host = DutyController::new(agent, "a", &[duty.to_string()], Settings::default(), 1, 1);
@@ -29,12 +31,13 @@
     panic!("never owned: {:?}", Owner { agent: agent.into(), life: 1 })
 }
 
+/// Both backends, migrated, with the server and folder that they need.
 async fn both(name: &str) -> Vec<(Arc<dyn Backend>, Option<Postgres>, tempfile::TempDir)> {
     let mut all = Vec::new();
     for kind in ["sqlite", "postgres"] {
         let folder = tempfile::tempdir().expect("a folder");
         let file = folder.path().join(format!("{name}.db"));
-        let (place, server) = if kind == "sqlite" {
+        let (location, server) = if kind == "sqlite" {
             (RecordLocation::new(&format!("sqlite:{}", file.display())), None)
         } else {
             let server = Postgres::start(Ipv4Addr::LOCALHOST.into(), &file, "sesame", Login::Scram)
@@ -45,13 +48,14 @@
             let url = format!("postgres://agent@{}/frostvale", server.at);
             (RecordLocation { password_file: Some(password), ..RecordLocation::new(&url) }, Some(server))
         };
-        let backend = place.open().await.expect("opened");
+        let backend = location.open().await.expect("opened");
         backend.migrate().await.expect("migrated");
         all.push((backend, server, folder));
     }
     all
 }
 
+/// Runs a step behind a fence.
 async fn work(backend: &dyn Backend, fence: &Fence, work: FleetWork, now_ms: i64) -> Result<Reply, Error> {
     backend.run(Op::ForFleet { fence: fence.clone(), work, now_ms }).await
 }
@@ -88,11 +92,11 @@
 
 async fn days(backend: &dyn Backend) -> (i64, i64) {
     let Ok(Reply::Days(rows)) = backend.run(Op::Days(1000)).await else { panic!("no days") };
-    (rows.iter().map(|(r, _)| r.passed_milli).sum(), rows.iter().map(|(_, out)| out).sum())
+    (rows.iter().map(|(r, _)| r.passed_milli).sum(), rows.iter().map(|(_, exported)| exported).sum())
 }
 
 #[tokio::test]
-async fn a_former_owner_is_refused_before_it_has_done_anything() {
+async fn former_owner_is_refused_before_it_has_done_anything() {
     for (backend, _server, _folder) in both("fence").await {
         append(&*backend, vec![batch(1, 1, 0, 5, false)], 0).await;
         let (old, new) = (fence("roll-up", "a", 5), fence("roll-up", "b", 6));
@@ -103,10 +107,10 @@
             Error::Fenced { duty: "roll-up".into(), epoch: 5, current_epoch: 6, current_owner: "b#1".into() };
         assert_eq!(refused, Err(stands));
         assert_eq!(days(&*backend).await, (0, 0), "nothing was done");
-        // One number, two owners: the first that came has it.
+        // Two owners with one epoch: the first one to reach the record has it.
         let twin = fence("roll-up", "c", 6);
         assert!(matches!(work(&*backend, &twin, FleetWork::Touch, 0).await, Err(Error::Fenced { .. })));
-        // Another duty's numbers are its own affair.
+        // Epochs of different duties are independent.
         assert!(work(&*backend, &fence("gaps", "a", 2), FleetWork::Touch, 0).await.is_ok());
         assert_eq!(work(&*backend, &new, FleetWork::RollUp { limit: 10 }, 0).await, Ok(Reply::Affected(1)));
         let Ok(Reply::Snapshot(all)) = backend.run(Op::Load).await else { panic!("no snapshot") };
@@ -117,14 +121,14 @@
 }
 
 #[tokio::test]
-async fn each_unit_is_rolled_up_and_exported_once_however_often_a_step_is_done_again() {
+async fn each_unit_is_rolled_up_and_exported_once_when_steps_are_repeated() {
     for (backend, _server, _folder) in both("export").await {
         let owner = fence("export", "a", 1);
         let units = |n: i64| 3 * n * 1000;
         append(&*backend, (1..=5).map(|seq| batch(1, seq, 0, seq, false)).collect(), 10).await;
-        for left in [2, 2, 1, 0] {
+        for batches in [2, 2, 1, 0] {
             let done = work(&*backend, &owner, FleetWork::RollUp { limit: 2 }, 0).await;
-            assert_eq!(done, Ok(Reply::Affected(left)));
+            assert_eq!(done, Ok(Reply::Affected(batches)));
         }
         assert_eq!(days(&*backend).await, (units(15), 0));
         // A day that has not ended is not exported.
@@ -134,30 +138,31 @@
             panic!("no part")
         };
         assert_eq!((one.number, one.rows.len()), (1, 1));
-        // Its owner dies before it is written: the next one finds the very same part.
+        // The owner dies before the part is written out: the next owner gets the same part.
         append(&*backend, vec![batch(1, 6, 0, 100, false)], 20).await;
-        let heir = fence("export", "b", 2);
-        work(&*backend, &heir, FleetWork::RollUp { limit: 10 }, 0).await.expect("rolled up");
-        let again = work(&*backend, &heir, prepare(DAY_MS), 0).await;
+        let next_owner = fence("export", "b", 2);
+        work(&*backend, &next_owner, FleetWork::RollUp { limit: 10 }, 0).await.expect("rolled up");
+        let again = work(&*backend, &next_owner, prepare(DAY_MS), 0).await;
         assert_eq!(again, Ok(Reply::Export(Some(one.clone()))));
-        // The old owner wakes up: it may neither prepare nor finish.
-        for late in [prepare(DAY_MS), FleetWork::FinishExport { number: 1, digest: "x".into() }] {
-            assert!(matches!(work(&*backend, &owner, late, 0).await, Err(Error::Fenced { .. })));
+        // The former owner resumes: it may neither prepare nor finish a part.
+        for step in [prepare(DAY_MS), FleetWork::FinishExport { number: 1, digest: "x".into() }] {
+            assert!(matches!(work(&*backend, &owner, step, 0).await, Err(Error::Fenced { .. })));
         }
         let finish = FleetWork::FinishExport { number: 1, digest: "abc".into() };
-        assert_eq!(work(&*backend, &heir, finish.clone(), 0).await, Ok(Reply::Affected(1)));
-        assert_eq!(work(&*backend, &heir, finish, 0).await, Ok(Reply::Affected(0)), "once");
-        // What came meanwhile is in later parts, as differences; all parts together are the days.
-        let mut out: i64 = one.rows.iter().map(|r| r.passed_milli).sum();
+        assert_eq!(work(&*backend, &next_owner, finish.clone(), 0).await, Ok(Reply::Affected(1)));
+        assert_eq!(work(&*backend, &next_owner, finish, 0).await, Ok(Reply::Affected(0)), "once");
+        // Use that was added in the meantime is in later parts, as differences; all parts together equal the
+        // days.
+        let mut exported: i64 = one.rows.iter().map(|r| r.passed_milli).sum();
         let mut number = 1;
-        while let Ok(Reply::Export(Some(part))) = work(&*backend, &heir, prepare(DAY_MS), 0).await {
+        while let Ok(Reply::Export(Some(part))) = work(&*backend, &next_owner, prepare(DAY_MS), 0).await {
             number += 1;
             assert_eq!(part.number, number);
-            out += part.rows.iter().map(|r| r.passed_milli).sum::<i64>();
+            exported += part.rows.iter().map(|r| r.passed_milli).sum::<i64>();
             let finish = FleetWork::FinishExport { number, digest: "abc".into() };
-            work(&*backend, &heir, finish, 0).await.expect("finished");
+            work(&*backend, &next_owner, finish, 0).await.expect("finished");
         }
-        assert_eq!((out, number), (units(115), 3));
+        assert_eq!((exported, number), (units(115), 3));
         assert_eq!(days(&*backend).await, (units(115), units(115)));
         let Ok(Reply::Exports(parts)) = backend.run(Op::Exports).await else { panic!("no parts") };
         assert!(parts.iter().all(|p| p.done && p.epoch == 2 && p.digest == "abc"));
@@ -165,7 +170,7 @@
 }
 
 #[tokio::test]
-async fn what_is_let_go_of_never_lands_again_and_the_sums_still_agree() {
+async fn deleted_batches_are_not_stored_again_and_the_sums_still_agree() {
     for (backend, _server, _folder) in both("retain").await {
         let owner = fence("retention", "a", 1);
         let all: Vec<UsageBatch> = [1, 2, 3, 5, 6].map(|seq| batch(1, seq, 0, seq, false)).to_vec();
@@ -180,26 +185,26 @@
         assert_eq!(
             work(&*backend, &owner, retain.clone(), 0).await,
             Ok(Reply::Affected(3)),
-            "4 has not landed"
+            "batch 4 is not stored yet"
         );
-        assert_eq!(append(&*backend, all, 20).await, [false; 5], "known, whether kept or let go of");
+        assert_eq!(append(&*backend, all, 20).await, [false; 5], "recognised, whether kept or deleted");
         assert_eq!(append(&*backend, vec![batch(1, 4, 0, 4, false)], 30).await, [true]);
         work(&*backend, &owner, FleetWork::RollUp { limit: 100 }, 0).await.expect("rolled up");
         assert_eq!(
             work(&*backend, &owner, retain, 0).await,
             Ok(Reply::Affected(2)),
-            "the last of the life stays"
+            "the newest batch of the life is kept"
         );
         assert_eq!(days(&*backend).await.0, 21 * 3000);
         let mark = Op::Watermark { instance: "n1".into(), epoch_ms: 1 };
         assert_eq!(backend.run(mark).await, Ok(Reply::Watermark(Some((6, 6000, false)), 1)));
-        let said = backend.check().await.expect("whole");
-        assert!(said.contains("63000"), "{said}");
+        let message = backend.check().await.expect("consistent");
+        assert!(message.contains("63000"), "{message}");
     }
 }
 
 #[tokio::test]
-async fn gaps_are_found_where_a_last_word_is_missing_and_taken_back_when_it_comes() {
+async fn gaps_are_recorded_without_a_final_report_and_deleted_when_it_arrives() {
     for (backend, _server, _folder) in both("gaps").await {
         let owner = fence("gaps", "a", 1);
         let seen =
@@ -214,16 +219,16 @@
         assert_eq!(work(&*backend, &owner, find(&[("n1", 3), ("n9", 1)]), 91).await, Ok(Reply::Affected(0)));
         let Ok(Reply::Gaps(gaps)) = backend.run(Op::Gaps).await else { panic!("no gaps") };
         let lives: Vec<(i64, i64)> = gaps.iter().map(|g| (g.epoch_ms, g.after_seq)).collect();
-        assert_eq!(lives, [(3, 0), (1, 1)], "the second life ended in order");
+        assert_eq!(lives, [(3, 0), (1, 1)], "the second life was shut down gracefully");
         append(&*backend, vec![batch(1, 2, 0, 1, true)], 95).await;
-        work(&*backend, &owner, find(&[]), 96).await.expect("looked");
+        work(&*backend, &owner, find(&[]), 96).await.expect("searched");
         let Ok(Reply::Gaps(gaps)) = backend.run(Op::Gaps).await else { panic!("no gaps") };
         assert_eq!(gaps.iter().map(|g| g.epoch_ms).collect::<Vec<_>>(), [3]);
     }
 }
 
 #[tokio::test]
-async fn plans_take_effect_when_their_time_has_come_and_not_by_a_former_owner() {
+async fn plans_take_effect_when_due_and_not_by_a_former_owner() {
     for (backend, _server, _folder) in both("publish").await {
         let plan = |name: &str, from_ms| Plan {
             name: name.into(),
@@ -260,7 +265,7 @@
 }
 
 #[tokio::test]
-async fn one_revision_of_published_plans_names_one_set_of_figures() {
+async fn revision_of_published_plans_identifies_one_set_of_limits() {
     for (backend, _server, _folder) in both("one set").await {
         let set = async |name: &str, rate_milli, from_ms, base| {
             let plan = Plan { name: name.into(), rate_milli, burst_milli: 2000, from_ms, ..Plan::default() };
@@ -270,37 +275,33 @@
         };
         let in_effect = async || match backend.run(Op::Load).await {
             Ok(Reply::Snapshot(all)) => {
-                let figures = all.published.into_iter().map(|p| (p.plan.name, p.plan.rate_milli));
-                (all.published_revision, figures.collect::<Vec<_>>())
+                let limits = all.published.into_iter().map(|p| (p.plan.name, p.plan.rate_milli));
+                (all.published_revision, limits.collect::<Vec<_>>())
             }
             other => panic!("{other:?}"),
         };
         let owner = fence("publish", "a", 1);
         let publish =
             async |now_ms| work(&*backend, &owner, FleetWork::Publish, now_ms).await.expect("published");
-        let figures = |all: &[(&str, i64)]| all.iter().map(|(n, r)| (n.to_string(), *r)).collect::<Vec<_>>();
+        let limits = |all: &[(&str, i64)]| all.iter().map(|(n, r)| (n.to_string(), *r)).collect::<Vec<_>>();
 
         set("basico", 1000, 0, 0).await;
-        assert_eq!(in_effect().await, (0, vec![]), "set, and not published yet");
+        assert_eq!(in_effect().await, (0, vec![]), "set but not published yet");
         publish(10).await;
-        assert_eq!(in_effect().await, (1, figures(&[("basico", 1000)])));
+        assert_eq!(in_effect().await, (1, limits(&[("basico", 1000)])));
         set("basico", 2000, 100, 1).await;
         publish(20).await;
-        assert_eq!(
-            in_effect().await,
-            (1, figures(&[("basico", 1000)])),
-            "what is in effect stays until then"
-        );
+        assert_eq!(in_effect().await, (1, limits(&[("basico", 1000)])), "the former limits apply until then");
         set("tienda", 3000, 0, 0).await;
         publish(30).await;
-        assert_eq!(in_effect().await, (3, figures(&[("basico", 1000), ("tienda", 3000)])));
+        assert_eq!(in_effect().await, (3, limits(&[("basico", 1000), ("tienda", 3000)])));
         publish(100).await;
-        assert_eq!(in_effect().await, (4, figures(&[("basico", 2000), ("tienda", 3000)])), "another set");
+        assert_eq!(in_effect().await, (4, limits(&[("basico", 2000), ("tienda", 3000)])), "another set");
         publish(110).await;
         assert_eq!(in_effect().await.0, 4, "nothing new");
         set("tienda", 4000, 0, 3).await;
         publish(120).await;
-        assert_eq!(in_effect().await, (5, figures(&[("basico", 2000), ("tienda", 4000)])));
+        assert_eq!(in_effect().await, (5, limits(&[("basico", 2000), ("tienda", 4000)])));
     }
 }
 
@@ -319,7 +320,7 @@
 }
 
 #[tokio::test]
-async fn the_history_goes_on_from_its_end_alone_and_retention_keeps_where_it_begins() {
+async fn history_is_appended_only_at_its_end_and_retention_records_where_it_begins() {
     for (backend, _server, _folder) in both("history").await {
         let owner = fence("audit", "a", 5);
         let append = async |after: (i64, &str), rows: Vec<HistoryRow>| {
@@ -328,7 +329,7 @@
         };
         let rows = (1..=40).map(|n| history_row(n, 100 * n)).collect();
         assert_eq!(append((0, ""), rows).await, Ok(Reply::Affected(40)));
-        // From another place, or with a number left out: nothing of it is entered.
+        // Rows that continue another row, or that leave out a number, are all refused.
         for (after, rows, what) in [
             ((39, "h39"), vec![history_row(40, 1)], "it ends at row 40"),
             ((40, "other"), vec![history_row(41, 1)], "it ends at row 40"),
@@ -349,7 +350,7 @@
             panic!("none")
         };
         assert_eq!((base, rows.len(), rows[0].clone()), ((10, "h10".into()), 5, history_row(11, 1100)));
-        // However old all of it is, its last row stays: the next one goes on from it.
+        // However old all rows are, the last one is kept: the next row continues it.
         assert_eq!(
             work(&*backend, &owner, FleetWork::RetainHistory { before_ms: 1_000_000 }, 0).await,
             Ok(Reply::Affected(29))
@@ -362,7 +363,7 @@
 }
 
 #[tokio::test]
-async fn use_is_summed_by_the_revision_that_it_was_decided_under() {
+async fn use_is_summed_by_the_revision_under_which_it_was_decided() {
     for (backend, _server, _folder) in both("revisions").await {
         let of = |seq: i64, revision: i64| UsageBatch { revision, ..batch(1, seq, 0, 5, false) };
         append(&*backend, vec![of(1, 41), of(2, 41), of(3, 42)], 0).await;
