--- a/crates/agent/tests/failures.rs
+++ b/crates/agent/tests/failures.rs
@@ -358,7 +358,7 @@
         }
         assert!(begun.elapsed() < Duration::from_secs(10), "never closed again");
     }
-    town.gatekeepers[0].process.wait_for_log("answers again").await.expect("and the log says so");
+    town.gatekeepers[0].process.wait_for_log("circuit breaker closed").await.expect("and the log says so");
     town.stop().await;
 }
 
