--- a/crates/agent/tests/failures.rs
+++ b/crates/agent/tests/failures.rs
@@ -1,4 +1,5 @@
-//! What the rate limit service and the consulting of an outside one do when parts of the way fail.
+//! Failures of the agent, of gatekeepers, of the link between them and of an outside rate limit service: how
+//! calls of the rate limit service and RESP2 requests are answered meanwhile.
 
 use frostvale_proto::agent::{StatusRequest, StatusResponse};
 use frostvale_proto::envoy::service::ratelimit::v3::RateLimitResponse;
@@ -21,8 +22,8 @@
     Shop { id: SHOP.into(), plan: plan.into(), first, spread }
 }
 
-/// Three plans that no test exhausts by chance, one of them with a ceiling, and one of ten units.
-fn plan() -> ClusterOptions {
+/// Three plans with far more units than a test uses, one of them with a ceiling, and a plan of ten units.
+fn cluster_options() -> ClusterOptions {
     let plans = json!([
         {"Name": "open", "UnitsPerS": 1e5, "PeakUnits": 1e5, "ValueFactor": 1.0},
         {"Name": "shut", "UnitsPerS": 1e5, "PeakUnits": 1e5, "ValueFactor": 1.0},
@@ -33,44 +34,48 @@
     ClusterOptions { plans: Some(plans), rls, ..ClusterOptions::default() }
 }
 
-async fn status(town: &LocalCluster) -> StatusResponse {
-    let mut agent = frostvale_agent::serve::control(&town.control).await.expect("an agent");
+async fn status(cluster: &LocalCluster) -> StatusResponse {
+    let mut agent = frostvale_agent::serve::control(&cluster.control).await.expect("an agent");
     agent.status(StatusRequest {}).await.expect("an answer").into_inner()
 }
 
-/// Asks again until it is so.
-async fn until(town: &LocalCluster, what: &str, so: impl Fn(&StatusResponse) -> bool) -> StatusResponse {
-    let begun = Instant::now();
+/// Polls the agent's status until the condition holds; panics after 20 s.
+async fn wait_for_status(
+    cluster: &LocalCluster,
+    what: &str,
+    condition: impl Fn(&StatusResponse) -> bool,
+) -> StatusResponse {
+    let started = Instant::now();
     loop {
-        let status = status(town).await;
-        if so(&status) {
+        let status = status(cluster).await;
+        if condition(&status) {
             return status;
         }
-        assert!(begun.elapsed() < Duration::from_secs(20), "never {what}: {status:?}");
+        assert!(started.elapsed() < Duration::from_secs(20), "not reached within 20 s: {what}: {status:?}");
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
 }
 
-async fn ask(town: &LocalCluster, shop: &Shop) -> RateLimitResponse {
-    let mut client = rls_client(town.rls).expect("an address");
+async fn call_rls(cluster: &LocalCluster, shop: &Shop) -> RateLimitResponse {
+    let mut client = rls_client(cluster.rls).expect("an address");
     client.should_rate_limit(rate_limit_call(shop, true, 1)).await.expect("an answer").into_inner()
 }
 
-/// What a call was answered where nobody decided it.
-fn undecided(answer: &RateLimitResponse) -> Option<&str> {
+/// Returns the failure mode by which a call was answered, or `None` if a gatekeeper decided it.
+fn failure_mode(answer: &RateLimitResponse) -> Option<&str> {
     let header = answer.response_headers_to_add.iter().find(|h| h.key == "x-frostvale-undecided");
     header.map(|h| h.value.as_str())
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn the_agent_is_killed_under_load_and_resp2_does_not_notice() {
-    let mut town = LocalCluster::start(plan()).await.expect("started");
+async fn resp2_requests_are_served_when_the_agent_is_killed_under_load() {
+    let mut cluster = LocalCluster::start(cluster_options()).await.expect("started");
     let stop = Arc::new(AtomicBool::new(false));
     let served = Arc::new(AtomicU64::new(0));
     let mut load = Vec::new();
     for k in 0..16u32 {
         let (stop, served) = (stop.clone(), served.clone());
-        let pool = ClientPool::new(town.gatekeepers[k as usize % 3].resp);
+        let pool = ClientPool::new(cluster.gatekeepers[k as usize % 3].resp);
         let shop = Shop { id: format!("{:016x}", 77 + k), ..shop("open", 0, 3) };
         load.push(tokio::spawn(async move {
             while !stop.load(Ordering::Relaxed) {
@@ -82,7 +87,7 @@
         }));
     }
     let calls = tokio::spawn({
-        let (rls, stop) = (town.rls, stop.clone());
+        let (rls, stop) = (cluster.rls, stop.clone());
         async move {
             let mut client = rls_client(rls).expect("an address");
             let mut failed = 0;
@@ -94,44 +99,45 @@
             failed
         }
     });
-    let more = |than: u64| {
+    let wait_for_served = |target: u64| {
         let served = served.clone();
         async move {
-            let begun = Instant::now();
-            while served.load(Ordering::Relaxed) < than {
-                assert!(begun.elapsed() < Duration::from_secs(20), "RESP2 has come to a stop");
+            let started = Instant::now();
+            while served.load(Ordering::Relaxed) < target {
+                assert!(started.elapsed() < Duration::from_secs(20), "no RESP2 requests are served any more");
                 tokio::time::sleep(Duration::from_millis(5)).await;
             }
         }
     };
     for _ in 0..3 {
-        more(served.load(Ordering::Relaxed) + 100).await;
-        town.agent.as_mut().expect("an agent").kill().await;
-        more(served.load(Ordering::Relaxed) + 200).await;
-        town.start_agent().await.expect("started again, over its stale control socket");
+        wait_for_served(served.load(Ordering::Relaxed) + 100).await;
+        cluster.agent.as_mut().expect("an agent").kill().await;
+        wait_for_served(served.load(Ordering::Relaxed) + 200).await;
+        cluster.start_agent().await.expect("the agent starts over its stale control socket");
     }
-    assert_eq!(ask(&town, &shop("open", 0, 3)).await.overall_code(), Code::Ok);
+    assert_eq!(call_rls(&cluster, &shop("open", 0, 3)).await.overall_code(), Code::Ok);
     stop.store(true, Ordering::Relaxed);
     for task in load {
         task.await.expect("no request failed");
     }
-    assert!(calls.await.expect("ended") > 0, "calls did fail while there was no agent");
-    town.stop().await;
+    assert!(calls.await.expect("ended") > 0, "no call failed while the agent was down");
+    cluster.stop().await;
 }
 
-/// A gatekeeper that dies with a check in hand may have charged it. No other is asked, or it were charged twice.
+/// A gatekeeper that dies with a check in flight may already have charged it, so that a second gatekeeper
+/// that is asked could charge the customer twice.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_gatekeeper_killed_mid_check_leaves_it_in_doubt_and_nobody_else_is_asked() {
-    let mut town = LocalCluster::start(plan()).await.expect("started");
-    let set = |plan: &str| {
-        // Its keeper is the second gatekeeper; the others could decide as well.
+async fn check_is_left_in_doubt_and_not_sent_elsewhere_when_its_gatekeeper_is_killed() {
+    let mut cluster = LocalCluster::start(cluster_options()).await.expect("started");
+    let shop_of_plan = |plan: &str| {
+        // The second gatekeeper is the quota owner; the other two could decide as well.
         let first = (0..3).find(|f| frostvale::quota_owner_of(SHOP, *f, 3, 3) == 1).expect("one of three");
         shop(plan, first, 3)
     };
-    let (open, shut, capped) = (set("open"), set("shut"), set("capped"));
-    town.gatekeepers[1].process.signal("STOP").await;
-    let asked = tokio::spawn({
-        let rls = town.rls;
+    let (open, shut, capped) = (shop_of_plan("open"), shop_of_plan("shut"), shop_of_plan("capped"));
+    cluster.gatekeepers[1].process.signal("STOP").await;
+    let calls_in_flight = tokio::spawn({
+        let rls = cluster.rls;
         async move {
             let mut client = rls_client(rls).expect("an address");
             let mut answers = Vec::new();
@@ -146,84 +152,107 @@
             answers
         }
     });
-    until(&town, "in hand at the frozen one", |s| s.gatekeepers[1].in_hand == 2).await;
-    town.gatekeepers[1].process.kill().await;
-    let answers = asked.await.expect("answered");
-    assert_eq!((answers[0].overall_code(), undecided(&answers[0])), (Code::Ok, Some("allow")));
-    assert_eq!((answers[1].overall_code(), undecided(&answers[1])), (Code::OverLimit, Some("deny")));
-    let status = until(&town, "down", |s| s.gatekeepers[1].state == "down").await;
+    wait_for_status(&cluster, "two checks are in flight at the stopped gatekeeper", |s| {
+        s.gatekeepers[1].in_hand == 2
+    })
+    .await;
+    cluster.gatekeepers[1].process.kill().await;
+    let answers = calls_in_flight.await.expect("answered");
+    assert_eq!((answers[0].overall_code(), failure_mode(&answers[0])), (Code::Ok, Some("allow")));
+    assert_eq!((answers[1].overall_code(), failure_mode(&answers[1])), (Code::OverLimit, Some("deny")));
+    let status =
+        wait_for_status(&cluster, "the killed gatekeeper is down", |s| s.gatekeepers[1].state == "down")
+            .await;
     let calls = status.calls.expect("counts");
-    assert_eq!((calls.in_doubt, calls.granted, calls.over), (2, 0, 0), "no other gatekeeper decided");
-    // With it gone, the others of the set decide: nothing of these calls has been sent anywhere yet.
-    let answer = ask(&town, &set("open")).await;
-    assert_eq!((answer.overall_code(), undecided(&answer)), (Code::Ok, None));
-    // A set with nobody left goes by the mode, and a plan with a ceiling denies whatever is configured.
-    let alone = ask(&town, &Shop { first: 1, spread: 1, ..capped }).await;
-    assert_eq!((alone.overall_code(), undecided(&alone)), (Code::OverLimit, Some("deny")));
-    let alone = ask(&town, &shop("open", 1, 1)).await;
-    assert_eq!((alone.overall_code(), undecided(&alone)), (Code::Ok, Some("allow")));
-    // It comes back over its stale socket, and decides again.
-    town.restart_gatekeeper(1).await.expect("started");
-    until(&town, "linked again", |s| s.gatekeepers[1].state == "linked").await;
-    let answer = ask(&town, &shop("open", 1, 1)).await;
-    assert_eq!((answer.overall_code(), undecided(&answer)), (Code::Ok, None));
-    town.stop().await;
+    assert_eq!(
+        (calls.in_doubt, calls.granted, calls.over),
+        (2, 0, 0),
+        "another gatekeeper decided the calls in doubt"
+    );
+    // New calls are decided by the others of the set: nothing of them has been sent to the dead gatekeeper.
+    let answer = call_rls(&cluster, &shop_of_plan("open")).await;
+    assert_eq!((answer.overall_code(), failure_mode(&answer)), (Code::Ok, None));
+    // Without a gatekeeper of the set the failure mode applies, and a plan with a ceiling always denies.
+    let answer = call_rls(&cluster, &Shop { first: 1, spread: 1, ..capped }).await;
+    assert_eq!((answer.overall_code(), failure_mode(&answer)), (Code::OverLimit, Some("deny")));
+    let answer = call_rls(&cluster, &shop("open", 1, 1)).await;
+    assert_eq!((answer.overall_code(), failure_mode(&answer)), (Code::Ok, Some("allow")));
+    // The gatekeeper restarts over its stale socket and decides again.
+    cluster.restart_gatekeeper(1).await.expect("started");
+    wait_for_status(&cluster, "the gatekeeper is linked again", |s| s.gatekeepers[1].state == "linked").await;
+    let answer = call_rls(&cluster, &shop("open", 1, 1)).await;
+    assert_eq!((answer.overall_code(), failure_mode(&answer)), (Code::Ok, None));
+    cluster.stop().await;
 }
 
-/// Calls keep their own time limits while a gatekeeper is frozen, and once it is seen to be, others decide.
+/// Calls keep their own timeouts while a gatekeeper is stopped, and others decide once it is found silent.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_frozen_gatekeeper_costs_calls_no_more_than_their_limit() {
-    let mut town = LocalCluster::start(plan()).await.expect("started");
-    town.gatekeepers[1].process.signal("STOP").await;
-    let alone = shop("shut", 1, 1);
-    let mut client = rls_client(town.rls).expect("an address");
-    let mut request = Request::new(rate_limit_call(&alone, true, 1));
+async fn calls_are_answered_within_their_timeout_when_a_gatekeeper_is_stopped() {
+    let mut cluster = LocalCluster::start(cluster_options()).await.expect("started");
+    cluster.gatekeepers[1].process.signal("STOP").await;
+    let only_shop = shop("shut", 1, 1);
+    let mut client = rls_client(cluster.rls).expect("an address");
+    let mut request = Request::new(rate_limit_call(&only_shop, true, 1));
     request.set_timeout(Duration::from_millis(100));
-    let begun = Instant::now();
-    let answer = client.should_rate_limit(request).await.expect("an answer before the caller's own limit");
-    assert_eq!(undecided(answer.get_ref()), Some("deny"));
-    assert!(begun.elapsed() < Duration::from_millis(200), "the configured limit is 250 ms");
-    until(&town, "seen to be silent", |s| s.gatekeepers[1].state == "silent").await;
+    let started = Instant::now();
+    let answer = client.should_rate_limit(request).await.expect("an answer before the caller's timeout");
+    assert_eq!(failure_mode(answer.get_ref()), Some("deny"));
+    assert!(
+        started.elapsed() < Duration::from_millis(200),
+        "the caller's timeout of 100 ms was not used; the configured one is 250 ms"
+    );
+    wait_for_status(&cluster, "the stopped gatekeeper is silent", |s| s.gatekeepers[1].state == "silent")
+        .await;
     let first = (0..3).find(|f| frostvale::quota_owner_of(SHOP, *f, 3, 3) == 1).expect("one of three");
-    let answer = ask(&town, &shop("shut", first, 3)).await;
-    assert_eq!((answer.overall_code(), undecided(&answer)), (Code::Ok, None), "another of the set decides");
-    town.gatekeepers[1].process.signal("CONT").await;
-    until(&town, "heard again", |s| s.gatekeepers[1].state == "linked").await;
-    town.stop().await;
+    let answer = call_rls(&cluster, &shop("shut", first, 3)).await;
+    assert_eq!(
+        (answer.overall_code(), failure_mode(&answer)),
+        (Code::Ok, None),
+        "no other gatekeeper of the set decided"
+    );
+    cluster.gatekeepers[1].process.signal("CONT").await;
+    wait_for_status(&cluster, "the gatekeeper is linked again", |s| s.gatekeepers[1].state == "linked").await;
+    cluster.stop().await;
 }
 
-/// A link cut inside a frame: the check is in doubt, the gatekeeper charges nothing, and both go on.
+/// A link is cut inside a frame: the check is in doubt, the gatekeeper charges nothing, and the link is made
+/// again.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_link_cut_inside_a_frame_is_made_anew_and_charges_nothing() {
-    let mut town = LocalCluster::start(ClusterOptions { agent: false, ..plan() }).await.expect("started");
-    let way = town.folder.join("gate.sock");
-    let gate = Proxy::unix(&way, town.gatekeepers[0].socket.clone()).expect("a gate");
-    town.start_agent_with(&[("n1".to_string(), way)].into()).await.expect("started");
-    // A frame with one check has over 30 bytes; of the first one ten come through.
-    gate.cut_after(10);
-    let alone = shop("ten", 0, 1);
-    let answer = ask(&town, &alone).await;
-    assert_eq!((answer.overall_code(), undecided(&answer)), (Code::Ok, Some("allow")));
-    town.gatekeepers[0].process.wait_for_log("inside a frame").await.expect("seen by the gatekeeper");
-    assert_eq!(status(&town).await.calls.expect("counts").in_doubt, 1);
-    gate.set_mode(ProxyMode::Forward);
-    until(&town, "linked again", |s| s.gatekeepers[0].state == "linked").await;
+async fn link_reconnects_and_charges_nothing_when_cut_inside_a_frame() {
+    let mut cluster =
+        LocalCluster::start(ClusterOptions { agent: false, ..cluster_options() }).await.expect("started");
+    let proxy_socket = cluster.folder.join("gate.sock");
+    let proxy = Proxy::unix(&proxy_socket, cluster.gatekeepers[0].socket.clone()).expect("a proxy");
+    cluster.start_agent_with(&[("n1".to_string(), proxy_socket)].into()).await.expect("started");
+    // A frame with one check has over 30 bytes; the proxy passes ten bytes of the first one.
+    proxy.cut_after(10);
+    let only_shop = shop("ten", 0, 1);
+    let answer = call_rls(&cluster, &only_shop).await;
+    assert_eq!((answer.overall_code(), failure_mode(&answer)), (Code::Ok, Some("allow")));
+    cluster.gatekeepers[0]
+        .process
+        .wait_for_log("inside a frame")
+        .await
+        .expect("the gatekeeper logs the cut frame");
+    assert_eq!(status(&cluster).await.calls.expect("counts").in_doubt, 1);
+    proxy.set_mode(ProxyMode::Forward);
+    wait_for_status(&cluster, "the gatekeeper is linked again", |s| s.gatekeepers[0].state == "linked").await;
     let mut granted = 0;
     for _ in 0..12 {
-        let answer = ask(&town, &alone).await;
-        granted += u32::from(answer.overall_code() == Code::Ok && undecided(&answer).is_none());
+        let answer = call_rls(&cluster, &only_shop).await;
+        granted += u32::from(answer.overall_code() == Code::Ok && failure_mode(&answer).is_none());
     }
-    assert_eq!(granted, 10, "nothing was charged for the half frame");
-    town.stop().await;
+    assert_eq!(granted, 10, "the incomplete frame was charged");
+    cluster.stop().await;
 }
 
-/// 10,000 calls at once: each is answered, and RESP2 requests in between are served.
+/// 10,000 concurrent calls are all answered, and RESP2 requests sent meanwhile are not lost.
 #[tokio::test(flavor = "multi_thread")]
-async fn ten_thousand_calls_in_hand_are_all_answered() {
-    let mut town = LocalCluster::start(plan()).await.expect("started");
+async fn calls_are_all_answered_when_ten_thousand_are_in_flight() {
+    let mut cluster = LocalCluster::start(cluster_options()).await.expect("started");
     let mut tasks = Vec::new();
     for c in 0..10 {
-        let client = rls_client(town.rls).expect("an address");
+        let client = rls_client(cluster.rls).expect("an address");
         for k in 0..1000u32 {
             let mut client = client.clone();
             let shop = Shop { id: format!("{:016x}", 1000 * c + k), ..shop("open", k % 3, 3) };
@@ -235,77 +264,79 @@
             }));
         }
     }
-    let pool = ClientPool::new(town.gatekeepers[0].resp);
+    let pool = ClientPool::new(cluster.gatekeepers[0].resp);
     for _ in 0..20 {
         let answer =
             pool.send_request(&shop("open", 0, 3), "formula-read", None, 1, WAIT).await.expect("an answer");
-        // With all cores at work a server may look slow, and a request be refused; none is lost.
+        // With all cores busy a server may seem slow and a request be refused, but no request may fail.
         assert!(matches!(answer, Answer::Served(_) | Answer::Busy(_)), "{answer:?}");
     }
     for task in tasks {
         assert_eq!(task.await.expect("ended").expect("an answer"), Code::Ok);
     }
-    town.stop().await;
+    cluster.stop().await;
 }
 
 // ---- the outside service ----
 
-/// A town whose gatekeepers ask an outside service for two of their plans, through a gate.
-async fn asking() -> (LocalCluster, Rls, Proxy) {
+/// Starts a cluster whose gatekeeper asks an outside service, through a proxy, for the plans `open` and
+/// `shut`.
+async fn cluster_with_outside_service() -> (LocalCluster, Rls, Proxy) {
     let service = Rls::start(own_ip()).await.expect("started");
-    let (gate, at) = Proxy::tcp(service.at.ip(), service.at).await.expect("a gate");
-    let town = LocalCluster::start(ClusterOptions {
+    let (proxy, at) = Proxy::tcp(service.at.ip(), service.at).await.expect("a proxy");
+    let cluster = LocalCluster::start(ClusterOptions {
         gatekeepers: 1,
         gatekeeper_settings: "[outside]\ndeadline_part = 0.2\nopen_ms = 200.0\nopen_most_ms = 400.0\n\
                            [outside.plans]\nopen = \"allow\"\nshut = \"deny\"\n"
             .into(),
         agent_settings: format!("[outside]\nendpoint = \"http://{at}\"\n"),
-        ..plan()
+        ..cluster_options()
     })
     .await
     .expect("started");
-    (town, service, gate)
+    (cluster, service, proxy)
 }
 
-/// A request, and how long its answer took.
-async fn timed(town: &LocalCluster, shop: &Shop) -> (Answer, Duration) {
-    let pool = ClientPool::new(town.gatekeepers[0].resp);
-    let begun = Instant::now();
+/// Sends a RESP2 request and returns the answer and how long it took.
+async fn send_timed(cluster: &LocalCluster, shop: &Shop) -> (Answer, Duration) {
+    let pool = ClientPool::new(cluster.gatekeepers[0].resp);
+    let started = Instant::now();
     let answer = pool.send_request(shop, "formula-read", None, 1, WAIT).await.expect("an answer");
-    (answer, begun.elapsed())
+    (answer, started.elapsed())
 }
 
-fn other(n: u32, plan: &str) -> Shop {
+fn numbered_shop(n: u32, plan: &str) -> Shop {
     Shop { id: format!("{n:016x}"), ..shop(plan, 0, 1) }
 }
 
-/// Well within the aim of 400 ms: the deadline of 80 ms, and the work.
-const IN_TIME: Duration = Duration::from_millis(300);
+/// Limit of an answer's time: the outside service's deadline of 80 ms and the work, within the latency target
+/// of 400 ms.
+const MAX_ANSWER_TIME: Duration = Duration::from_millis(300);
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_outside_verdict_lets_requests_through_or_refuses_them_at_once() {
-    let (mut town, service, _gate) = asking().await;
-    assert!(matches!(timed(&town, &other(1, "shut")).await.0, Answer::Served(_)));
+async fn requests_follow_the_outside_service_when_it_answers() {
+    let (mut cluster, service, _proxy) = cluster_with_outside_service().await;
+    assert!(matches!(send_timed(&cluster, &numbered_shop(1, "shut")).await.0, Answer::Served(_)));
     assert_eq!(service.calls(), 1);
-    assert!(matches!(timed(&town, &other(1, "ten")).await.0, Answer::Served(_)));
-    assert_eq!(service.calls(), 1, "a plan that is not configured asks nobody");
+    assert!(matches!(send_timed(&cluster, &numbered_shop(1, "ten")).await.0, Answer::Served(_)));
+    assert_eq!(service.calls(), 1, "a plan without an outside service caused a call");
     service.set_behavior(RlsBehavior::Over(Duration::from_millis(700)));
-    let (answer, _) = timed(&town, &other(2, "shut")).await;
+    let (answer, _) = send_timed(&cluster, &numbered_shop(2, "shut")).await;
     assert_eq!(answer, Answer::Busy(Some(700)));
-    // Kept for as long as it said: the next one is refused without a call.
-    assert!(matches!(timed(&town, &other(2, "shut")).await.0, Answer::Busy(Some(_))));
+    // The refusal is cached for the time that the service gave: the next request is refused without a call.
+    assert!(matches!(send_timed(&cluster, &numbered_shop(2, "shut")).await.0, Answer::Busy(Some(_))));
     assert_eq!(service.calls(), 2);
     service.set_behavior(RlsBehavior::Ahead(3, Duration::from_secs(60)));
     for _ in 0..4 {
-        assert!(matches!(timed(&town, &other(3, "shut")).await.0, Answer::Served(_)));
+        assert!(matches!(send_timed(&cluster, &numbered_shop(3, "shut")).await.0, Answer::Served(_)));
     }
-    assert_eq!(service.calls(), 3, "three were granted ahead");
-    town.stop().await;
+    assert_eq!(service.calls(), 3, "the three units granted ahead were not used");
+    cluster.stop().await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_outside_service_that_hangs_for_one_call_delays_that_one_alone() {
-    let (mut town, mut service, _gate) = asking().await;
+async fn other_requests_are_not_delayed_when_the_outside_service_hangs_for_one_call() {
+    let (mut cluster, mut service, _proxy) = cluster_with_outside_service().await;
     service.set_behavior(RlsBehavior::Sequence(vec![
         RlsBehavior::Hang,
         RlsBehavior::Ok,
@@ -316,97 +347,107 @@
         RlsBehavior::Ok,
         RlsBehavior::Ok,
     ]));
-    let hanging = tokio::spawn({
-        let pool = ClientPool::new(town.gatekeepers[0].resp);
+    let delayed_request = tokio::spawn({
+        let pool = ClientPool::new(cluster.gatekeepers[0].resp);
         async move {
-            pool.send_request(&other(1, "open"), "formula-read", None, 1, WAIT).await.expect("an answer")
+            pool.send_request(&numbered_shop(1, "open"), "formula-read", None, 1, WAIT)
+                .await
+                .expect("an answer")
         }
     });
     service.received.recv().await.expect("the call that hangs");
     for k in 2..8 {
-        assert!(matches!(timed(&town, &other(k, "open")).await.0, Answer::Served(_)));
+        assert!(matches!(send_timed(&cluster, &numbered_shop(k, "open")).await.0, Answer::Served(_)));
     }
-    assert!(matches!(hanging.await.expect("ended"), Answer::Served(_)), "by its failure mode");
-    let g = &status(&town).await.gatekeepers[0];
+    assert!(
+        matches!(delayed_request.await.expect("ended"), Answer::Served(_)),
+        "the failure mode of the plan lets it through"
+    );
+    let g = &status(&cluster).await.gatekeepers[0];
     assert_eq!(g.breaker, "closed");
-    town.stop().await;
+    cluster.stop().await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_outside_service_that_hangs_for_all_is_no_longer_asked_and_comes_back() {
-    let (mut town, service, _gate) = asking().await;
+async fn circuit_breaker_opens_when_the_outside_service_hangs_and_closes_when_it_recovers() {
+    let (mut cluster, service, _proxy) = cluster_with_outside_service().await;
     service.set_behavior(RlsBehavior::Hang);
-    // By the mode of each plan, and each in time.
+    // Each plan's failure mode decides, and each answer is in time.
     for k in 0..10 {
-        let (answer, took) = timed(&town, &other(k, "open")).await;
+        let (answer, took) = send_timed(&cluster, &numbered_shop(k, "open")).await;
         assert!(matches!(answer, Answer::Served(_)), "{answer:?}");
-        assert!(took < IN_TIME, "{took:?}");
-        let (answer, took) = timed(&town, &other(k, "shut")).await;
+        assert!(took < MAX_ANSWER_TIME, "{took:?}");
+        let (answer, took) = send_timed(&cluster, &numbered_shop(k, "shut")).await;
         assert_eq!(answer, Answer::Busy(None));
-        assert!(took < IN_TIME, "{took:?}");
+        assert!(took < MAX_ANSWER_TIME, "{took:?}");
     }
-    let seen = until(&town, "open", |s| s.gatekeepers[0].breaker == "open").await;
+    let seen =
+        wait_for_status(&cluster, "the circuit breaker is open", |s| s.gatekeepers[0].breaker == "open")
+            .await;
     assert!(seen.gatekeepers[0].outside_failed >= 5);
     let asked = service.calls();
-    assert!(asked < 20, "{asked} of 20 requests waited in vain");
+    assert!(asked < 20, "{asked} of 20 requests called the service although it hangs");
     service.set_behavior(RlsBehavior::Ok);
-    let begun = Instant::now();
+    let started = Instant::now();
     loop {
-        let (answer, _) = timed(&town, &other(50, "shut")).await;
-        if matches!(answer, Answer::Served(_)) && status(&town).await.gatekeepers[0].breaker == "closed" {
+        let (answer, _) = send_timed(&cluster, &numbered_shop(50, "shut")).await;
+        if matches!(answer, Answer::Served(_)) && status(&cluster).await.gatekeepers[0].breaker == "closed" {
             break;
         }
-        assert!(begun.elapsed() < Duration::from_secs(10), "never closed again");
+        assert!(
+            started.elapsed() < Duration::from_secs(10),
+            "the circuit breaker was not closed within 10 s"
+        );
     }
-    town.gatekeepers[0].process.wait_for_log("circuit breaker closed").await.expect("and the log says so");
-    town.stop().await;
+    cluster.gatekeepers[0].process.wait_for_log("circuit breaker closed").await.expect("a log line");
+    cluster.stop().await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_outside_service_that_says_anything_is_a_failure_and_never_a_verdict() {
-    let (mut town, service, gate) = asking().await;
-    for say in [RlsBehavior::Fail, RlsBehavior::Unknown, RlsBehavior::Late(Duration::from_millis(300))] {
-        service.set_behavior(say.clone());
-        let (answer, took) = timed(&town, &other(1, "shut")).await;
-        assert_eq!(answer, Answer::Busy(None), "{say:?}");
-        assert!(took < IN_TIME, "{say:?}: {took:?}");
+async fn failure_mode_decides_when_the_outside_service_sends_no_valid_answer() {
+    let (mut cluster, service, proxy) = cluster_with_outside_service().await;
+    for behavior in [RlsBehavior::Fail, RlsBehavior::Unknown, RlsBehavior::Late(Duration::from_millis(300))] {
+        service.set_behavior(behavior.clone());
+        let (answer, took) = send_timed(&cluster, &numbered_shop(1, "shut")).await;
+        assert_eq!(answer, Answer::Busy(None), "{behavior:?}");
+        assert!(took < MAX_ANSWER_TIME, "{behavior:?}: {took:?}");
     }
-    for way in [ProxyMode::Cut, ProxyMode::Garbage, ProxyMode::Hold] {
-        gate.set_mode(ProxyMode::Cut);
-        gate.set_mode(way);
-        let (answer, took) = timed(&town, &other(1, "shut")).await;
-        assert_eq!(answer, Answer::Busy(None), "{way:?}");
-        assert!(took < IN_TIME, "{way:?}: {took:?}");
+    for mode in [ProxyMode::Cut, ProxyMode::Garbage, ProxyMode::Hold] {
+        proxy.set_mode(ProxyMode::Cut);
+        proxy.set_mode(mode);
+        let (answer, took) = send_timed(&cluster, &numbered_shop(1, "shut")).await;
+        assert_eq!(answer, Answer::Busy(None), "{mode:?}");
+        assert!(took < MAX_ANSWER_TIME, "{mode:?}: {took:?}");
     }
-    town.stop().await;
+    cluster.stop().await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_outside_service_that_flaps_keeps_the_aim_of_every_request() {
-    let (mut town, service, _gate) = asking().await;
+async fn requests_meet_the_latency_target_when_the_outside_service_flaps() {
+    let (mut cluster, service, _proxy) = cluster_with_outside_service().await;
     service.set_behavior(RlsBehavior::Sequence(vec![RlsBehavior::Hang, RlsBehavior::Ok]));
     let mut slow = 0;
     for k in 0..60 {
-        let (answer, took) = timed(&town, &other(k, "open")).await;
+        let (answer, took) = send_timed(&cluster, &numbered_shop(k, "open")).await;
         assert!(matches!(answer, Answer::Served(_)), "{answer:?}");
-        assert!(took < IN_TIME, "{took:?}");
+        assert!(took < MAX_ANSWER_TIME, "{took:?}");
         slow += u32::from(took >= Duration::from_millis(80));
     }
-    assert!(slow <= 25, "{slow} of 60 waited for the whole deadline");
-    let seen = status(&town).await;
+    assert!(slow <= 25, "{slow} of 60 requests waited for the whole deadline");
+    let seen = status(&cluster).await;
     assert!(seen.gatekeepers[0].outside_failed >= 3, "{seen:?}");
-    town.stop().await;
+    cluster.stop().await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn requests_that_wait_for_a_verdict_go_by_their_mode_when_the_agent_dies() {
-    let (mut town, mut service, _gate) = asking().await;
+async fn failure_mode_decides_waiting_requests_when_the_agent_is_killed() {
+    let (mut cluster, mut service, _proxy) = cluster_with_outside_service().await;
     service.set_behavior(RlsBehavior::Hang);
-    let waiting = |plan: &'static str| {
-        let pool = ClientPool::new(town.gatekeepers[0].resp);
+    let send_waiting = |plan: &'static str| {
+        let pool = ClientPool::new(cluster.gatekeepers[0].resp);
         tokio::spawn(async move {
             pool.send_request(
-                &other(1, plan),
+                &numbered_shop(1, plan),
                 "mix-record",
                 Some("5c0f6e1a2b3d4c59"),
                 1,
@@ -415,29 +456,29 @@
             .await
         })
     };
-    let (open, shut) = (waiting("open"), waiting("shut"));
+    let (open, shut) = (send_waiting("open"), send_waiting("shut"));
     for _ in 0..2 {
         service.received.recv().await.expect("a call");
     }
-    town.agent.as_mut().expect("an agent").kill().await;
+    cluster.agent.as_mut().expect("an agent").kill().await;
     assert!(matches!(open.await.expect("ended"), Ok(Answer::Served(_))));
     assert!(matches!(shut.await.expect("ended"), Ok(Answer::Busy(None))));
-    // Without an agent nobody waits at all.
-    assert!(matches!(timed(&town, &other(2, "open")).await.0, Answer::Served(_)));
-    town.stop().await;
+    // Without an agent requests do not wait for the outside service.
+    assert!(matches!(send_timed(&cluster, &numbered_shop(2, "open")).await.0, Answer::Served(_)));
+    cluster.stop().await;
 }
 
 // ---- the listener ----
 
-/// A caller that opens all calls it may and never reads an answer holds up nobody else.
+/// A caller opens as many calls as it may and never reads an answer; other callers are answered as before.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_caller_that_never_reads_holds_up_nobody() {
+async fn other_callers_are_answered_when_one_never_reads_its_answers() {
     use prost::Message;
-    let mut town = LocalCluster::start(plan()).await.expect("started");
-    let mut deaf = Vec::new();
+    let mut cluster = LocalCluster::start(cluster_options()).await.expect("started");
+    let mut unread_connections = Vec::new();
     for _ in 0..4 {
-        let stream = tokio::net::TcpStream::connect(town.rls).await.expect("connected");
-        // A window of nothing: the server may send no answer's body.
+        let stream = tokio::net::TcpStream::connect(cluster.rls).await.expect("connected");
+        // With an HTTP/2 window of 0 bytes the server cannot send the body of any answer.
         let built = h2::client::Builder::new().initial_window_size(0).handshake::<_, bytes::Bytes>(stream);
         let (mut send, connection) = built.await.expect("HTTP/2");
         let driver = tokio::spawn(async move { drop(connection.await) });
@@ -456,20 +497,21 @@
             body.send_data(framed.into(), true).expect("sent");
             answers.push(answer);
         }
-        deaf.push((send, answers, driver));
+        unread_connections.push((send, answers, driver));
     }
-    until(&town, "all decided", |s| s.calls.is_some_and(|c| c.granted == 4000)).await;
+    wait_for_status(&cluster, "all calls are decided", |s| s.calls.is_some_and(|c| c.granted == 4000)).await;
     for _ in 0..50 {
-        let answer = ask(&town, &shop("open", 0, 3)).await;
-        assert_eq!((answer.overall_code(), undecided(&answer)), (Code::Ok, None));
+        let answer = call_rls(&cluster, &shop("open", 0, 3)).await;
+        assert_eq!((answer.overall_code(), failure_mode(&answer)), (Code::Ok, None));
     }
-    drop(deaf);
-    town.stop().await;
+    drop(unread_connections);
+    cluster.stop().await;
 }
 
-/// Balancers ask gRPC health: it follows whether any gatekeeper is linked. Tools ask reflection.
+/// gRPC health, used by load balancers, is SERVING while any gatekeeper is linked; reflection, used by tools,
+/// lists the service.
 #[tokio::test(flavor = "multi_thread")]
-async fn health_follows_the_links_and_reflection_names_the_service() {
+async fn health_changes_when_gatekeepers_link_and_reflection_lists_the_service() {
     use tonic_health::pb::health_check_response::ServingStatus;
     use tonic_health::pb::{HealthCheckRequest, health_client::HealthClient};
     use tonic_reflection::pb::v1::ServerReflectionRequest;
@@ -477,24 +519,25 @@
     use tonic_reflection::pb::v1::server_reflection_request::MessageRequest;
     use tonic_reflection::pb::v1::server_reflection_response::MessageResponse;
     const SERVICE: &str = "envoy.service.ratelimit.v3.RateLimitService";
-    let mut town = LocalCluster::start(ClusterOptions { gatekeepers: 1, ..plan() }).await.expect("started");
+    let mut cluster =
+        LocalCluster::start(ClusterOptions { gatekeepers: 1, ..cluster_options() }).await.expect("started");
     let channel =
-        tonic::transport::Endpoint::from_shared(format!("http://{}", town.rls)).expect("an address");
+        tonic::transport::Endpoint::from_shared(format!("http://{}", cluster.rls)).expect("an address");
     let channel = channel.connect().await.expect("connected");
     let mut health = HealthClient::new(channel.clone());
     let mut watch =
         health.watch(HealthCheckRequest { service: SERVICE.into() }).await.expect("watched").into_inner();
-    let mut next = async |wanted: ServingStatus| loop {
+    let mut wait_for_health = async |wanted: ServingStatus| loop {
         let status = watch.message().await.expect("heard").expect("a status").status();
         if status == wanted {
             return;
         }
     };
-    next(ServingStatus::Serving).await;
-    town.gatekeepers[0].process.kill().await;
-    next(ServingStatus::NotServing).await;
-    town.restart_gatekeeper(0).await.expect("started");
-    next(ServingStatus::Serving).await;
+    wait_for_health(ServingStatus::Serving).await;
+    cluster.gatekeepers[0].process.kill().await;
+    wait_for_health(ServingStatus::NotServing).await;
+    cluster.restart_gatekeeper(0).await.expect("started");
+    wait_for_health(ServingStatus::Serving).await;
     let list = ServerReflectionRequest {
         host: String::new(),
         message_request: Some(MessageRequest::ListServices(String::new())),
@@ -507,25 +550,36 @@
     let answer = answers.message().await.expect("heard").expect("an answer").message_response;
     let Some(MessageResponse::ListServicesResponse(list)) = answer else { panic!("{answer:?}") };
     assert!(list.service.iter().any(|s| s.name == SERVICE), "{list:?}");
-    town.stop().await;
+    cluster.stop().await;
 }
 
-/// `[outside]` is read again at SIGHUP; a file that can't be used is a line in the log, and the old one stays.
+/// `[outside]` is read again at SIGHUP; an invalid file causes a log line, and the configuration in use
+/// stays.
 #[tokio::test(flavor = "multi_thread")]
-async fn the_outside_section_is_read_again_and_a_bad_one_changes_nothing() {
-    let (mut town, service, _gate) = asking().await;
-    let extra = town.gatekeepers[0].local_settings.clone();
-    let text = std::fs::read_to_string(&extra).expect("a file");
-    std::fs::write(&extra, text.replace("deadline_part = 0.2", "deadline_part = 7")).expect("written");
-    town.gatekeepers[0].process.signal("HUP").await;
-    let line = town.gatekeepers[0].process.wait_for_log("configuration in use stays").await.expect("a line");
+async fn outside_settings_are_reloaded_when_valid_and_kept_when_invalid() {
+    let (mut cluster, service, _proxy) = cluster_with_outside_service().await;
+    let settings_path = cluster.gatekeepers[0].local_settings.clone();
+    let text = std::fs::read_to_string(&settings_path).expect("a file");
+    std::fs::write(&settings_path, text.replace("deadline_part = 0.2", "deadline_part = 7"))
+        .expect("written");
+    cluster.gatekeepers[0].process.signal("HUP").await;
+    let line =
+        cluster.gatekeepers[0].process.wait_for_log("configuration in use stays").await.expect("a line");
     assert!(line.contains("outside.deadline_part: over 0 and at most 0.5"), "{line}");
     service.set_behavior(RlsBehavior::Over(Duration::from_millis(700)));
-    assert_eq!(timed(&town, &other(1, "shut")).await.0, Answer::Busy(Some(700)), "still asked");
-    std::fs::write(&extra, text.split("[outside]").next().expect("the link's part")).expect("written");
-    town.gatekeepers[0].process.signal("HUP").await;
-    town.gatekeepers[0].process.wait_for_log("configuration read again").await.expect("a line");
-    assert!(matches!(timed(&town, &other(2, "shut")).await.0, Answer::Served(_)), "no longer asked");
+    assert_eq!(
+        send_timed(&cluster, &numbered_shop(1, "shut")).await.0,
+        Answer::Busy(Some(700)),
+        "the outside service was no longer asked"
+    );
+    std::fs::write(&settings_path, text.split("[outside]").next().expect("the link's part"))
+        .expect("written");
+    cluster.gatekeepers[0].process.signal("HUP").await;
+    cluster.gatekeepers[0].process.wait_for_log("configuration read again").await.expect("a line");
+    assert!(
+        matches!(send_timed(&cluster, &numbered_shop(2, "shut")).await.0, Answer::Served(_)),
+        "the outside service was still asked"
+    );
     assert_eq!(service.calls(), 1);
-    town.stop().await;
+    cluster.stop().await;
 }
