--- a/crates/agent/tests/audit.rs
+++ b/crates/agent/tests/audit.rs
@@ -23,7 +23,7 @@
 use frostvale_standin::local_cluster;
 use frostvale_standin::proxy::ProxyMode;
 use frostvale_standin::resp::Answer;
-use record_harness::{Load, WAIT, ledger, units_by_shop, until};
+use record_harness::{Load, REQUEST_TIMEOUT, ledger, units_by_shop, wait_for};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -115,7 +115,7 @@
     let change = Change { id: format!("{rate_milli}"), base, by, source, why, at_ms: 1 };
     let record = backend(fleet).await;
     // The same change again is known for the same.
-    until("set", async || record.run(Op::SetPlan(plan.clone(), change.clone())).await.ok()).await;
+    wait_for("set", async || record.run(Op::SetPlan(plan.clone(), change.clone())).await.ok()).await;
 }
 
 async fn history(fleet: &Fleet, agent: usize) -> (Vec<ChainRow>, Checkpoint) {
@@ -143,7 +143,7 @@
 }
 
 async fn owner_of_audit(fleet: &Fleet, agent: usize) -> usize {
-    until("the audit has an owner", async || {
+    wait_for("the audit has an owner", async || {
         let all = fleet_harness::duties(fleet, agent).await;
         let name = all.get("audit")?.owner.split('#').next()?.to_string();
         fleet.agents.iter().position(|a| a.name == name)
@@ -186,7 +186,7 @@
     process.wait_for_log("this gatekeeper is shut out").await.expect("told");
     let shop = Shop { id: format!("{:016x}", 77), plan: "wide".into(), first: liar as u32, spread: 1 };
     let pool = ClientPool::new(fleet.cluster.gatekeepers[liar].resp);
-    let answer = pool.send_request(&shop, "formula-read", None, 1, WAIT).await.expect("an answer");
+    let answer = pool.send_request(&shop, "formula-read", None, 1, REQUEST_TIMEOUT).await.expect("an answer");
     assert!(matches!(&answer, Answer::Busy(Some(ms)) if *ms >= 700), "{answer:?}");
     for k in (0..6).filter(|k| *k != liar) {
         let process = &mut fleet.cluster.gatekeepers[k].process;
@@ -206,7 +206,7 @@
     assert!(code == 0 && text.contains("out"), "{code}: {text}");
     let (code, text) = frostctl(&fleet, &["audit", "at", "1s"]).await;
     assert!(code == 0 && text.contains(&name), "{code}: {text}");
-    let rows = until("that it is back is entered", async || {
+    let rows = wait_for("that it is back is entered", async || {
         let rows = history(&fleet, 0).await.0;
         let mine: Vec<ChainRow> = rows.into_iter().filter(|r| r.instance == name).collect();
         mine.iter().any(|r| r.kind == "out" && r.now_is == "in").then_some(mine)
@@ -246,7 +246,9 @@
         tasks.push(tokio::spawn(async move {
             let shop = Shop { id: format!("{:016x}", 0xce11), plan: "capped".into(), first: 0, spread: 6 };
             while !stop.load(Ordering::Relaxed) {
-                if let Ok(Answer::Served(_)) = pool.send_request(&shop, "formula-read", None, 1, WAIT).await {
+                if let Ok(Answer::Served(_)) =
+                    pool.send_request(&shop, "formula-read", None, 1, REQUEST_TIMEOUT).await
+                {
                     served.fetch_add(1, Ordering::Relaxed);
                 }
                 sleep(Duration::from_millis(40)).await;
@@ -262,7 +264,7 @@
     let unknown = stands(&fleet, 0, "it is unknown", |t| one(t, &name).is_some_and(|i| !i.heard)).await;
     assert!(one(&unknown, &name).is_some_and(|i| i.behind.contains("nothing is heard")), "{unknown:?}");
     stands(&fleet, 0, "it is shut out", |t| out(t) == [name.clone()]).await;
-    let entered = until("it is entered", async || {
+    let entered = wait_for("it is entered", async || {
         let (rows, _) = history(&fleet, 0).await;
         rows.into_iter().rev().find(|r| r.kind == "out" && r.instance == name)
     })
@@ -275,7 +277,7 @@
     // It serves on what it last knew.
     let pool = ClientPool::new(fleet.cluster.gatekeepers[dead].resp);
     let shop = Shop { id: format!("{:016x}", 78), plan: "wide".into(), first: dead as u32, spread: 1 };
-    let answer = pool.send_request(&shop, "formula-read", None, 1, WAIT).await.expect("an answer");
+    let answer = pool.send_request(&shop, "formula-read", None, 1, REQUEST_TIMEOUT).await.expect("an answer");
     assert!(matches!(answer, Answer::Served(_)), "{answer:?}");
     sleep(Duration::from_millis(2000)).await;
     // Its agent is back: it is let in again as it is up to date.
@@ -387,7 +389,7 @@
     settled(&fleet, 0).await;
     fleet.kill_db().await;
     fleet.start_db(Some(&copy)).await.expect("failed over");
-    let rows = until("the history goes on", async || {
+    let rows = wait_for("the history goes on", async || {
         let rows = history(&fleet, 0).await.0;
         rows.iter().any(|r| r.kind == "history").then_some(rows)
     })
@@ -408,7 +410,7 @@
     set(&fleet, 1, 0).await;
     settled(&fleet, 0).await;
     let load = Load::start(&fleet.cluster, 6);
-    load.more(200).await;
+    load.wait_for_served(200).await;
     // Three changes under load; one gatekeeper hears of none of the later ones.
     let cut = 1;
     for (revision, rate) in [(1, 2), (2, 3), (3, 4)] {
@@ -416,17 +418,17 @@
             fleet.set_link_mode(cut, ProxyMode::Hold);
         }
         set(&fleet, rate, revision).await;
-        load.more(200).await;
+        load.wait_for_served(200).await;
         sleep(Duration::from_millis(400)).await;
     }
-    load.more(200).await;
+    load.wait_for_served(200).await;
     fleet.set_link_mode(cut, ProxyMode::Forward);
     settled(&fleet, 0).await;
-    load.more(100).await;
+    load.wait_for_served(100).await;
     load.stop().await;
     let mut client = control(&fleet.agents[0].control).await.expect("an agent");
     let sent: i64 = units_by_shop(&fleet.cluster).values().sum();
-    let rows = until("all use has landed", async || {
+    let rows = wait_for("all use has landed", async || {
         let rows = client.use_by_revision(UseByRevisionRequest {}).await.ok()?.into_inner().rows;
         let passed: u64 = rows.iter().map(|r| r.passed_milli).sum();
         (passed as i64 == sent).then_some(rows)
@@ -544,7 +546,7 @@
     set(&fleet, 1, 0).await;
     settled(&fleet, 0).await;
     let load = Load::start(&fleet.cluster, 5);
-    load.more(20).await;
+    load.wait_for_served(20).await;
     let schedule = schedule(seed, count, agents, gatekeepers, LEASE);
     let told: Vec<String> = schedule.iter().map(Fault::to_string).collect();
     for (k, fault) in schedule.iter().enumerate() {
@@ -586,7 +588,7 @@
     // Use by revision and by shop are the same units.
     let record = backend(&fleet).await;
     let mut client = control(&fleet.agents[0].control).await.expect("an agent");
-    until("both sums agree", async || {
+    wait_for("both sums agree", async || {
         let rows = client.use_by_revision(UseByRevisionRequest {}).await.ok()?.into_inner().rows;
         let by: u64 = rows.iter().map(|r| r.passed_milli).sum();
         let all: i64 = ledger(&*record).await.values().map(|v| v.0).sum();
--- a/crates/agent/tests/council.rs
+++ b/crates/agent/tests/council.rs
@@ -8,7 +8,7 @@
 use frostvale_agent::serve::control;
 use frostvale_proto::agent::{CouncilChange, CouncilRequest, CouncilResponse};
 use frostvale_standin::fleet::{Fleet, FleetOptions};
-use record_harness::until;
+use record_harness::wait_for;
 use std::fs;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
@@ -34,7 +34,7 @@
 
 /// Why an agent takes no part, once it says so.
 async fn problem(fleet: &Fleet, agent: usize) -> String {
-    until("it takes no part", async || {
+    wait_for("it takes no part", async || {
         status(fleet, agent).await.map(|s| s.problem).filter(|p| !p.is_empty())
     })
     .await
@@ -165,7 +165,7 @@
     fleet.kill(2).await;
     fleet.set_drill(2, "");
     fleet.start_agent(2).await.expect("started");
-    until("with room again it takes part", async || {
+    wait_for("with room again it takes part", async || {
         status(&fleet, 2).await.filter(|s| s.problem.is_empty() && !s.leader.is_empty())
     })
     .await;
@@ -178,7 +178,7 @@
     let mut fleet = fleet(FleetOptions { voters: 3, ..plan(5, 0) }).await;
     settled(&fleet).await;
     for k in [3, 4] {
-        until("it follows", async || status(&fleet, k).await.filter(|s| s.state == "learner")).await;
+        wait_for("it follows", async || status(&fleet, k).await.filter(|s| s.state == "learner")).await;
     }
     // Two operators at once, at two agents: one change at a time, and who was refused is told so and tries again.
     let (one, two) = tokio::join!(change(&fleet, 0, add("a4")), change(&fleet, 1, add("a5")));
@@ -192,10 +192,10 @@
     let votes = async |fleet: &Fleet, agent: usize| {
         status(fleet, agent).await.map_or(0, |s| s.members.iter().filter(|m| m.votes).count())
     };
-    until("five vote", async || (votes(&fleet, 3).await == 5).then_some(())).await;
+    wait_for("five vote", async || (votes(&fleet, 3).await == 5).then_some(())).await;
 
     // Two of five hang: duties go on at the other three.
-    let leads = until("a leader", async || leader(&fleet, 0).await).await;
+    let leads = wait_for("a leader", async || leader(&fleet, 0).await).await;
     let other = (0..5).find(|k| *k != leads).expect("another");
     for k in [leads, other] {
         fleet.signal(k, "STOP").await;
@@ -212,13 +212,13 @@
     }
 
     // The leader is removed, by way of another: the rest choose one, and no number comes twice.
-    let leads = until("a leader", async || leader(&fleet, (leads + 1) % 5).await).await;
+    let leads = wait_for("a leader", async || leader(&fleet, (leads + 1) % 5).await).await;
     let name = fleet.agents[leads].name.clone();
     let by = (0..5).find(|k| *k != leads).expect("another");
     let done = change(&fleet, by, remove(&name)).await;
     assert!(done.as_ref().is_ok_and(|s| s.contains("is no member")) || done.is_err(), "{done:?}");
-    until("four vote", async || (votes(&fleet, by).await == 4).then_some(())).await;
-    until("another leads", async || leader(&fleet, by).await.filter(|k| *k != leads)).await;
+    wait_for("four vote", async || (votes(&fleet, by).await == 4).then_some(())).await;
+    wait_for("another leads", async || leader(&fleet, by).await.filter(|k| *k != leads)).await;
     let before = fleet.effects().expect("read").len();
     let more = |f: &Fleet| f.effects().is_ok_and(|t| t.len() > before + 20);
     fleet.wait_until("the others go on", more).await.expect("they do");
--- a/crates/agent/tests/owner.rs
+++ b/crates/agent/tests/owner.rs
@@ -14,7 +14,7 @@
 use frostvale_standin::fleet::faults::{apply, schedule};
 use frostvale_standin::fleet::{Effect, Fleet, FleetOptions};
 use frostvale_standin::proxy::ProxyMode;
-use record_harness::{Load, ledger, units_by_shop, until};
+use record_harness::{Load, ledger, units_by_shop, wait_for};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::Duration;
@@ -91,7 +91,7 @@
     let mut fleet = fleet(plan(3, 0)).await;
     let old = owner(&fleet, "drill-0").await;
     let held = fleet.last_effect("drill-0").expect("owned");
-    let leads = until("a leader", async || leader(&fleet, old).await).await;
+    let leads = wait_for("a leader", async || leader(&fleet, old).await).await;
     fleet.kill(old).await;
     if leads != old {
         fleet.kill(leads).await;
@@ -123,15 +123,15 @@
     let mut fleet = fleet(plan(3, 3)).await;
     owner(&fleet, "drill-0").await;
     let load = Load::start(&fleet.cluster, 4);
-    load.more(50).await;
+    load.wait_for_served(50).await;
     for k in 0..2 {
         fleet.signal(k, "STOP").await;
     }
     sleep(Duration::from_millis(2 * LEASE)).await;
     let before = fleet.effects().expect("read").len();
-    load.more(200).await;
+    load.wait_for_served(200).await;
     sleep(Duration::from_millis(4 * LEASE)).await;
-    load.more(200).await;
+    load.wait_for_served(200).await;
     assert_eq!(fleet.effects().expect("read").len(), before, "nothing is done for the fleet");
     for k in 0..2 {
         fleet.signal(k, "CONT").await;
@@ -267,7 +267,7 @@
     let slow = format!("crashes = 1\nstep_ms = {}", 5 * LEASE / 2);
     let extra = (0..3).map(|k| (k, slow.clone())).collect();
     let mut fleet = fleet(FleetOptions { drill_settings: extra, ..plan(3, 0) }).await;
-    let aside = until("set aside", async || {
+    let aside = wait_for("set aside", async || {
         let all = duties(&fleet, 0).await;
         all.get("drill-1").filter(|d| d.state == "set aside").cloned()
     })
@@ -291,7 +291,7 @@
         why: "mended".into(),
     };
     client.change_duty(resume).await.expect("resumed");
-    until("tried again", async || {
+    wait_for("tried again", async || {
         duties(&fleet, 0).await.get("drill-1").filter(|d| d.epoch > aside.epoch).map(|_| ())
     })
     .await;
@@ -342,7 +342,7 @@
     };
     fleet.wait_until("the others are done", others).await.expect("they are");
     assert!(fleet.last_effect("drill-1").is_none(), "it never came to an effect");
-    let why = until("it is said why", async || {
+    let why = wait_for("it is said why", async || {
         duties(&fleet, 0).await.get("drill-1").map(|d| d.why.clone()).filter(|w| !w.is_empty())
     })
     .await;
@@ -371,7 +371,7 @@
     let refused = change(&fleet, What::Move, "a9").await.expect_err("no such agent");
     assert!(refused.message().contains("no agent a9"), "{}", refused.message());
     change(&fleet, What::Pause, "").await.expect("paused");
-    until("paused", async || {
+    wait_for("paused", async || {
         duties(&fleet, 1).await.get("drill-2").filter(|d| d.state == "paused").map(|_| ())
     })
     .await;
@@ -412,9 +412,9 @@
         (by.values().sum::<usize>() == 1000).then_some(by)
     };
     let even = |by: &BTreeMap<String, usize>| by.len() == 3 && by.values().all(|n| *n > 300);
-    until("all owned, each by a third", async || owned(&fleet, 0).await.filter(even)).await;
+    wait_for("all owned, each by a third", async || owned(&fleet, 0).await.filter(even)).await;
     fleet.kill(2).await;
-    let by = until("all owned again", async || owned(&fleet, 0).await.filter(|by| by.len() == 2)).await;
+    let by = wait_for("all owned again", async || owned(&fleet, 0).await.filter(|by| by.len() == 2)).await;
     assert!(by.keys().all(|o| !o.starts_with("a3#")), "{by:?}");
     fleet.start_agent(2).await.expect("started");
     fleet.stop().await;
@@ -428,7 +428,7 @@
     let mut fleet =
         fleet(FleetOptions { export: true, drill_settings: extra, ..plan(agents, gatekeepers) }).await;
     let load = Load::start(&fleet.cluster, 4);
-    load.more(20).await;
+    load.wait_for_served(20).await;
     let schedule = schedule(seed, count, agents, 0, LEASE);
     for fault in &schedule {
         apply(&mut fleet, fault).await.unwrap_or_else(|e| panic!("seed {seed}: {fault}: {e}"));
@@ -450,14 +450,14 @@
     // Everything booked is in the record, in the days and in the export, once.
     let record = backend(&fleet).await;
     let booked: i64 = units_by_shop(&fleet.cluster).values().sum();
-    until("all is in the record", async || {
+    wait_for("all is in the record", async || {
         let passed: i64 = ledger(&*record).await.values().map(|v| v.0).sum();
         (passed >= booked).then_some(())
     })
     .await;
     let passed: i64 = ledger(&*record).await.values().map(|v| v.0).sum();
     let folder = fleet.export();
-    until("all is exported", async || {
+    wait_for("all is exported", async || {
         let Ok(Reply::Days(days)) = record.run(Op::Days(100_000)).await else { return None };
         let rolled: i64 = days.iter().map(|(r, _)| r.passed_milli).sum();
         let read = frostvale_export::read(&folder).ok()?;
@@ -624,7 +624,7 @@
                         "formula-read",
                         None,
                         1,
-                        record_harness::WAIT,
+                        record_harness::REQUEST_TIMEOUT,
                     )
                     .await;
                 all.push(u64::try_from(from.elapsed().as_micros()).unwrap_or(0));
@@ -651,7 +651,7 @@
         quiet.extend(latencies(&fleet, Duration::from_secs(6)).await);
         let changes = async {
             for _ in 0..3 {
-                let leads = until("a leader", async || leader(&fleet, 0).await).await;
+                let leads = wait_for("a leader", async || leader(&fleet, 0).await).await;
                 fleet.signal(leads, "STOP").await;
                 sleep(Duration::from_millis(1000)).await;
                 fleet.signal(leads, "CONT").await;
--- a/crates/agent/tests/record_harness/mod.rs
+++ b/crates/agent/tests/record_harness/mod.rs
@@ -1,6 +1,6 @@
-//! A record, a town over it and load, for the tests of what is kept.
+//! Test harness: a store of record in SQLite or PostgreSQL, local clusters that use it, and RESP2 load.
 
-#![allow(dead_code, reason = "each test uses a part of it")]
+#![allow(dead_code, reason = "each test program uses a part of it")]
 
 use frostvale_proto::agent::{Record, StatusRequest};
 use frostvale_record::{Backend, Op, RecordLocation, Reply};
@@ -18,10 +18,13 @@
 use std::time::{Duration, Instant};
 
 pub const SHOP: &str = "00000000b4d65521";
-pub const WAIT: Duration = Duration::from_millis(900);
-pub const LONG: Duration = Duration::from_secs(30);
+/// Timeout of a RESP2 request.
+pub const REQUEST_TIMEOUT: Duration = Duration::from_millis(900);
+/// Longest time for which a test waits for a condition.
+pub const MAX_WAIT: Duration = Duration::from_secs(30);
 pub const PASSWORD: &str = "sesame";
 
+/// Three plans: one without a practical limit, one of ten units that hardly refill, and one with a ceiling.
 pub fn plans() -> Value {
     json!([
         {"Name": "wide", "UnitsPerS": 1e5, "PeakUnits": 1e5, "ValueFactor": 1.0},
@@ -30,9 +33,10 @@
     ])
 }
 
-/// A database of a test, and the town over it.
+/// A test's database; clusters are started over it.
 pub struct RecordHarness {
     pub folder: tempfile::TempDir,
+    /// The PostgreSQL stand-in, or `None` with SQLite or while the server is down.
     pub server: Option<Postgres>,
     pub location: RecordLocation,
 }
@@ -64,15 +68,18 @@
         self.folder.path().join(name)
     }
 
-    pub fn at(&self) -> SocketAddr {
+    /// The address of the PostgreSQL stand-in; panics if it is not running.
+    pub fn server_address(&self) -> SocketAddr {
         self.server.as_ref().expect("a server").at
     }
 
+    /// Starts the PostgreSQL stand-in again at this address, with the data of its predecessor.
     pub async fn restart_server(&mut self, at: SocketAddr) {
         let server = Postgres::start_at(at, &self.path("pg.db"), PASSWORD, Login::Scram, None).await;
         self.server = Some(server.expect("started"));
     }
 
+    /// The `[record]` section of the agent's settings.
     pub fn agent_settings(&self) -> String {
         let password = self.location.password_file.as_ref();
         let password = password.map_or(String::new(), |p| format!("password_file = {p:?}\n"));
@@ -83,21 +90,23 @@
         )
     }
 
+    /// Starts a cluster whose gatekeepers report usage every 50 ms.
     pub async fn cluster(&self, gatekeepers: usize) -> LocalCluster {
         self.cluster_under(gatekeepers, Vec::new()).await
     }
 
-    /// With something in front of each program.
+    /// Starts a cluster whose programs are run by this launcher command.
     pub async fn cluster_under(&self, gatekeepers: usize, launcher: Vec<String>) -> LocalCluster {
         self.start(gatekeepers, "[usage]\nreport_ms = 50\n", launcher, Vec::new()).await
     }
 
-    /// One gatekeeper, with another section of its own file.
+    /// Starts a cluster of one gatekeeper with these local settings instead of the usual `[usage]` section.
     pub async fn cluster_with(&self, gatekeeper_extra: &str, launcher: Vec<String>) -> LocalCluster {
         self.start(1, gatekeeper_extra, launcher, Vec::new()).await
     }
 
-    /// On hosts whose clocks are ahead by so many ms.
+    /// Starts a cluster of one gatekeeper for each entry, whose clock is ahead by so many ms (negative:
+    /// behind).
     pub async fn cluster_with_clocks(&self, clocks_ahead_ms: Vec<i64>) -> LocalCluster {
         self.start(clocks_ahead_ms.len(), "[usage]\nreport_ms = 50\n", Vec::new(), clocks_ahead_ms).await
     }
@@ -130,7 +139,7 @@
         .expect("started")
     }
 
-    /// A view of the database of its own.
+    /// Opens a separate connection to the database.
     pub async fn open(&self) -> Arc<dyn Backend> {
         let backend = self.location.open().await.expect("opened");
         backend.migrate().await.expect("migrated");
@@ -138,10 +147,10 @@
     }
 }
 
-/// Units by shop: passed and served.
+/// Returns the units of each shop in the record, in thousandths: passed and served.
 pub async fn ledger(backend: &dyn Backend) -> BTreeMap<String, (i64, i64)> {
     let op = Op::Totals { shop: String::new(), from_ms: 0, to_ms: i64::MAX, most: 100_000 };
-    let totals = until("totals", async || match backend.run(op.clone()).await {
+    let totals = wait_for("totals", async || match backend.run(op.clone()).await {
         Ok(Reply::Totals(totals)) => Some(totals),
         _ => None,
     })
@@ -155,24 +164,26 @@
     all
 }
 
-pub fn units_by_shop(town: &LocalCluster) -> BTreeMap<String, i64> {
-    town.units_by_shop().into_iter().map(|(shop, units)| (shop, (units * 1000.0).round() as i64)).collect()
+/// Returns the units that the formula servers booked for each shop, in thousandths.
+pub fn units_by_shop(cluster: &LocalCluster) -> BTreeMap<String, i64> {
+    cluster.units_by_shop().into_iter().map(|(shop, units)| (shop, (units * 1000.0).round() as i64)).collect()
 }
 
-/// Looks again until it is so.
-pub async fn until<T>(what: &str, mut look: impl AsyncFnMut() -> Option<T>) -> T {
-    let begun = Instant::now();
+/// Polls until `poll` returns a value; panics after `MAX_WAIT`.
+pub async fn wait_for<T>(what: &str, mut poll: impl AsyncFnMut() -> Option<T>) -> T {
+    let started = Instant::now();
     loop {
-        if let Some(found) = look().await {
+        if let Some(found) = poll().await {
             return found;
         }
-        assert!(begun.elapsed() < LONG, "never {what}");
+        assert!(started.elapsed() < MAX_WAIT, "not reached within {MAX_WAIT:?}: {what}");
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 }
 
-pub async fn status(town: &LocalCluster) -> Option<Record> {
-    let mut agent = frostvale_agent::serve::control(&town.control).await.ok()?;
+/// Returns the agent's status of the record, or `None` if the agent does not answer.
+pub async fn status(cluster: &LocalCluster) -> Option<Record> {
+    let mut agent = frostvale_agent::serve::control(&cluster.control).await.ok()?;
     agent.status(StatusRequest {}).await.ok()?.into_inner().record
 }
 
@@ -180,15 +191,16 @@
     Shop { id: format!("{:016x}", 0xb4d6_5521 + k), plan: plan.into(), first: 0, spread: 1 }
 }
 
-pub async fn served(pool: &ClientPool, shop: &Shop) -> bool {
-    match pool.send_request(shop, "formula-read", None, 1, WAIT).await.expect("an answer") {
+/// Sends a formula read; true if it was served, false if it was refused. Panics if it failed.
+pub async fn is_served(pool: &ClientPool, shop: &Shop) -> bool {
+    match pool.send_request(shop, "formula-read", None, 1, REQUEST_TIMEOUT).await.expect("an answer") {
         Answer::Served(_) => true,
         Answer::Busy(_) => false,
         Answer::Failed(line) => panic!("{line}"),
     }
 }
 
-/// Load by RESP2 until it is stopped; what was served, by shop. A gatekeeper that is gone is asked again.
+/// RESP2 load that runs until it is stopped and counts served requests. A gatekeeper that is down is retried.
 pub struct Load {
     stop: Arc<AtomicBool>,
     served: Arc<AtomicU64>,
@@ -196,9 +208,9 @@
 }
 
 impl Load {
-    pub fn start(town: &LocalCluster, clients: u64) -> Load {
+    pub fn start(cluster: &LocalCluster, clients: u64) -> Load {
         let (stop, served) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicU64::new(0)));
-        let all: Vec<SocketAddr> = town.gatekeepers.iter().map(|g| g.resp).collect();
+        let all: Vec<SocketAddr> = cluster.gatekeepers.iter().map(|g| g.resp).collect();
         let client = |k: u64| {
             let (stop, served) = (stop.clone(), served.clone());
             let at = k as usize % all.len();
@@ -206,7 +218,7 @@
             let shop = Shop { first: at as u32, ..shop(k, "wide") };
             tokio::spawn(async move {
                 while !stop.load(Ordering::Relaxed) {
-                    match pool.send_request(&shop, "formula-read", None, 1, WAIT).await {
+                    match pool.send_request(&shop, "formula-read", None, 1, REQUEST_TIMEOUT).await {
                         Ok(Answer::Served(_)) => drop(served.fetch_add(1, Ordering::Relaxed)),
                         Ok(_) => {}
                         Err(_) => tokio::time::sleep(Duration::from_millis(10)).await,
@@ -218,15 +230,18 @@
         Load { stop, served, tasks }
     }
 
+    /// Returns the number of requests served so far.
     pub fn count(&self) -> u64 {
         self.served.load(Ordering::Relaxed)
     }
 
-    pub async fn more(&self, n: u64) {
-        let than = self.count() + n;
-        until("served more", async || (self.count() >= than).then_some(())).await;
+    /// Waits until `n` more requests have been served.
+    pub async fn wait_for_served(&self, n: u64) {
+        let target = self.count() + n;
+        wait_for("more requests are served", async || (self.count() >= target).then_some(())).await;
     }
 
+    /// Stops the load and returns the number of served requests.
     pub async fn stop(self) -> u64 {
         self.stop.store(true, Ordering::Relaxed);
         for task in self.tasks {
--- a/crates/agent/tests/shutdown.rs
+++ b/crates/agent/tests/shutdown.rs
@@ -9,7 +9,9 @@
 use rand::rngs::StdRng;
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
-use record_harness::{LONG, Load, RecordHarness, ledger, served, shop, status, units_by_shop, until};
+use record_harness::{
+    Load, MAX_WAIT, RecordHarness, is_served, ledger, shop, status, units_by_shop, wait_for,
+};
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -18,7 +20,7 @@
 /// Waits until the ledger holds what the formula servers booked, to the unit, and fails if it holds more.
 async fn lands(backend: &dyn Backend, wanted: &BTreeMap<String, i64>, what: &str) {
     let sum: i64 = wanted.values().sum();
-    let found = until(what, async || {
+    let found = wait_for(what, async || {
         let found = ledger(backend).await;
         (found.values().map(|v| v.0).sum::<i64>() >= sum).then_some(found)
     })
@@ -43,13 +45,13 @@
 /// under load; then all begin again, and the record holds what was booked.
 async fn orderly_end(seed: u64) {
     let mut rng = StdRng::seed_from_u64(seed);
-    let mut kept =
+    let mut harness =
         if rng.random_bool(0.5) { RecordHarness::sqlite() } else { RecordHarness::postgres().await };
-    let mut town = kept.cluster(2).await;
+    let mut town = harness.cluster(2).await;
     let load = Load::start(&town, 4);
-    load.more(50).await;
+    load.wait_for_served(50).await;
     let mut parties = vec!["agent", "n1", "n2"];
-    if kept.server.is_some() {
+    if harness.server.is_some() {
         parties.push("database");
     }
     parties.shuffle(&mut rng);
@@ -62,8 +64,8 @@
         match *party {
             "agent" => town.agent.as_ref().expect("an agent").signal("TERM").await,
             "database" => {
-                at = Some(kept.at());
-                kept.server.take().expect("a server").kill().await;
+                at = Some(harness.server_address());
+                harness.server.take().expect("a server").kill().await;
             }
             name => {
                 let g = town.gatekeepers.iter().find(|g| g.name == name).expect("a gatekeeper");
@@ -72,24 +74,25 @@
         }
     }
     for g in &mut town.gatekeepers {
-        let ended = tokio::time::timeout(LONG, g.process.wait()).await.expect("it ends");
+        let ended = tokio::time::timeout(MAX_WAIT, g.process.wait()).await.expect("it ends");
         assert!(ended.is_some_and(|how| how.success()), "{what}");
     }
     let agent = town.agent.as_mut().expect("an agent");
-    let ended = tokio::time::timeout(LONG, agent.wait()).await.expect("it ends");
+    let ended = tokio::time::timeout(MAX_WAIT, agent.wait()).await.expect("it ends");
     assert!(ended.is_some_and(|how| how.success()), "{what}");
     load.stop().await;
     if let Some(at) = at {
-        kept.restart_server(at).await;
+        harness.restart_server(at).await;
     }
     // The next lives: in either order too.
     for k in 0..2 {
         town.restart_gatekeeper(k).await.expect("started");
     }
     town.start_agent().await.expect("started");
-    let backend = kept.open().await;
+    let backend = harness.open().await;
     lands(&*backend, &units_by_shop(&town), &what).await;
-    until("sound", async || status(&town).await.filter(|r| r.state == "sound" && r.spool_batches == 0)).await;
+    wait_for("sound", async || status(&town).await.filter(|r| r.state == "sound" && r.spool_batches == 0))
+        .await;
     no_gap(&*backend, &what).await;
     assert!((0..2).all(|k| words(&town, k).is_empty()), "{what}: taken up");
     backend.check().await.expect("ledger and totals agree");
@@ -117,18 +120,18 @@
 }
 
 /// Serves some units, kills the agent, serves more, and ends the gatekeeper in order: its last word is left in a file.
-async fn left_alone(kept: &RecordHarness, launcher: Vec<String>) -> (LocalCluster, PathBuf) {
-    let mut town = kept.cluster_under(1, launcher).await;
+async fn left_alone(harness: &RecordHarness, launcher: Vec<String>) -> (LocalCluster, PathBuf) {
+    let mut town = harness.cluster_under(1, launcher).await;
     let pool = ClientPool::new(town.gatekeepers[0].resp);
     for k in 0..9 {
-        assert!(served(&pool, &shop(k % 3, "wide")).await);
+        assert!(is_served(&pool, &shop(k % 3, "wide")).await);
     }
     town.agent.as_mut().expect("an agent").kill().await;
     for k in 0..12 {
-        assert!(served(&pool, &shop(k % 4, "wide")).await);
+        assert!(is_served(&pool, &shop(k % 4, "wide")).await);
     }
     for _ in 0..7 {
-        served(&pool, &shop(9, "ten")).await;
+        is_served(&pool, &shop(9, "ten")).await;
     }
     town.gatekeepers[0].process.signal("TERM").await;
     assert!(town.gatekeepers[0].process.wait().await.expect("ended").success());
@@ -138,13 +141,13 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn the_word_left_after_an_agent_was_killed_lands_once_with_the_next_also_if_found_twice() {
-    let kept = RecordHarness::sqlite();
-    let (mut town, path) = left_alone(&kept, Vec::new()).await;
+    let harness = RecordHarness::sqlite();
+    let (mut town, path) = left_alone(&harness, Vec::new()).await;
     let word = std::fs::read(&path).expect("left");
     let wanted = units_by_shop(&town);
     town.restart_gatekeeper(0).await.expect("started");
     town.start_agent().await.expect("started");
-    let backend = kept.open().await;
+    let backend = harness.open().await;
     lands(&*backend, &wanted, "the left word").await;
     assert!(!path.exists());
     // Ten units were there, seven are spent: the file says so, the new life goes on from it.
@@ -153,20 +156,21 @@
     let pool = ClientPool::new(town.gatekeepers[0].resp);
     let mut more = 0;
     for _ in 0..6 {
-        more += u32::from(served(&pool, &shop(9, "ten")).await);
+        more += u32::from(is_served(&pool, &shop(9, "ten")).await);
     }
     assert_eq!(more, 3);
     // Found again, as after a kill between spool and removal, by an agent that was there and by a new one.
     std::fs::write(&path, &word).expect("written");
     town.gatekeepers[0].process.signal("TERM").await;
     town.gatekeepers[0].process.wait().await;
-    until("taken up again", async || (!path.exists()).then_some(())).await;
+    wait_for("taken up again", async || (!path.exists()).then_some(())).await;
     std::fs::write(&path, &word).expect("written");
     town.agent.as_mut().expect("an agent").kill().await;
     town.restart_gatekeeper(0).await.expect("started");
     town.start_agent().await.expect("started");
-    until("taken up again", async || (!path.exists()).then_some(())).await;
-    until("sound", async || status(&town).await.filter(|r| r.state == "sound" && r.spool_batches == 0)).await;
+    wait_for("taken up again", async || (!path.exists()).then_some(())).await;
+    wait_for("sound", async || status(&town).await.filter(|r| r.state == "sound" && r.spool_batches == 0))
+        .await;
     lands(&*backend, &units_by_shop(&town), "each batch once").await;
     no_gap(&*backend, "each life ended in order").await;
     town.stop().await;
@@ -174,31 +178,31 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn of_a_torn_word_what_is_sound_counts_once_and_the_rest_is_a_gap() {
-    let kept = RecordHarness::sqlite();
-    let (mut town, path) = left_alone(&kept, Vec::new()).await;
+    let harness = RecordHarness::sqlite();
+    let (mut town, path) = left_alone(&harness, Vec::new()).await;
     let word = std::fs::read(&path).expect("left");
     std::fs::write(&path, &word[..word.len() - 3]).expect("torn");
     town.restart_gatekeeper(0).await.expect("started");
     town.start_agent().await.expect("started");
-    let backend = kept.open().await;
+    let backend = harness.open().await;
     // All batches stand before the tear.
     lands(&*backend, &units_by_shop(&town), "what is sound").await;
-    until("set aside", async || path.with_extension("torn").exists().then_some(())).await;
+    wait_for("set aside", async || path.with_extension("torn").exists().then_some(())).await;
     // Torn within its first record it says nothing, not even whose it is.
     town.gatekeepers[0].process.signal("TERM").await;
     town.gatekeepers[0].process.wait().await;
     let other = final_report::path_of(&town.gatekeepers[0].socket, 5);
     std::fs::write(&other, &word[..20]).expect("torn");
     town.restart_gatekeeper(0).await.expect("started");
-    until("set aside", async || other.with_extension("torn").exists().then_some(())).await;
+    wait_for("set aside", async || other.with_extension("torn").exists().then_some(())).await;
     lands(&*backend, &units_by_shop(&town), "nothing twice").await;
     town.stop().await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_word_of_another_instance_is_refused_and_kept() {
-    let kept = RecordHarness::sqlite();
-    let (mut town, path) = left_alone(&kept, Vec::new()).await;
+    let harness = RecordHarness::sqlite();
+    let (mut town, path) = left_alone(&harness, Vec::new()).await;
     let wanted = units_by_shop(&town);
     // The same word, renamed as by an operator's copy, for a gatekeeper that is not its own.
     let word = final_report::read(&path).expect("sound");
@@ -212,11 +216,11 @@
         final_report::write(socket, &foreign.welcome, foreign.batches.iter(), &foreign.levels).expect("left");
     town.restart_gatekeeper(0).await.expect("started");
     town.start_agent().await.expect("started");
-    until("set aside", async || at.with_extension("refused").exists().then_some(())).await;
+    wait_for("set aside", async || at.with_extension("refused").exists().then_some(())).await;
     let pool = ClientPool::new(town.gatekeepers[0].resp);
-    assert!(served(&pool, &shop(50, "wide")).await);
-    let backend = kept.open().await;
-    until("later use lands", async || {
+    assert!(is_served(&pool, &shop(50, "wide")).await);
+    let backend = harness.open().await;
+    wait_for("later use lands", async || {
         ledger(&*backend).await.contains_key(&shop(50, "wide").id).then_some(())
     })
     .await;
@@ -228,11 +232,11 @@
 /// No place for the last word: one line says what is lost, with figures, and the end is in order all the same.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_full_disk_where_the_last_word_is_left_is_one_line_with_figures() {
-    let kept = RecordHarness::sqlite();
+    let harness = RecordHarness::sqlite();
     // Files of the gatekeeper may grow by nothing, as on a full disk; its log is a pipe.
     let script = "case \"$1\" in *frostvale) trap '' XFSZ; ulimit -f 0;; esac; exec \"$@\"";
     let launcher = ["sh", "-c", script, "sh"].map(String::from).to_vec();
-    let (mut town, path) = left_alone(&kept, launcher).await;
+    let (mut town, path) = left_alone(&harness, launcher).await;
     assert_eq!(path, Path::new(""), "nothing is left that could pass for a word");
     let process = &mut town.gatekeepers[0].process;
     process.wait_for_log("can't be left at").await.expect("told");
@@ -248,20 +252,20 @@
 }
 
 /// A town whose gatekeepers report once a minute: what is in the record was taken by the agent's own stop.
-async fn seldom_reported(kept: &RecordHarness) -> LocalCluster {
-    let town = kept.cluster_with("[usage]\nreport_ms = 60000\n", Vec::new()).await;
+async fn seldom_reported(harness: &RecordHarness) -> LocalCluster {
+    let town = harness.cluster_with("[usage]\nreport_ms = 60000\n", Vec::new()).await;
     let pool = ClientPool::new(town.gatekeepers[0].resp);
     for k in 0..21 {
-        assert!(served(&pool, &shop(k % 4, "wide")).await);
+        assert!(is_served(&pool, &shop(k % 4, "wide")).await);
     }
     town
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_agent_that_stops_alone_takes_what_was_used_until_then() {
-    let kept = RecordHarness::sqlite();
-    let mut town = seldom_reported(&kept).await;
-    let backend = kept.open().await;
+    let harness = RecordHarness::sqlite();
+    let mut town = seldom_reported(&harness).await;
+    let backend = harness.open().await;
     let agent = town.agent.as_mut().expect("an agent");
     agent.signal("TERM").await;
     assert!(agent.wait().await.expect("ended").success());
@@ -270,7 +274,7 @@
     assert_eq!(found, 21_000);
     // The gatekeeper goes on, and the next agent gets what came since.
     let pool = ClientPool::new(town.gatekeepers[0].resp);
-    assert!(served(&pool, &shop(9, "wide")).await);
+    assert!(is_served(&pool, &shop(9, "wide")).await);
     town.start_agent().await.expect("started");
     town.stop().await;
     let found: i64 = ledger(&*backend).await.values().map(|v| v.0).sum();
@@ -280,9 +284,9 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_agent_that_stops_with_its_gatekeepers_takes_their_last_words_first() {
-    let kept = RecordHarness::sqlite();
-    let mut town = seldom_reported(&kept).await;
-    let backend = kept.open().await;
+    let harness = RecordHarness::sqlite();
+    let mut town = seldom_reported(&harness).await;
+    let backend = harness.open().await;
     // The agent hears of it first: it waits, and the gatekeeper that stops a moment later still finds it.
     town.agent.as_ref().expect("an agent").signal("TERM").await;
     town.gatekeepers[0].process.signal("TERM").await;
--- a/crates/agent/tests/zones.rs
+++ b/crates/agent/tests/zones.rs
@@ -15,7 +15,7 @@
 use frostvale_standin::local_cluster;
 use frostvale_standin::proxy::ProxyMode;
 use frostvale_zones::{AttemptCounts, Decision, Report, ZoneCapacity, ZoneState};
-use record_harness::{plans, until};
+use record_harness::{plans, wait_for};
 use std::time::Duration;
 use tokio::time::sleep;
 
@@ -93,7 +93,7 @@
 
 /// Waits until so many gatekeepers act on one version at least as late as this, and gives it.
 async fn all_act(fleet: &Fleet, agent: usize, version: u64, many: usize) -> u64 {
-    until("all act on it", async || {
+    wait_for("all act on it", async || {
         let said = told(fleet, agent).await?;
         let acts = said.view?.acts;
         let fresh: Vec<&ZoneActs> = acts.iter().filter(|a| a.age_ms < 1000).collect();
@@ -117,7 +117,7 @@
 }
 
 async fn owner_of_zones(fleet: &Fleet, agent: usize) -> usize {
-    until("zones have an owner", async || {
+    wait_for("zones have an owner", async || {
         let all = fleet_harness::duties(fleet, agent).await;
         let name = all.get("zones")?.owner.split('#').next()?.to_string();
         fleet.agents.iter().position(|a| a.name == name)
@@ -169,7 +169,7 @@
     let early = fleet.answered_by_zone(B) - first;
     // A quarter of eight cores at 20 ms a command does 100 a second.
     assert!(early < 60, "{early} commands in 0.6 s came to a cold zone");
-    let back = until("it serves as before", async || {
+    let back = wait_for("it serves as before", async || {
         let now = load.now_ms();
         let (asked, served) = load.served(now.saturating_sub(1500), now.saturating_sub(500), |_| true);
         let near = fleet.answered_by_zone(B);
@@ -200,7 +200,7 @@
     // The zone of the one that owns the duty, with the one that leads: agent, servers and all.
     let lost = owner_of_zones(&fleet, 0).await;
     let zone = fleet.agents[lost].zone;
-    let leads = until("a leader", async || leader(&fleet, lost).await).await;
+    let leads = wait_for("a leader", async || leader(&fleet, lost).await).await;
     let other = (0..3).find(|k| *k != lost && *k != leads).expect("another");
     let epoch = told(&fleet, other).await.expect("told").epoch;
     let lost_ms = load.now_ms();
@@ -361,7 +361,7 @@
     let load = PacedLoad::start(&fleet.cluster, &[80.0], 3);
     let calm = settled(&fleet).await;
     let owner = owner_of_zones(&fleet, 0).await;
-    let leads = until("a leader", async || leader(&fleet, owner).await).await;
+    let leads = wait_for("a leader", async || leader(&fleet, owner).await).await;
     // One that neither owns nor leads is stopped, and a zone that is not its own is lost.
     let deaf = (0..3).find(|k| *k != owner && *k != leads).expect("one more");
     let lost = (0..3).find(|z| *z != fleet.agents[deaf].zone).expect("another");
@@ -480,7 +480,7 @@
     let dead = (0..3).find(|k| *k != 0).expect("another");
     fleet.signal(dead, "STOP").await;
     let at = (0..3).find(|k| *k != dead).expect("another");
-    let said = until("its gatekeepers are not heard of", async || {
+    let said = wait_for("its gatekeepers are not heard of", async || {
         let said = told(&fleet, at).await?;
         let view = said.view.as_ref()?;
         let silent = view.agents.iter().any(|a| a.name == fleet.agents[dead].name && !a.counts);
@@ -664,7 +664,7 @@
         let after = load.served(now - 1500, now - 500, |_| true);
         fleet.restart_servers(zone).await.expect("back");
         let returned = load.now_ms();
-        until("it serves as before", async || {
+        wait_for("it serves as before", async || {
             let said = told(&fleet, 0).await?;
             let d = decision(&said);
             let gone = unix_ms().saturating_sub(said.at_ms);
