--- a/crates/agent/tests/audit.rs
+++ b/crates/agent/tests/audit.rs
@@ -1,10 +1,10 @@
 //! The audit of a fleet over real agents, gatekeepers and a database, with faults between them: what each acts on, who is shut
-//! out and comes back, and a history that gives away whoever touches it.
+//! out and comes back, and a history that gives away whoever effects it.
 
 mod fleet_harness;
 mod record_harness;
 
-use fleet_harness::{LEASE, fleet};
+use fleet_harness::{LEASE_MS, fleet};
 use frostvale_agent::serve::control;
 use frostvale_audit::hash_chain::{ChainError, ChainVerifier};
 use frostvale_audit::replay::Replay;
@@ -33,8 +33,8 @@
 const AUDIT: &str = "[audit]\nreport_ms = 100\nrenew_ms = 200\nhold_ms = 3000\n[audit.ladder]\nstale_ms = 800\ntell_ms = 500\n\
     snapshot_ms = 500\nout_ms = 1000\nunknown_ms = 2000\nback_ms = 300\nanchor_ms = 400\nretry_ms = 700\n";
 
-fn plan(agents: usize, gatekeepers: usize) -> FleetOptions {
-    let base = fleet_harness::plan(agents, gatekeepers);
+fn fleet_options(agents: usize, gatekeepers: usize) -> FleetOptions {
+    let base = fleet_harness::fleet_options(agents, gatekeepers);
     let cluster = local_cluster::ClusterOptions {
         gatekeeper_settings: "[audit]\nreport_ms = 100\n[usage]\nreport_ms = 50\n".into(),
         ..base.cluster.clone()
@@ -153,7 +153,7 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 16)]
 async fn a_change_is_seen_on_all_and_one_that_keeps_the_old_figures_is_given_away() {
-    let mut fleet = fleet(plan(3, 6)).await;
+    let mut fleet = fleet(fleet_options(3, 6)).await;
     set(&fleet, 1, 0).await;
     settled(&fleet, 0).await;
     let first =
@@ -235,7 +235,7 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 16)]
 async fn one_whose_agent_is_dead_is_unknown_then_shut_out_and_the_ceiling_holds() {
-    let mut fleet = fleet(plan(6, 6)).await;
+    let mut fleet = fleet(fleet_options(6, 6)).await;
     settled(&fleet, 0).await;
     // A shop with a ceiling of 20 a second is asked for through all six, far beyond it.
     let (stop, served) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicU64::new(0)));
@@ -297,7 +297,7 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 16)]
 async fn of_two_halves_neither_shuts_the_other_out_and_one_history_goes_on() {
-    let mut fleet = fleet(FleetOptions { voters: 5, ..plan(5, 10) }).await;
+    let mut fleet = fleet(FleetOptions { voters: 5, ..fleet_options(5, 10) }).await;
     settled(&fleet, 0).await;
     let owner = owner_of_audit(&fleet, 0).await;
     let lost: Vec<usize> = (0..5).filter(|k| *k != owner).take(2).collect();
@@ -326,10 +326,10 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 16)]
 async fn an_owner_of_the_audit_that_wakes_up_late_enters_and_decides_nothing() {
-    let mut fleet = fleet(plan(3, 6)).await;
+    let mut fleet = fleet(fleet_options(3, 6)).await;
     settled(&fleet, 0).await;
     let old = owner_of_audit(&fleet, 0).await;
-    let at = (0..3).find(|k| *k != old).expect("another");
+    let at = (0..3).find(|k| *k != old).expect("another one");
     let before = told(&fleet, at).await.expect("told");
     // A row of its is on its way to the record as it is stopped.
     fleet.set_db_mode(old, ProxyMode::HoldUpstream);
@@ -340,10 +340,10 @@
     fleet.signal(old, "STOP").await;
     let next = stands(&fleet, at, "another decides", |t| t.epoch > before.epoch).await;
     fleet.set_db_mode(old, ProxyMode::Forward);
-    sleep(Duration::from_millis(6 * LEASE)).await;
+    sleep(Duration::from_millis(6 * LEASE_MS)).await;
     fleet.signal(old, "CONT").await;
     settled(&fleet, at).await;
-    sleep(Duration::from_millis(2 * LEASE)).await;
+    sleep(Duration::from_millis(2 * LEASE_MS)).await;
     let after = told(&fleet, at).await.expect("told");
     assert!(after.epoch >= next.epoch && after.version >= next.version, "{before:?} {after:?}");
     let (rows, _) = history(&fleet, at).await;
@@ -366,7 +366,7 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 16)]
 async fn a_row_altered_or_removed_a_cut_end_and_a_restored_record_are_named() {
-    let mut fleet = fleet(plan(3, 6)).await;
+    let mut fleet = fleet(fleet_options(3, 6)).await;
     set(&fleet, 1, 0).await;
     settled(&fleet, 0).await;
     let anchored = |t: &AuditResponse| decision(t).anchors.last().map_or(0, |a| a.number);
@@ -406,7 +406,7 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 16)]
 async fn use_is_booked_under_the_revision_that_it_was_decided_by() {
-    let mut fleet = fleet(plan(3, 3)).await;
+    let mut fleet = fleet(fleet_options(3, 3)).await;
     set(&fleet, 1, 0).await;
     settled(&fleet, 0).await;
     let load = Load::start(&fleet.cluster, 6);
@@ -458,7 +458,7 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 16)]
 async fn words_that_cannot_be_and_wishes_that_cannot_hold_are_refused() {
-    let mut fleet = fleet(plan(3, 6)).await;
+    let mut fleet = fleet(fleet_options(3, 6)).await;
     let said = settled(&fleet, 0).await;
     let owner = owner_of_audit(&fleet, 0).await;
     let refused = said.view.as_ref().map_or(0, |v| v.refused);
@@ -542,12 +542,12 @@
 /// holds together.
 async fn faults(seed: u64, count: usize) {
     let (agents, gatekeepers) = (5, 10);
-    let mut fleet = fleet(FleetOptions { voters: 5, ..plan(agents, gatekeepers) }).await;
+    let mut fleet = fleet(FleetOptions { voters: 5, ..fleet_options(agents, gatekeepers) }).await;
     set(&fleet, 1, 0).await;
     settled(&fleet, 0).await;
     let load = Load::start(&fleet.cluster, 5);
     load.wait_for_served(20).await;
-    let schedule = schedule(seed, count, agents, gatekeepers, LEASE);
+    let schedule = schedule(seed, count, agents, gatekeepers, LEASE_MS);
     let told: Vec<String> = schedule.iter().map(Fault::to_string).collect();
     for (k, fault) in schedule.iter().enumerate() {
         apply(&mut fleet, fault).await.unwrap_or_else(|e| panic!("seed {seed}: {fault}: {e}"));
--- a/crates/agent/tests/council.rs
+++ b/crates/agent/tests/council.rs
@@ -4,7 +4,7 @@
 mod fleet_harness;
 mod record_harness;
 
-use fleet_harness::{LEASE, another, fleet, leader, log, owner, plan, settled, sound};
+use fleet_harness::{LEASE_MS, check_effects, fleet, fleet_options, leader, log, next_owner, owner, settled};
 use frostvale_agent::serve::control;
 use frostvale_proto::agent::{CouncilChange, CouncilRequest, CouncilResponse};
 use frostvale_standin::fleet::{Fleet, FleetOptions};
@@ -58,13 +58,13 @@
     let more = |f: &Fleet| f.effects().is_ok_and(|t| t.len() > before + 20);
     fleet.wait_until("the others go on", more).await.expect("they do");
     let name = format!("a{}#", without + 1);
-    let touches = sound(fleet);
-    assert!(touches[before..].iter().all(|t| !t.owner.starts_with(&name)), "{name} does no duty");
+    let effects = check_effects(fleet);
+    assert!(effects[before..].iter().all(|t| !t.owner.starts_with(&name)), "{name} does no duty");
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 32)]
 async fn an_agent_whose_file_is_an_older_copy_does_not_vote_and_no_number_comes_twice() {
-    let mut fleet = fleet(plan(3, 0)).await;
+    let mut fleet = fleet(fleet_options(3, 0)).await;
     settled(&fleet).await;
     end(&mut fleet, 1).await;
     let file = fleet.agents[1].file.clone();
@@ -76,9 +76,9 @@
         let held = fleet.last_effect("drill-0").expect("owned");
         let now = owner(&fleet, "drill-0").await;
         fleet.kill(now).await;
-        another(&fleet, "drill-0", &held).await;
+        next_owner(&fleet, "drill-0", &held).await;
         fleet.start_agent(now).await.expect("started");
-        sleep(Duration::from_millis(2 * LEASE)).await;
+        sleep(Duration::from_millis(2 * LEASE_MS)).await;
     }
     fleet.kill(1).await;
     for part in parts(&file).iter().skip(1).take(2) {
@@ -89,7 +89,7 @@
     let why = problem(&fleet, 1).await;
     assert!(why.contains("older copy") && why.contains("does not vote"), "{why}");
     assert!(log(&fleet, 1).contains("older copy"));
-    sleep(Duration::from_millis(2 * LEASE)).await;
+    sleep(Duration::from_millis(2 * LEASE_MS)).await;
     others_go_on(&fleet, 1).await;
 
     // With its mark gone too, those who have heard of it tell it.
@@ -109,13 +109,13 @@
     let at = fleet.agents[1].at.to_string();
     let said = change(&fleet, 0, CouncilChange { at, ..add("a2") }).await.expect("added");
     assert!(said.contains("3 vote"), "{said}");
-    sound(&fleet);
+    check_effects(&fleet);
     fleet.stop().await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 32)]
 async fn torn_full_or_unwritable_files_end_an_agents_part_and_the_others_go_on() {
-    let mut fleet = fleet(plan(3, 0)).await;
+    let mut fleet = fleet(fleet_options(3, 0)).await;
     settled(&fleet).await;
     end(&mut fleet, 2).await;
     let file = fleet.agents[2].file.clone();
@@ -169,13 +169,13 @@
         status(&fleet, 2).await.filter(|s| s.problem.is_empty() && !s.leader.is_empty())
     })
     .await;
-    sound(&fleet);
+    check_effects(&fleet);
     fleet.stop().await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 32)]
 async fn two_added_at_once_the_leader_removed_and_two_of_five_that_hang() {
-    let mut fleet = fleet(FleetOptions { voters: 3, ..plan(5, 0) }).await;
+    let mut fleet = fleet(FleetOptions { voters: 3, ..fleet_options(5, 0) }).await;
     settled(&fleet).await;
     for k in [3, 4] {
         wait_for("it follows", async || status(&fleet, k).await.filter(|s| s.state == "learner")).await;
@@ -196,17 +196,17 @@
 
     // Two of five hang: duties go on at the other three.
     let leads = wait_for("a leader", async || leader(&fleet, 0).await).await;
-    let other = (0..5).find(|k| *k != leads).expect("another");
+    let other = (0..5).find(|k| *k != leads).expect("another one");
     for k in [leads, other] {
         fleet.signal(k, "STOP").await;
     }
-    sleep(Duration::from_millis(4 * LEASE)).await;
+    sleep(Duration::from_millis(4 * LEASE_MS)).await;
     let before = fleet.effects().expect("read").len();
     let more = |f: &Fleet| f.effects().is_ok_and(|t| t.len() > before + 20);
     fleet.wait_until("three of five go on", more).await.expect("they do");
     let hung = [leads, other].map(|k| format!("a{}#", k + 1));
-    let touches = sound(&fleet);
-    assert!(touches[before..].iter().all(|t| hung.iter().all(|h| !t.owner.starts_with(h.as_str()))));
+    let effects = check_effects(&fleet);
+    assert!(effects[before..].iter().all(|t| hung.iter().all(|h| !t.owner.starts_with(h.as_str()))));
     for k in [leads, other] {
         fleet.signal(k, "CONT").await;
     }
@@ -214,7 +214,7 @@
     // The leader is removed, by way of another: the rest choose one, and no number comes twice.
     let leads = wait_for("a leader", async || leader(&fleet, (leads + 1) % 5).await).await;
     let name = fleet.agents[leads].name.clone();
-    let by = (0..5).find(|k| *k != leads).expect("another");
+    let by = (0..5).find(|k| *k != leads).expect("another one");
     let done = change(&fleet, by, remove(&name)).await;
     assert!(done.as_ref().is_ok_and(|s| s.contains("is no member")) || done.is_err(), "{done:?}");
     wait_for("four vote", async || (votes(&fleet, by).await == 4).then_some(())).await;
@@ -222,6 +222,6 @@
     let before = fleet.effects().expect("read").len();
     let more = |f: &Fleet| f.effects().is_ok_and(|t| t.len() > before + 20);
     fleet.wait_until("the others go on", more).await.expect("they do");
-    sound(&fleet);
+    check_effects(&fleet);
     fleet.stop().await;
 }
--- a/crates/agent/tests/fleet_harness/agent_limit.rs
+++ b/crates/agent/tests/fleet_harness/agent_limit.rs
@@ -1,41 +1,47 @@
-//! How many agents the tests of one program run at once. Leases here last 600 ms: agents of other tests that take the processor
-//! for so long would end them, and three owners lost in a row have a duty set aside until somebody lets it go on.
+//! Limits the number of agents that the tests of one program run at once. Leases in these tests last 600 ms:
+//! agents of other tests that keep the processor busy for that long would let them expire, and a duty that
+//! loses three owners in a row is set aside until an operator resumes it.
 
 use std::cell::RefCell;
 use std::sync::{Condvar, Mutex};
 use std::thread::available_parallelism;
 
-/// So many for each core.
-const AGENTS_A_CORE: usize = 2;
+/// Agents allowed per processor core.
+const MAX_AGENTS_PER_CORE: usize = 2;
 
-static OUT: Mutex<usize> = Mutex::new(0);
-static LESS: Condvar = Condvar::new();
+/// Agents that running tests hold at present.
+static RUNNING_AGENTS: Mutex<usize> = Mutex::new(0);
+/// Notified when a test gives agents back.
+static AGENTS_RELEASED: Condvar = Condvar::new();
 
-/// What the test on this thread has taken; given back when its thread ends.
-struct Turn(usize);
+/// The number of agents that the test of this thread holds; given back when the thread ends.
+struct Permit(usize);
 
-impl Drop for Turn {
+impl Drop for Permit {
     fn drop(&mut self) {
-        if let Ok(mut out) = OUT.lock() {
-            *out -= self.0;
+        if let Ok(mut running) = RUNNING_AGENTS.lock() {
+            *running -= self.0;
         }
-        LESS.notify_all();
+        AGENTS_RELEASED.notify_all();
     }
 }
 
 thread_local! {
-    static TURN: RefCell<Option<Turn>> = const { RefCell::new(None) };
+    static PERMIT: RefCell<Option<Permit>> = const { RefCell::new(None) };
 }
 
-/// Waits until so many more may run, or none does. Each test has a thread and a runtime of its own, which it holds up alone.
-pub fn take(agents: usize) {
-    let most = AGENTS_A_CORE * available_parallelism().map_or(1, usize::from);
-    TURN.with(|turn| {
-        // One that starts another fleet has done with its last.
-        turn.take();
-        let out = OUT.lock().expect("whole");
-        let mut out = LESS.wait_while(out, |out| *out > 0 && *out + agents > most).expect("whole");
-        *out += agents;
-        turn.replace(Some(Turn(agents)));
+/// Blocks until this many more agents may run, or until none runs, and takes them. Each test has its own
+/// thread and runtime, so that it blocks no other test.
+pub fn acquire(agents: usize) {
+    let max_agents = MAX_AGENTS_PER_CORE * available_parallelism().map_or(1, usize::from);
+    PERMIT.with(|permit| {
+        // A test that starts another fleet no longer uses its former one.
+        permit.take();
+        let running = RUNNING_AGENTS.lock().expect("whole");
+        let mut running = AGENTS_RELEASED
+            .wait_while(running, |running| *running > 0 && *running + agents > max_agents)
+            .expect("whole");
+        *running += agents;
+        permit.replace(Some(Permit(agents)));
     });
 }
--- a/crates/agent/tests/fleet_harness/mod.rs
+++ b/crates/agent/tests/fleet_harness/mod.rs
@@ -1,6 +1,6 @@
-//! A fleet of processes and what tests ask of it.
+//! Test harness: fleets of agents and gatekeepers, and queries of their state.
 
-#![allow(dead_code, reason = "each test uses a part of it")]
+#![allow(dead_code, reason = "each test program uses a part of it")]
 
 pub mod agent_limit;
 
@@ -15,12 +15,14 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-pub const LEASE: u64 = 600;
+/// The lease of a duty's owner in these tests.
+pub const LEASE_MS: u64 = 600;
 
-pub fn plan(agents: usize, gatekeepers: usize) -> FleetOptions {
+/// Options of a fleet in which every agent votes.
+pub fn fleet_options(agents: usize, gatekeepers: usize) -> FleetOptions {
     let formula =
         ServerOptions { cores: 8, work: Duration::from_millis(2), queue: 1000, ..ServerOptions::default() };
-    // FLEET_FOLDER keeps the logs of a test that is run alone.
+    // FLEET_FOLDER names a folder in which the logs are kept; for a test that is run alone.
     let folder = std::env::var_os("FLEET_FOLDER").map(Into::into);
     FleetOptions {
         cluster: local_cluster::ClusterOptions {
@@ -33,69 +35,73 @@
         },
         agents,
         voters: agents,
-        lease_ms: LEASE,
+        lease_ms: LEASE_MS,
         ..FleetOptions::default()
     }
 }
 
-pub async fn fleet(plan: FleetOptions) -> Fleet {
-    agent_limit::take(plan.agents);
-    Fleet::start(plan).await.expect("started")
+/// Starts a fleet, once the limit of agents allows it.
+pub async fn fleet(options: FleetOptions) -> Fleet {
+    agent_limit::acquire(options.agents);
+    Fleet::start(options).await.expect("started")
 }
 
-/// The owner of a duty, once there is one.
+/// Waits until a duty has an owner and returns that agent's index.
 pub async fn owner(fleet: &Fleet, duty: &str) -> usize {
-    fleet.wait_until("it has an owner", |f| f.owner(duty).is_some()).await.expect("owned");
+    fleet.wait_until("the duty has an owner", |f| f.owner(duty).is_some()).await.expect("owned");
     fleet.owner(duty).expect("owned")
 }
 
-/// Waits until duties are dealt out and stay where they are.
+/// Waits until the duties have owners and none has changed its owner for three leases.
 pub async fn settled(fleet: &Fleet) {
     owner(fleet, "drill-0").await;
-    let mut last = fleet.effects().expect("read").iter().map(|t| t.epoch).max();
+    let mut last_epoch = fleet.effects().expect("read").iter().map(|e| e.epoch).max();
     loop {
-        sleep(Duration::from_millis(3 * LEASE)).await;
-        let now = fleet.effects().expect("read").iter().map(|t| t.epoch).max();
-        if std::mem::replace(&mut last, now) == now {
+        sleep(Duration::from_millis(3 * LEASE_MS)).await;
+        let newest_epoch = fleet.effects().expect("read").iter().map(|e| e.epoch).max();
+        if std::mem::replace(&mut last_epoch, newest_epoch) == newest_epoch {
             return;
         }
     }
 }
 
-/// Waits until a duty is another's than this agent's life, and gives that effect.
-pub async fn another(fleet: &Fleet, duty: &str, than: &Effect) -> Effect {
-    let other = |f: &Fleet| f.last_effect(duty).filter(|t| t.owner != than.owner && t.epoch > than.epoch);
-    fleet.wait_until("another owns it", |f| other(f).is_some()).await.expect("another");
-    other(fleet).expect("another")
+/// Waits until another owner, or another incarnation of the same agent, has done a step of the duty after
+/// this effect; returns its last effect.
+pub async fn next_owner(fleet: &Fleet, duty: &str, former: &Effect) -> Effect {
+    let other = |f: &Fleet| f.last_effect(duty).filter(|e| e.owner != former.owner && e.epoch > former.epoch);
+    fleet.wait_until("another agent owns the duty", |f| other(f).is_some()).await.expect("another owner");
+    other(fleet).expect("another owner")
 }
 
-/// Whatever was done: what must hold of all effects.
-pub fn sound(fleet: &Fleet) -> Vec<Effect> {
-    let touches = fleet.effects().expect("read");
+/// Checks what must hold for all effects whatever faults occurred: epochs never go back, each epoch has one
+/// owner, and owners do not overlap. Returns the effects.
+pub fn check_effects(fleet: &Fleet) -> Vec<Effect> {
+    let effects = fleet.effects().expect("read");
     for check in [epochs_in_order, epochs_once, no_overlap] {
-        check(&touches).expect("sound");
+        check(&effects).expect("sound");
     }
-    touches
+    effects
 }
 
+/// Returns the duties as an agent reports them, by name; empty if the agent does not answer.
 pub async fn duties(fleet: &Fleet, agent: usize) -> BTreeMap<String, Duty> {
     let Ok(mut client) = control(&fleet.agents[agent].control).await else { return BTreeMap::new() };
-    let asked = DutiesRequest { duty: String::new(), history: false };
-    let said = client.duties(asked).await.map(|d| d.into_inner().duties).unwrap_or_default();
-    said.into_iter().map(|d| (d.name.clone(), d)).collect()
+    let request = DutiesRequest { duty: String::new(), history: false };
+    let duties = client.duties(request).await.map(|d| d.into_inner().duties).unwrap_or_default();
+    duties.into_iter().map(|d| (d.name.clone(), d)).collect()
 }
 
-/// What each agent says of the council and of the duties, for a test that failed.
-pub async fn as_seen(fleet: &Fleet) -> String {
+/// Describes the council and the duties as each agent reports them, for the message of a failed assertion.
+pub async fn describe(fleet: &Fleet) -> String {
     let mut all = String::new();
     for agent in &fleet.agents {
         let Ok(mut client) = control(&agent.control).await else {
-            all.push_str(&format!("{} is not there; ", agent.name));
+            all.push_str(&format!("{} does not answer; ", agent.name));
             continue;
         };
         let council = client.council(CouncilRequest {}).await.map(tonic::Response::into_inner);
-        let asked = DutiesRequest { duty: String::new(), history: false };
-        let duties = client.duties(asked).await.map(|d| d.into_inner().duties);
+        let request = DutiesRequest { duty: String::new(), history: false };
+        let duties = client.duties(request).await.map(|d| d.into_inner().duties);
         let duties: Vec<String> = duties
             .unwrap_or_default()
             .iter()
@@ -108,13 +114,14 @@
     all
 }
 
-/// The agent that leads the council, as this one knows.
+/// Returns the agent that leads the council according to this agent, if any.
 pub async fn leader(fleet: &Fleet, agent: usize) -> Option<usize> {
     let mut client = control(&fleet.agents[agent].control).await.ok()?;
-    let said = client.council(CouncilRequest {}).await.ok()?.into_inner();
-    fleet.agents.iter().position(|a| a.name == said.leader)
+    let council = client.council(CouncilRequest {}).await.ok()?.into_inner();
+    fleet.agents.iter().position(|a| a.name == council.leader)
 }
 
+/// Returns the log of an agent so far.
 pub fn log(fleet: &Fleet, agent: usize) -> String {
     std::fs::read_to_string(fleet.cluster.folder.join(format!("a{}.log", agent + 1))).unwrap_or_default()
 }
--- a/crates/agent/tests/owner.rs
+++ b/crates/agent/tests/owner.rs
@@ -4,7 +4,9 @@
 mod fleet_harness;
 mod record_harness;
 
-use fleet_harness::{LEASE, another, as_seen, duties, fleet, leader, log, owner, plan, settled, sound};
+use fleet_harness::{
+    LEASE_MS, check_effects, describe, duties, fleet, fleet_options, leader, log, next_owner, owner, settled,
+};
 use frostvale_agent::serve::control;
 use frostvale_proto::agent::{DutyChange, duty_change::What};
 use frostvale_record::model::{Change, Plan as KeptPlan};
@@ -31,16 +33,16 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 32)]
 async fn an_owner_that_is_stopped_for_ten_leases_lands_nothing_when_it_goes_on() {
-    let mut fleet = fleet(plan(3, 3)).await;
+    let mut fleet = fleet(fleet_options(3, 3)).await;
     let old = owner(&fleet, "drill-0").await;
     let held = fleet.last_effect("drill-0").expect("owned");
     // A step is on its way as it is stopped: it arrives once another has taken over.
     fleet.set_db_mode(old, ProxyMode::HoldUpstream);
     sleep(Duration::from_millis(100)).await;
     fleet.signal(old, "STOP").await;
-    let next = another(&fleet, "drill-0", &held).await;
+    let next = next_owner(&fleet, "drill-0", &held).await;
     fleet.set_db_mode(old, ProxyMode::Forward);
-    sleep(Duration::from_millis(10 * LEASE)).await;
+    sleep(Duration::from_millis(10 * LEASE_MS)).await;
     let before = fleet.effects().expect("read").len();
     fleet.signal(old, "CONT").await;
     let process = fleet.agents[old].process.as_mut().expect("it runs");
@@ -49,25 +51,26 @@
         .wait_until("others go on", |f| f.effects().is_ok_and(|t| t.len() > before + 20))
         .await
         .expect("they do");
-    let touches = sound(&fleet);
-    let late = touches.iter().skip(before).filter(|t| t.owner == held.owner).count();
+    let effects = check_effects(&fleet);
+    let late = effects.iter().skip(before).filter(|t| t.owner == held.owner).count();
     assert_eq!(late, 0, "nothing of its former life lands");
-    assert!(owners(&touches, "drill-0").contains(&(next.epoch, next.owner)));
+    assert!(owners(&effects, "drill-0").contains(&(next.epoch, next.owner)));
     fleet.stop().await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 32)]
 async fn cut_off_from_the_council_it_stops_and_cut_off_from_the_record_it_stays() {
-    let mut fleet = fleet(plan(3, 0)).await;
+    let mut fleet = fleet(fleet_options(3, 0)).await;
     // From the record alone: nobody else takes over, and it goes on where it was.
     settled(&fleet).await;
     let old = owner(&fleet, "drill-1").await;
     let held = fleet.last_effect("drill-1").expect("owned");
     fleet.set_db_mode(old, ProxyMode::Hold);
-    sleep(Duration::from_millis(4 * LEASE)).await;
+    sleep(Duration::from_millis(4 * LEASE_MS)).await;
     fleet.set_db_mode(old, ProxyMode::Forward);
     let again = |f: &Fleet| {
-        f.effects().is_ok_and(|t| t.iter().any(|t| t.duty == "drill-1" && t.at_ms > held.at_ms + 4 * LEASE))
+        f.effects()
+            .is_ok_and(|t| t.iter().any(|t| t.duty == "drill-1" && t.at_ms > held.at_ms + 4 * LEASE_MS))
     };
     fleet.wait_until("it goes on", again).await.expect("it does");
     let now = fleet.last_effect("drill-1").expect("owned");
@@ -77,18 +80,18 @@
         let old = owner(&fleet, "drill-1").await;
         let held = fleet.last_effect("drill-1").expect("owned");
         fleet.set_council_links(old, sends, is_sent);
-        another(&fleet, "drill-1", &held).await;
+        next_owner(&fleet, "drill-1", &held).await;
         fleet.set_council_links(old, true, true);
-        sleep(Duration::from_millis(LEASE)).await;
+        sleep(Duration::from_millis(LEASE_MS)).await;
     }
     assert!((0..3).any(|k| log(&fleet, k).contains("lease ran out by its own clock")));
-    sound(&fleet);
+    check_effects(&fleet);
     fleet.stop().await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 32)]
 async fn leader_and_owner_killed_at_once_and_then_all_of_them() {
-    let mut fleet = fleet(plan(3, 0)).await;
+    let mut fleet = fleet(fleet_options(3, 0)).await;
     let old = owner(&fleet, "drill-0").await;
     let held = fleet.last_effect("drill-0").expect("owned");
     let leads = wait_for("a leader", async || leader(&fleet, old).await).await;
@@ -97,13 +100,13 @@
         fleet.kill(leads).await;
         // One is left: it promises nothing.
         let before = fleet.effects().expect("read").len();
-        sleep(Duration::from_millis(4 * LEASE)).await;
+        sleep(Duration::from_millis(4 * LEASE_MS)).await;
         let after = fleet.effects().expect("read");
         let owners: Vec<&str> = after[before..].iter().map(|t| t.duty.as_str()).collect();
         assert!(owners.len() < 40, "it ends what it had within its lease: {owners:?}");
         fleet.start_agent(leads).await.expect("started");
     }
-    let next = another(&fleet, "drill-0", &held).await;
+    let next = next_owner(&fleet, "drill-0", &held).await;
     fleet.start_agent(old).await.expect("started");
     for k in 0..3 {
         fleet.kill(k).await;
@@ -112,25 +115,25 @@
     for k in [2, 0, 1] {
         fleet.start_agent(k).await.expect("started");
     }
-    let after = another(&fleet, "drill-0", &next).await;
+    let after = next_owner(&fleet, "drill-0", &next).await;
     assert!(after.epoch > highest, "no number comes again: {after:?} after {highest}");
-    sound(&fleet);
+    check_effects(&fleet);
     fleet.stop().await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 32)]
 async fn without_a_majority_traffic_goes_on_and_no_duty_runs() {
-    let mut fleet = fleet(plan(3, 3)).await;
+    let mut fleet = fleet(fleet_options(3, 3)).await;
     owner(&fleet, "drill-0").await;
     let load = Load::start(&fleet.cluster, 4);
     load.wait_for_served(50).await;
     for k in 0..2 {
         fleet.signal(k, "STOP").await;
     }
-    sleep(Duration::from_millis(2 * LEASE)).await;
+    sleep(Duration::from_millis(2 * LEASE_MS)).await;
     let before = fleet.effects().expect("read").len();
     load.wait_for_served(200).await;
-    sleep(Duration::from_millis(4 * LEASE)).await;
+    sleep(Duration::from_millis(4 * LEASE_MS)).await;
     load.wait_for_served(200).await;
     assert_eq!(fleet.effects().expect("read").len(), before, "nothing is done for the fleet");
     for k in 0..2 {
@@ -141,7 +144,7 @@
         .await
         .expect("they do");
     load.stop().await;
-    sound(&fleet);
+    check_effects(&fleet);
     fleet.stop().await;
 }
 
@@ -153,7 +156,7 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 32)]
 async fn a_gatekeeper_that_restarts_does_not_believe_the_old_owner_that_reaches_it_first() {
-    let mut fleet = fleet(plan(3, 3)).await;
+    let mut fleet = fleet(fleet_options(3, 3)).await;
     let record = backend(&fleet).await;
     record.run(set(1, "one", 0)).await.expect("set");
     for g in &mut fleet.cluster.gatekeepers {
@@ -163,7 +166,7 @@
     let held = fleet.last_effect("publish").expect("owned");
     let mine = fleet.gatekeepers_of(old)[0];
     fleet.signal(old, "STOP").await;
-    another(&fleet, "publish", &held).await;
+    next_owner(&fleet, "publish", &held).await;
     record.run(set(2, "two", 1)).await.expect("set");
     for k in (0..3).filter(|k| *k != mine) {
         let process = &mut fleet.cluster.gatekeepers[k].process;
@@ -181,13 +184,13 @@
     let process = &mut fleet.cluster.gatekeepers[mine].process;
     process.wait_for_log("the plans of revision 2 are in effect").await.expect("brought up");
     assert!(process.log().iter().all(|l| !l.contains("revision 1 are in effect")), "{:?}", process.log());
-    sound(&fleet);
+    check_effects(&fleet);
     fleet.stop().await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 32)]
 async fn a_plan_that_is_set_for_later_leaves_what_is_in_effect() {
-    let mut fleet = fleet(plan(3, 3)).await;
+    let mut fleet = fleet(fleet_options(3, 3)).await;
     let record = backend(&fleet).await;
     record.run(set(1, "one", 0)).await.expect("set");
     for g in &mut fleet.cluster.gatekeepers {
@@ -210,15 +213,15 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 32)]
 async fn a_database_without_the_last_second_gives_no_epoch_out_twice() {
-    let mut fleet = fleet(plan(3, 0)).await;
+    let mut fleet = fleet(fleet_options(3, 0)).await;
     let old = owner(&fleet, "drill-0").await;
     let held = fleet.last_effect("drill-0").expect("owned");
     let copy = fleet.copy_db().expect("copied");
     // What happens from here on is lost with the database.
     fleet.kill(old).await;
-    another(&fleet, "drill-0", &held).await;
+    next_owner(&fleet, "drill-0", &held).await;
     fleet.start_agent(old).await.expect("started");
-    sleep(Duration::from_millis(LEASE)).await;
+    sleep(Duration::from_millis(LEASE_MS)).await;
     let lost = fleet.effects().expect("read").iter().map(|t| t.epoch).max().expect("some");
     assert!(lost > held.epoch);
     fleet.kill_db().await;
@@ -229,9 +232,9 @@
     let now = owner(&fleet, "drill-0").await;
     fleet.kill(now).await;
     let seen = fleet.last_effect("drill-0").expect("owned");
-    let next = another(&fleet, "drill-0", &seen).await;
+    let next = next_owner(&fleet, "drill-0", &seen).await;
     assert!(next.epoch > lost, "{next:?}; {lost} was given out, and forgotten by the database");
-    sound(&fleet);
+    check_effects(&fleet);
     fleet.start_agent(now).await.expect("started");
     fleet.stop().await;
 }
@@ -243,30 +246,30 @@
         (1, "clock_rate_milli = 950".to_string()),
         (2, "clock_ahead_ms = -90000\nclock_jump_after_ms = 1500\nclock_jump_ms = -60000".to_string()),
     ]);
-    let mut fleet = fleet(FleetOptions { drill_settings: clocks, ..plan(3, 0) }).await;
+    let mut fleet = fleet(FleetOptions { drill_settings: clocks, ..fleet_options(3, 0) }).await;
     settled(&fleet).await;
     let steady = owner(&fleet, "drill-0").await;
     let held = fleet.last_effect("drill-0").expect("owned");
-    sleep(Duration::from_millis(4 * LEASE)).await;
+    sleep(Duration::from_millis(4 * LEASE_MS)).await;
     assert_eq!(fleet.last_effect("drill-0").map(|t| t.epoch), Some(held.epoch), "a jump moves nothing");
     for _ in 0..3 {
         let old = owner(&fleet, "drill-0").await;
         let held = fleet.last_effect("drill-0").expect("owned");
         fleet.signal(old, "STOP").await;
-        another(&fleet, "drill-0", &held).await;
+        next_owner(&fleet, "drill-0", &held).await;
         fleet.signal(old, "CONT").await;
-        sleep(Duration::from_millis(LEASE)).await;
+        sleep(Duration::from_millis(LEASE_MS)).await;
     }
-    sound(&fleet);
+    check_effects(&fleet);
     assert!(steady < 3);
     fleet.stop().await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 32)]
 async fn a_duty_that_crashes_is_set_aside_and_one_that_is_slow_keeps_its_owner() {
-    let slow = format!("crashes = 1\nstep_ms = {}", 5 * LEASE / 2);
+    let slow = format!("crashes = 1\nstep_ms = {}", 5 * LEASE_MS / 2);
     let extra = (0..3).map(|k| (k, slow.clone())).collect();
-    let mut fleet = fleet(FleetOptions { drill_settings: extra, ..plan(3, 0) }).await;
+    let mut fleet = fleet(FleetOptions { drill_settings: extra, ..fleet_options(3, 0) }).await;
     let aside = wait_for("set aside", async || {
         let all = duties(&fleet, 0).await;
         all.get("drill-1").filter(|d| d.state == "set aside").cloned()
@@ -280,8 +283,8 @@
         })
         .await
         .expect("it has");
-    let touches = sound(&fleet);
-    assert_eq!(owners(&touches, "drill-0").len(), 1, "a step longer than a lease costs it nothing");
+    let effects = check_effects(&fleet);
+    assert_eq!(owners(&effects, "drill-0").len(), 1, "a step longer than a lease costs it nothing");
     let mut client = control(&fleet.agents[0].control).await.expect("an agent");
     let resume = DutyChange {
         what: What::Resume.into(),
@@ -301,26 +304,26 @@
 /// Seeds 4010 and 4015 of the long schedules: owners killed by others before they told of a step, three in a row.
 #[tokio::test(flavor = "multi_thread", worker_threads = 32)]
 async fn owners_killed_by_others_leave_a_duty_running_and_one_that_kills_them_is_set_aside() {
-    let mut fleet = fleet(plan(3, 0)).await;
+    let mut fleet = fleet(fleet_options(3, 0)).await;
     owner(&fleet, "drill-0").await;
     let mut held = fleet.last_effect("drill-0").expect("owned");
     for _ in 0..4 {
         let now = owner(&fleet, "drill-0").await;
         fleet.kill(now).await;
-        held = another(&fleet, "drill-0", &held).await;
+        held = next_owner(&fleet, "drill-0", &held).await;
         fleet.start_agent(now).await.expect("started");
     }
     let all = duties(&fleet, 0).await;
     assert!(all.values().all(|d| d.state != "set aside"), "{all:?}");
-    sound(&fleet);
+    check_effects(&fleet);
     fleet.stop().await;
 
     // Each process that begins a step of it dies at once, and is started again as by its supervisor.
     let extra = (0..3).map(|k| (k, "aborts = 1".to_string())).collect();
-    let mut fleet = fleet_harness::fleet(FleetOptions { drill_settings: extra, ..plan(3, 0) }).await;
+    let mut fleet = fleet_harness::fleet(FleetOptions { drill_settings: extra, ..fleet_options(3, 0) }).await;
     let until_ms = unix_ms() + 60_000;
     loop {
-        assert!(unix_ms() < until_ms, "never set aside: {}", as_seen(&fleet).await);
+        assert!(unix_ms() < until_ms, "never set aside: {}", describe(&fleet).await);
         for k in 0..3 {
             let dead = fleet.agents[k].process.as_mut().is_none_or(|p| p.has_ended().is_some());
             if dead {
@@ -352,7 +355,7 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 32)]
 async fn a_move_is_in_order_a_pause_stops_and_an_end_hands_over() {
-    let mut fleet = fleet(plan(3, 0)).await;
+    let mut fleet = fleet(fleet_options(3, 0)).await;
     owner(&fleet, "drill-2").await;
     let change = async |fleet: &Fleet, what: What, to: &str| {
         let mut client = control(&fleet.agents[0].control).await.expect("an agent");
@@ -377,7 +380,7 @@
     .await;
     sleep(Duration::from_millis(300)).await;
     let before = fleet.last_effect("drill-2");
-    sleep(Duration::from_millis(2 * LEASE)).await;
+    sleep(Duration::from_millis(2 * LEASE_MS)).await;
     assert_eq!(fleet.last_effect("drill-2"), before, "a paused duty does nothing");
     change(&fleet, What::Resume, "").await.expect("resumed");
     // An agent that ends in order hands over: nobody waits for silence.
@@ -385,23 +388,23 @@
     let held = fleet.last_effect("drill-0").expect("owned");
     let mut process = fleet.agents[old].process.take().expect("it runs");
     process.signal("TERM").await;
-    let next = another(&fleet, "drill-0", &held).await;
-    assert!(next.at_ms - fleet_last(&fleet, &held) < LEASE, "{next:?} after {held:?}");
+    let next = next_owner(&fleet, "drill-0", &held).await;
+    assert!(next.at_ms - fleet_last(&fleet, &held) < LEASE_MS, "{next:?} after {held:?}");
     assert!(process.wait().await.is_some_and(|s| s.success()));
-    sound(&fleet);
+    check_effects(&fleet);
     fleet.stop().await;
 }
 
 /// When the last effect of an owner landed.
 fn fleet_last(fleet: &Fleet, of: &Effect) -> u64 {
-    let touches = fleet.effects().expect("read");
-    let mine = touches.iter().filter(|t| t.duty == of.duty && t.epoch == of.epoch);
+    let effects = fleet.effects().expect("read");
+    let mine = effects.iter().filter(|t| t.duty == of.duty && t.epoch == of.epoch);
     mine.map(|t| t.at_ms).max().unwrap_or(0)
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 32)]
 async fn a_thousand_duties_are_spread_and_taken_over() {
-    let plan = FleetOptions { record: false, drills: 1000, pause_ms: 5000, ..plan(3, 0) };
+    let plan = FleetOptions { record: false, drills: 1000, pause_ms: 5000, ..fleet_options(3, 0) };
     let mut fleet = fleet(plan).await;
     let owned = async |fleet: &Fleet, agent: usize| {
         let all = duties(fleet, agent).await;
@@ -426,10 +429,11 @@
     let day = "clock_ahead_ms = 172800000".to_string();
     let extra = (0..agents).map(|k| (k, day.clone())).collect();
     let mut fleet =
-        fleet(FleetOptions { export: true, drill_settings: extra, ..plan(agents, gatekeepers) }).await;
+        fleet(FleetOptions { export: true, drill_settings: extra, ..fleet_options(agents, gatekeepers) })
+            .await;
     let load = Load::start(&fleet.cluster, 4);
     load.wait_for_served(20).await;
-    let schedule = schedule(seed, count, agents, 0, LEASE);
+    let schedule = schedule(seed, count, agents, 0, LEASE_MS);
     for fault in &schedule {
         apply(&mut fleet, fault).await.unwrap_or_else(|e| panic!("seed {seed}: {fault}: {e}"));
     }
@@ -438,14 +442,14 @@
     let all = ["drill-0", "drill-1", "drill-2", "roll-up", "export"];
     let back = |f: &Fleet| all.iter().all(|d| f.last_effect(d).is_some_and(|t| t.at_ms > quiet_ms));
     if let Err(e) = fleet.wait_until("every duty is done again", back).await {
-        panic!("seed {seed}: {e}; {}", as_seen(&fleet).await);
+        panic!("seed {seed}: {e}; {}", describe(&fleet).await);
     }
     let took = all.iter().filter_map(|d| {
-        let touches = fleet.effects().ok()?;
-        touches.iter().find(|t| t.duty == *d && t.at_ms > quiet_ms).map(|t| t.at_ms - quiet_ms)
+        let effects = fleet.effects().ok()?;
+        effects.iter().find(|t| t.duty == *d && t.at_ms > quiet_ms).map(|t| t.at_ms - quiet_ms)
     });
     let took = took.max().unwrap_or(0);
-    assert!(took < 10 * LEASE + 5000, "seed {seed}: {took} ms without an owner");
+    assert!(took < 10 * LEASE_MS + 5000, "seed {seed}: {took} ms without an owner");
     load.stop().await;
     // Everything booked is in the record, in the days and in the export, once.
     let record = backend(&fleet).await;
@@ -469,9 +473,9 @@
         (rolled == passed && out == passed && read.missing.is_none()).then_some(())
     })
     .await;
-    let touches = sound(&fleet);
-    let gap = longest_gap(&touches, "drill-0", unix_ms());
-    println!("seed {seed}: back in {took} ms, longest gap {gap} ms, {} effects", touches.len());
+    let effects = check_effects(&fleet);
+    let gap = longest_gap(&effects, "drill-0", unix_ms());
+    println!("seed {seed}: back in {took} ms, longest gap {gap} ms, {} effects", effects.len());
     fleet.stop().await;
 }
 
@@ -520,7 +524,7 @@
 
 /// From a signal to the next owner's first effect, so many times.
 async fn taken_over(signal: &str, rounds: usize) -> Vec<u64> {
-    let mut fleet = fleet(FleetOptions { lease_ms: LONG_LEASE, drills: 1, ..plan(3, 0) }).await;
+    let mut fleet = fleet(FleetOptions { lease_ms: LONG_LEASE, drills: 1, ..fleet_options(3, 0) }).await;
     let mut all = Vec::new();
     for _ in 0..rounds {
         sleep(Duration::from_millis(LONG_LEASE)).await;
@@ -528,10 +532,10 @@
         let held = fleet.last_effect("drill-0").expect("owned");
         let from = unix_ms();
         fleet.signal(old, signal).await;
-        let next = another(&fleet, "drill-0", &held).await;
-        let touches = fleet.effects().expect("read");
+        let next = next_owner(&fleet, "drill-0", &held).await;
+        let effects = fleet.effects().expect("read");
         let first =
-            touches.iter().find(|t| t.epoch == next.epoch && t.duty == "drill-0").map_or(0, |t| t.at_ms);
+            effects.iter().find(|t| t.epoch == next.epoch && t.duty == "drill-0").map_or(0, |t| t.at_ms);
         all.push(first.saturating_sub(from));
         if signal == "KILL" {
             fleet.kill(old).await;
@@ -540,7 +544,7 @@
             fleet.signal(old, "CONT").await;
         }
     }
-    sound(&fleet);
+    check_effects(&fleet);
     fleet.stop().await;
     all
 }
@@ -561,7 +565,8 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 32)]
 #[ignore = "figures, dated in docs/owner.md"]
 async fn figures_of_moves() {
-    let mut fleet = fleet(FleetOptions { lease_ms: LONG_LEASE, drills: 1, pause_ms: 5, ..plan(3, 0) }).await;
+    let mut fleet =
+        fleet(FleetOptions { lease_ms: LONG_LEASE, drills: 1, pause_ms: 5, ..fleet_options(3, 0) }).await;
     settled(&fleet).await;
     let mut all = Vec::new();
     for round in 0..50 {
@@ -573,7 +578,7 @@
         let mut client = control(&fleet.agents[0].control).await.expect("an agent");
         let (duty, by, why) = ("drill-0".into(), "ana".into(), "a figure".into());
         client.change_duty(DutyChange { what: What::Move.into(), duty, to, by, why }).await.expect("moved");
-        let next = another(&fleet, "drill-0", &held).await;
+        let next = next_owner(&fleet, "drill-0", &held).await;
         let first =
             fleet.effects().expect("read").iter().find(|t| t.epoch == next.epoch).map_or(0, |t| t.at_ms);
         all.push(first.saturating_sub(fleet_last(&fleet, &held)));
@@ -587,7 +592,13 @@
 #[ignore = "figures, dated in docs/owner.md"]
 async fn figures_of_rest() {
     for (agents, voters) in [(3, 3), (5, 5), (50, 5)] {
-        let plan = FleetOptions { lease_ms: LONG_LEASE, voters, record: false, drills: 0, ..plan(agents, 0) };
+        let plan = FleetOptions {
+            lease_ms: LONG_LEASE,
+            voters,
+            record: false,
+            drills: 0,
+            ..fleet_options(agents, 0)
+        };
         let mut fleet = fleet(plan).await;
         sleep(Duration::from_secs(5)).await;
         let cpu = |f: &Fleet| {
@@ -644,7 +655,7 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 32)]
 #[ignore = "figures, dated in docs/owner.md"]
 async fn figures_of_requests() {
-    let mut fleet = fleet(FleetOptions { lease_ms: 1000, ..plan(3, 3) }).await;
+    let mut fleet = fleet(FleetOptions { lease_ms: 1000, ..fleet_options(3, 3) }).await;
     settled(&fleet).await;
     let (mut quiet, mut changing) = (Vec::new(), Vec::new());
     for _ in 0..3 {
--- a/crates/agent/tests/zones.rs
+++ b/crates/agent/tests/zones.rs
@@ -28,7 +28,7 @@
     stale_ms = 1000\nslots_milli = 4000\nwarm_ms = 4000\nramp_ms = 2000\nhold_ms = 1000\nleast_ms = 2000\ndrain_ms = 2000\n";
 
 /// Three zones, each with an agent that votes, two gatekeepers and two servers of four cores and 20 ms a command.
-fn plan() -> FleetOptions {
+fn fleet_options() -> FleetOptions {
     let formula =
         ServerOptions { cores: 4, work: Duration::from_millis(20), queue: 60, ..ServerOptions::default() };
     let folder = std::env::var_os("FLEET_FOLDER").map(Into::into);
@@ -55,7 +55,7 @@
 }
 
 async fn fleet(plan: FleetOptions) -> Fleet {
-    fleet_harness::agent_limit::take(plan.agents);
+    fleet_harness::agent_limit::acquire(plan.agents);
     Fleet::start(plan).await.expect("started")
 }
 
@@ -137,7 +137,7 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 16)]
 async fn a_lost_zone_is_out_for_all_in_one_decision_and_comes_back_cold_in_one() {
-    let mut fleet = fleet(plan()).await;
+    let mut fleet = fleet(fleet_options()).await;
     let load = PacedLoad::start(&fleet.cluster, &[50.0], 3);
     let calm = settled(&fleet).await;
     let before: Vec<u64> = (0..3).map(|z| fleet.cluster.zone_views[A].forwarded_bytes(z)).collect();
@@ -194,14 +194,14 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 16)]
 async fn leader_and_owner_lost_with_their_zone_and_the_next_one_decides() {
-    let mut fleet = fleet(plan()).await;
+    let mut fleet = fleet(fleet_options()).await;
     let load = PacedLoad::start(&fleet.cluster, &[50.0], 3);
     settled(&fleet).await;
     // The zone of the one that owns the duty, with the one that leads: agent, servers and all.
     let lost = owner_of_zones(&fleet, 0).await;
     let zone = fleet.agents[lost].zone;
     let leads = wait_for("a leader", async || leader(&fleet, lost).await).await;
-    let other = (0..3).find(|k| *k != lost && *k != leads).expect("another");
+    let other = (0..3).find(|k| *k != lost && *k != leads).expect("another one");
     let epoch = told(&fleet, other).await.expect("told").epoch;
     let lost_ms = load.now_ms();
     fleet.kill_servers(zone);
@@ -234,7 +234,7 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 16)]
 async fn a_zone_that_is_cut_off_does_not_judge_the_others_and_goes_on_serving_its_own() {
-    let mut fleet = fleet(plan()).await;
+    let mut fleet = fleet(fleet_options()).await;
     let load = PacedLoad::start(&fleet.cluster, &[50.0], 3);
     settled(&fleet).await;
     // Its servers are full, so that it needs the others, and the ways are cut in both directions.
@@ -272,7 +272,7 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 16)]
 async fn grey_zones_are_seen_by_what_requests_suffer() {
-    let mut fleet = fleet(plan()).await;
+    let mut fleet = fleet(fleet_options()).await;
     let load = PacedLoad::start(&fleet.cluster, &[50.0], 3);
     settled(&fleet).await;
     let away = |t: &ZonesResponse, zone: usize| {
@@ -306,7 +306,7 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 16)]
 async fn two_of_three_zones_lost_and_the_last_one_goes_on_standing() {
-    let mut fleet = fleet(plan()).await;
+    let mut fleet = fleet(fleet_options()).await;
     // 100 requests a second at six gatekeepers: 12 of 8 cores.
     let load = PacedLoad::start(&fleet.cluster, &[100.0], 3);
     settled(&fleet).await;
@@ -357,14 +357,14 @@
 /// The agent that tells the gatekeepers of one zone hangs, so that they stand on what was decided before the loss.
 #[tokio::test(flavor = "multi_thread", worker_threads = 16)]
 async fn a_decision_that_reaches_some_only_sends_no_zone_more_than_it_bears() {
-    let mut fleet = fleet(plan()).await;
+    let mut fleet = fleet(fleet_options()).await;
     let load = PacedLoad::start(&fleet.cluster, &[80.0], 3);
     let calm = settled(&fleet).await;
     let owner = owner_of_zones(&fleet, 0).await;
     let leads = wait_for("a leader", async || leader(&fleet, owner).await).await;
     // One that neither owns nor leads is stopped, and a zone that is not its own is lost.
     let deaf = (0..3).find(|k| *k != owner && *k != leads).expect("one more");
-    let lost = (0..3).find(|z| *z != fleet.agents[deaf].zone).expect("another");
+    let lost = (0..3).find(|z| *z != fleet.agents[deaf].zone).expect("another one");
     fleet.signal(deaf, "STOP").await;
     fleet.kill_servers(lost);
     let out = stands(&fleet, owner, "it is out", |t| state(t, lost) == Some(ZoneState::Out)).await;
@@ -403,7 +403,7 @@
 /// Two thirds of the traffic come in a zone with one server of five; then that one is gone, and the zone has gatekeepers alone.
 #[tokio::test(flavor = "multi_thread", worker_threads = 16)]
 async fn a_zone_of_one_server_and_most_of_the_traffic_spills_to_both_others() {
-    let base = plan();
+    let base = fleet_options();
     let cluster = local_cluster::ClusterOptions { servers: 5, ..base.cluster.clone() };
     let mut fleet = fleet(FleetOptions { cluster, ..base }).await;
     // At two gatekeepers a zone: 200 a second in C, whose server does 200, and 50 in each of the others, which do 400.
@@ -453,7 +453,7 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 16)]
 async fn a_zone_that_flaps_is_not_followed() {
-    let mut fleet = fleet(plan()).await;
+    let mut fleet = fleet(fleet_options()).await;
     let load = PacedLoad::start(&fleet.cluster, &[50.0], 3);
     let calm = settled(&fleet).await;
     for _ in 0..5 {
@@ -474,12 +474,12 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 16)]
 async fn what_each_acts_on_is_seen_while_an_agent_is_dead_and_the_council_gone() {
-    let mut fleet = fleet(plan()).await;
+    let mut fleet = fleet(fleet_options()).await;
     let load = PacedLoad::start(&fleet.cluster, &[50.0], 3);
     settled(&fleet).await;
-    let dead = (0..3).find(|k| *k != 0).expect("another");
+    let dead = (0..3).find(|k| *k != 0).expect("another one");
     fleet.signal(dead, "STOP").await;
-    let at = (0..3).find(|k| *k != dead).expect("another");
+    let at = (0..3).find(|k| *k != dead).expect("another one");
     let said = wait_for("its gatekeepers are not heard of", async || {
         let said = told(&fleet, at).await?;
         let view = said.view.as_ref()?;
@@ -541,13 +541,13 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 16)]
 async fn reports_that_lie_are_old_or_cannot_be_take_no_zone_out() {
-    let mut fleet = fleet(plan()).await;
+    let mut fleet = fleet(fleet_options()).await;
     let load = PacedLoad::start(&fleet.cluster, &[50.0], 3);
     let calm = settled(&fleet).await;
     let to = owner_of_zones(&fleet, 0).await;
     let impossible = evidence(&fleet, to, 1, &[lie(1, 1001)]).await.expect("answered");
     assert!(impossible.contains("more failed than were tried"), "{impossible}");
-    let other = (0..3).find(|k| *k != to).expect("another");
+    let other = (0..3).find(|k| *k != to).expect("another one");
     assert!(evidence(&fleet, other, 1, &[lie(1, 0)]).await.is_err_and(|e| e.contains("does not own")));
     // One agent says for seconds that all fails in a zone where the others see nothing wrong.
     for number in 1..30 {
@@ -589,7 +589,7 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 16)]
 async fn a_drain_is_an_intent_with_an_end_and_is_refused_with_figures_where_it_cannot_be_borne() {
-    let mut fleet = fleet(plan()).await;
+    let mut fleet = fleet(fleet_options()).await;
     let load = PacedLoad::start(&fleet.cluster, &[50.0], 3);
     let calm = settled(&fleet).await;
     let mut client = control(&fleet.agents[0].control).await.expect("an agent");
@@ -641,7 +641,7 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 32)]
 #[ignore = "figures, dated in docs/zones.md"]
 async fn figures_of_a_town_of_twenty() {
-    let base = plan();
+    let base = fleet_options();
     let cluster = local_cluster::ClusterOptions { gatekeepers: 20, servers: 9, ..base.cluster.clone() };
     let mut fleet = fleet(FleetOptions { cluster, lease_ms: 3000, ..base }).await;
     let load = PacedLoad::start(&fleet.cluster, &[20.0], 3);
