--- a/crates/agent/tests/council.rs
+++ b/crates/agent/tests/council.rs
@@ -1,5 +1,6 @@
-//! The council over real agents: files that are old, torn, full or can't be written, and members that come and go. What an
-//! agent that takes no part may not do is looked for at the resources.
+//! The council (consensus group) over real agents: council files that are old, damaged, full or read-only,
+//! and members that are added and removed. Effects of agents that do not take part are looked for at the
+//! resources.
 
 mod fleet_harness;
 mod record_harness;
@@ -32,140 +33,140 @@
     CouncilChange { remove: name.into(), ..CouncilChange::default() }
 }
 
-/// Why an agent takes no part, once it says so.
+/// Waits until an agent reports why it does not take part in the council, and returns the reason.
 async fn problem(fleet: &Fleet, agent: usize) -> String {
-    wait_for("it takes no part", async || {
+    wait_for("the agent does not take part", async || {
         status(fleet, agent).await.map(|s| s.problem).filter(|p| !p.is_empty())
     })
     .await
 }
 
-/// A file and what lies beside it.
-fn parts(file: &Path) -> Vec<PathBuf> {
+/// Returns the paths of a council file, its WAL, its shared memory file and its mark.
+fn file_parts(file: &Path) -> Vec<PathBuf> {
     ["", "-wal", "-shm", ".mark"].map(|end| PathBuf::from(format!("{}{end}", file.display()))).into()
 }
 
-/// Ends an agent in order, so that its file is of one piece.
-async fn end(fleet: &mut Fleet, agent: usize) {
+/// Stops an agent gracefully, so that its council file is complete without the WAL.
+async fn stop_agent(fleet: &mut Fleet, agent: usize) {
     let mut process = fleet.agents[agent].process.take().expect("it runs");
     process.signal("TERM").await;
     assert!(process.wait().await.is_some_and(|s| s.success()));
 }
 
-/// Duties go on at the others, under new numbers, and none of this agent's lands.
-async fn others_go_on(fleet: &Fleet, without: usize) {
+/// Checks that the other agents continue the duties and that this agent has no effect.
+async fn assert_others_continue(fleet: &Fleet, excluded: usize) {
     let before = fleet.effects().expect("read").len();
-    let more = |f: &Fleet| f.effects().is_ok_and(|t| t.len() > before + 20);
-    fleet.wait_until("the others go on", more).await.expect("they do");
-    let name = format!("a{}#", without + 1);
+    let has_more = |f: &Fleet| f.effects().is_ok_and(|t| t.len() > before + 20);
+    fleet.wait_until("the other agents continue", has_more).await.expect("more effects");
+    let name = format!("a{}#", excluded + 1);
     let effects = check_effects(fleet);
-    assert!(effects[before..].iter().all(|t| !t.owner.starts_with(&name)), "{name} does no duty");
+    assert!(effects[before..].iter().all(|t| !t.owner.starts_with(&name)), "{name} had an effect on a duty");
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 32)]
-async fn an_agent_whose_file_is_an_older_copy_does_not_vote_and_no_number_comes_twice() {
+async fn agent_does_not_vote_when_its_council_file_is_an_older_copy() {
     let mut fleet = fleet(fleet_options(3, 0)).await;
     settled(&fleet).await;
-    end(&mut fleet, 1).await;
+    stop_agent(&mut fleet, 1).await;
     let file = fleet.agents[1].file.clone();
-    let old = file.with_extension("old");
-    fs::copy(&file, &old).expect("copied");
+    let older_copy = file.with_extension("old");
+    fs::copy(&file, &older_copy).expect("copied");
     fleet.start_agent(1).await.expect("started");
-    // Much is agreed on that the copy knows nothing of.
+    // The group agrees on entries that the copy does not have.
     for _ in 0..2 {
-        let held = fleet.last_effect("drill-0").expect("owned");
-        let now = owner(&fleet, "drill-0").await;
-        fleet.kill(now).await;
-        next_owner(&fleet, "drill-0", &held).await;
-        fleet.start_agent(now).await.expect("started");
+        let last_effect = fleet.last_effect("drill-0").expect("owned");
+        let current = owner(&fleet, "drill-0").await;
+        fleet.kill(current).await;
+        next_owner(&fleet, "drill-0", &last_effect).await;
+        fleet.start_agent(current).await.expect("started");
         sleep(Duration::from_millis(2 * LEASE_MS)).await;
     }
     fleet.kill(1).await;
-    for part in parts(&file).iter().skip(1).take(2) {
+    for part in file_parts(&file).iter().skip(1).take(2) {
         let _ = fs::remove_file(part);
     }
-    fs::copy(&old, &file).expect("put back");
-    fleet.start_agent(1).await.expect("its agent serves on");
+    fs::copy(&older_copy, &file).expect("put back");
+    fleet.start_agent(1).await.expect("the agent starts without the council");
     let why = problem(&fleet, 1).await;
     assert!(why.contains("older copy") && why.contains("does not vote"), "{why}");
     assert!(log(&fleet, 1).contains("older copy"));
     sleep(Duration::from_millis(2 * LEASE_MS)).await;
-    others_go_on(&fleet, 1).await;
+    assert_others_continue(&fleet, 1).await;
 
-    // With its mark gone too, those who have heard of it tell it.
+    // Without the mark file too, the other agents report that the copy is older.
     fleet.kill(1).await;
-    let _ = fs::remove_file(&parts(&file)[3]);
-    fleet.start_agent(1).await.expect("its agent serves on");
+    let _ = fs::remove_file(&file_parts(&file)[3]);
+    fleet.start_agent(1).await.expect("the agent starts without the council");
     assert!(problem(&fleet, 1).await.contains("older copy"));
-    others_go_on(&fleet, 1).await;
+    assert_others_continue(&fleet, 1).await;
 
-    // The way back: out, and in again as a new member.
+    // The agent recovers by being removed and added again as a new member.
     fleet.kill(1).await;
-    for part in parts(&file) {
+    for part in file_parts(&file) {
         let _ = fs::remove_file(part);
     }
     fleet.start_agent(1).await.expect("started");
     change(&fleet, 0, remove("a2")).await.expect("removed");
     let at = fleet.agents[1].at.to_string();
-    let said = change(&fleet, 0, CouncilChange { at, ..add("a2") }).await.expect("added");
-    assert!(said.contains("3 vote"), "{said}");
+    let reply = change(&fleet, 0, CouncilChange { at, ..add("a2") }).await.expect("added");
+    assert!(reply.contains("3 vote"), "{reply}");
     check_effects(&fleet);
     fleet.stop().await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 32)]
-async fn torn_full_or_unwritable_files_end_an_agents_part_and_the_others_go_on() {
+async fn agent_does_not_vote_when_its_council_file_is_damaged_full_or_read_only() {
     let mut fleet = fleet(fleet_options(3, 0)).await;
     settled(&fleet).await;
-    end(&mut fleet, 2).await;
+    stop_agent(&mut fleet, 2).await;
     let file = fleet.agents[2].file.clone();
-    let sound_file = fs::read(&file).expect("read");
+    let valid_file = fs::read(&file).expect("read");
 
-    let mut torn = sound_file.clone();
-    let half = torn.len() / 2;
-    torn[half..].fill(0x5a);
-    fs::write(&file, &torn).expect("written");
-    fleet.start_agent(2).await.expect("its agent serves on");
+    let mut damaged = valid_file.clone();
+    let half = damaged.len() / 2;
+    damaged[half..].fill(0x5a);
+    fs::write(&file, &damaged).expect("written");
+    fleet.start_agent(2).await.expect("the agent starts without the council");
     assert!(problem(&fleet, 2).await.contains("damaged"));
-    others_go_on(&fleet, 2).await;
+    assert_others_continue(&fleet, 2).await;
 
     fleet.kill(2).await;
-    for part in parts(&file).iter().take(3) {
+    for part in file_parts(&file).iter().take(3) {
         let _ = fs::remove_file(part);
     }
-    fs::write(&file, &sound_file).expect("written");
+    fs::write(&file, &valid_file).expect("written");
     fleet.set_drill(2, "council_read_only = true");
-    fleet.start_agent(2).await.expect("its agent serves on");
+    fleet.start_agent(2).await.expect("the agent starts without the council");
     let why = problem(&fleet, 2).await;
     assert!(why.starts_with("council.file") && why.contains("does not vote"), "{why}");
-    others_go_on(&fleet, 2).await;
+    assert_others_continue(&fleet, 2).await;
 
     fleet.kill(2).await;
     fleet.set_drill(2, "council_pages = 1");
-    fleet.start_agent(2).await.expect("its agent serves on");
-    // Entries come until there is no room for one.
+    fleet.start_agent(2).await.expect("the agent starts without the council");
+    // Entries are added until the file has no room for another.
     for k in 0..2000 {
         let why = "x".repeat(200);
         let mut client = control(&fleet.agents[0].control).await.expect("an agent");
-        let pause = frostvale_proto::agent::DutyChange {
+        let resume = frostvale_proto::agent::DutyChange {
             what: frostvale_proto::agent::duty_change::What::Resume.into(),
             duty: "drill-0".into(),
             to: String::new(),
             by: "ana".into(),
             why,
         };
-        let _ = client.change_duty(pause).await;
+        let _ = client.change_duty(resume).await;
         if k % 20 == 0 && status(&fleet, 2).await.is_some_and(|s| !s.problem.is_empty()) {
             break;
         }
     }
     let why = problem(&fleet, 2).await;
     assert!(why.contains("full") && why.contains("does not vote"), "{why}");
-    others_go_on(&fleet, 2).await;
+    assert_others_continue(&fleet, 2).await;
     fleet.kill(2).await;
     fleet.set_drill(2, "");
     fleet.start_agent(2).await.expect("started");
-    wait_for("with room again it takes part", async || {
+    wait_for("the agent takes part again once there is room", async || {
         status(&fleet, 2).await.filter(|s| s.problem.is_empty() && !s.leader.is_empty())
     })
     .await;
@@ -174,54 +175,57 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 32)]
-async fn two_added_at_once_the_leader_removed_and_two_of_five_that_hang() {
+async fn duties_continue_when_members_are_added_removed_or_hang() {
     let mut fleet = fleet(FleetOptions { voters: 3, ..fleet_options(5, 0) }).await;
     settled(&fleet).await;
     for k in [3, 4] {
-        wait_for("it follows", async || status(&fleet, k).await.filter(|s| s.state == "learner")).await;
+        wait_for("the agent is a learner", async || status(&fleet, k).await.filter(|s| s.state == "learner"))
+            .await;
     }
-    // Two operators at once, at two agents: one change at a time, and who was refused is told so and tries again.
-    let (one, two) = tokio::join!(change(&fleet, 0, add("a4")), change(&fleet, 1, add("a5")));
-    assert!(one.is_ok() || two.is_ok(), "{one:?}, {two:?}");
-    for (name, done) in [("a4", one), ("a5", two)] {
+    // Two operators add agents at the same time: only one change runs at a time, and a refused one is
+    // repeated.
+    let (first, second) = tokio::join!(change(&fleet, 0, add("a4")), change(&fleet, 1, add("a5")));
+    assert!(first.is_ok() || second.is_ok(), "{first:?}, {second:?}");
+    for (name, done) in [("a4", first), ("a5", second)] {
         if let Err(why) = done {
             assert!(why.contains("another change"), "{why}");
             change(&fleet, 2, add(name)).await.expect("added");
         }
     }
-    let votes = async |fleet: &Fleet, agent: usize| {
+    let count_voters = async |fleet: &Fleet, agent: usize| {
         status(fleet, agent).await.map_or(0, |s| s.members.iter().filter(|m| m.votes).count())
     };
-    wait_for("five vote", async || (votes(&fleet, 3).await == 5).then_some(())).await;
+    wait_for("five agents vote", async || (count_voters(&fleet, 3).await == 5).then_some(())).await;
 
-    // Two of five hang: duties go on at the other three.
-    let leads = wait_for("a leader", async || leader(&fleet, 0).await).await;
-    let other = (0..5).find(|k| *k != leads).expect("another one");
-    for k in [leads, other] {
+    // Two of five agents hang: the other three continue the duties.
+    let leader_index = wait_for("the council has a leader", async || leader(&fleet, 0).await).await;
+    let other = (0..5).find(|k| *k != leader_index).expect("another one");
+    for k in [leader_index, other] {
         fleet.signal(k, "STOP").await;
     }
     sleep(Duration::from_millis(4 * LEASE_MS)).await;
     let before = fleet.effects().expect("read").len();
-    let more = |f: &Fleet| f.effects().is_ok_and(|t| t.len() > before + 20);
-    fleet.wait_until("three of five go on", more).await.expect("they do");
-    let hung = [leads, other].map(|k| format!("a{}#", k + 1));
+    let has_more = |f: &Fleet| f.effects().is_ok_and(|t| t.len() > before + 20);
+    fleet.wait_until("three of five agents continue", has_more).await.expect("more effects");
+    let hung_owners = [leader_index, other].map(|k| format!("a{}#", k + 1));
     let effects = check_effects(&fleet);
-    assert!(effects[before..].iter().all(|t| hung.iter().all(|h| !t.owner.starts_with(h.as_str()))));
-    for k in [leads, other] {
+    assert!(effects[before..].iter().all(|t| hung_owners.iter().all(|h| !t.owner.starts_with(h.as_str()))));
+    for k in [leader_index, other] {
         fleet.signal(k, "CONT").await;
     }
 
-    // The leader is removed, by way of another: the rest choose one, and no number comes twice.
-    let leads = wait_for("a leader", async || leader(&fleet, (leads + 1) % 5).await).await;
-    let name = fleet.agents[leads].name.clone();
-    let by = (0..5).find(|k| *k != leads).expect("another one");
+    // The leader is removed through another agent: the rest elect a leader, and no epoch is reused.
+    let leader_index =
+        wait_for("the council has a leader", async || leader(&fleet, (leader_index + 1) % 5).await).await;
+    let name = fleet.agents[leader_index].name.clone();
+    let by = (0..5).find(|k| *k != leader_index).expect("another one");
     let done = change(&fleet, by, remove(&name)).await;
     assert!(done.as_ref().is_ok_and(|s| s.contains("is no member")) || done.is_err(), "{done:?}");
-    wait_for("four vote", async || (votes(&fleet, by).await == 4).then_some(())).await;
-    wait_for("another leads", async || leader(&fleet, by).await.filter(|k| *k != leads)).await;
+    wait_for("four agents vote", async || (count_voters(&fleet, by).await == 4).then_some(())).await;
+    wait_for("another agent leads", async || leader(&fleet, by).await.filter(|k| *k != leader_index)).await;
     let before = fleet.effects().expect("read").len();
-    let more = |f: &Fleet| f.effects().is_ok_and(|t| t.len() > before + 20);
-    fleet.wait_until("the others go on", more).await.expect("they do");
+    let has_more = |f: &Fleet| f.effects().is_ok_and(|t| t.len() > before + 20);
+    fleet.wait_until("the other agents continue", has_more).await.expect("more effects");
     check_effects(&fleet);
     fleet.stop().await;
 }
