--- a/src/raw_settings.rs
+++ b/src/raw_settings.rs
@@ -152,7 +152,7 @@
     if (min..=max).contains(&value) {
         return Ok(());
     }
-    Err(SettingsError(format!("{field} is {value}, and has to be from {min} to {max}")))
+    Err(SettingsError(format!("{field} is {value}: must be from {min} to {max}")))
 }
 
 /// Checks that no name occurs twice.
@@ -160,7 +160,9 @@
     let mut seen = BTreeSet::new();
     for (k, name) in names.enumerate() {
         if !seen.insert(name) {
-            return Err(SettingsError(format!("{what}[{k}].Name is {name:?}, which stands there before")));
+            return Err(SettingsError(format!(
+                "{what}[{k}].Name is {name:?}: another entry has the same name"
+            )));
         }
     }
     Ok(())
--- a/tests/large_list.rs
+++ b/tests/large_list.rs
@@ -2,16 +2,16 @@
 //! while large endpoint lists arrive.
 
 #[allow(dead_code)]
-#[path = "node/rig.rs"]
-mod rig;
+#[path = "node/harness.rs"]
+mod harness;
 #[allow(dead_code)]
 #[path = "node/sockets.rs"]
 mod sockets;
 
 use frostvale_standin::formula_server::{FormulaServer, ServerOptions};
+use harness::*;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use rig::*;
 use std::collections::{HashMap, HashSet};
 use std::io::{BufRead, Write};
 use std::net::{IpAddr, Ipv4Addr, SocketAddr, TcpStream};
@@ -69,11 +69,12 @@
 
 impl SendTimes {
     /// Sends a request with a new id; returns the id and the result of the write.
-    fn send(&self, client: &mut Line) -> (String, std::io::Result<()>) {
+    fn send(&self, client: &mut TestConnection) -> (String, std::io::Result<()>) {
         static IDS: AtomicU64 = AtomicU64::new(1 << 32);
         let id = format!("{:016x}", IDS.fetch_add(1, Ordering::SeqCst));
         self.0.lock().expect("an unpoisoned lock").insert(id.clone(), Instant::now());
-        let written = client.read.get_mut().write_all(&ask_as(&id, DEADLINE.as_millis() as u32));
+        let written =
+            client.read.get_mut().write_all(&read_request_with_id(&id, DEADLINE.as_millis() as u32));
         (id, written)
     }
 
@@ -142,7 +143,7 @@
 }
 
 /// The time from a request to its final answer; `None` if the connection ended without one.
-fn time_to_answer(client: &mut Line, times: &SendTimes) -> Option<Duration> {
+fn time_to_answer(client: &mut TestConnection, times: &SendTimes) -> Option<Duration> {
     let sent = Instant::now();
     times.send(client).1.ok()?;
     let mut head = String::new();
@@ -162,13 +163,13 @@
     stop: Arc<AtomicBool>,
 ) -> JoinHandle<()> {
     thread::spawn(move || {
-        let mut client = Line::of(connect_early(at));
+        let mut client = TestConnection::new(connect_early(at));
         while !stop.load(Ordering::SeqCst) {
             let stats = phase.lock().expect("an unpoisoned lock").clone();
             let latency = time_to_answer(&mut client, &times);
             stats.record(latency);
             if latency.is_none() {
-                client = Line::of(connect_early(at));
+                client = TestConnection::new(connect_early(at));
             }
             thread::sleep(REQUEST_PAUSE);
         }
@@ -286,7 +287,7 @@
     fn restart(&mut self, setup: &Setup, known: &str, is_graceful: bool) {
         if is_graceful {
             self.node.signal("-TERM");
-            assert!(self.node.exit().success(), "{:?}", self.node.log.lock());
+            assert!(self.node.wait_for_exit().success(), "{:?}", self.node.log.lock());
         }
         let new_setup =
             Setup { known: known.to_string(), shell: setup.shell.clone(), ..Setup::new(setup.discovery) };
@@ -314,11 +315,11 @@
     stop: Arc<AtomicBool>,
 ) -> JoinHandle<()> {
     thread::spawn(move || {
-        let mut client: Option<Line> = None;
+        let mut client: Option<TestConnection> = None;
         while !stop.load(Ordering::SeqCst) {
             let Some(line) = &mut client else {
                 // While the gatekeeper is down nothing listens at its address.
-                client = TcpStream::connect(at).ok().map(Line::of);
+                client = TcpStream::connect(at).ok().map(TestConnection::new);
                 thread::sleep(Duration::from_millis(1));
                 continue;
             };
@@ -374,7 +375,7 @@
     final_list: &str,
     rng: &mut Pcg64Mcg,
 ) -> Instant {
-    discovery.set(final_list);
+    discovery.set_list(final_list);
     let announced_at = Instant::now();
     if rng.random::<bool>() {
         push_to_all(watches, "{nonsense");
@@ -418,7 +419,7 @@
             0 | 1 => {
                 version += 1;
                 current_list = changed_list(version, &targets, if event == 0 { 100 } else { 3 }, &mut rng);
-                discovery.set(&current_list);
+                discovery.set_list(&current_list);
                 push_to_all(&mut watches, &current_list);
             }
             2 => {
--- a/tests/node/shutdown.rs
+++ b/tests/node/shutdown.rs
@@ -1,201 +1,218 @@
-//! Graceful shutdown, and what crosses it.
+//! Graceful shutdown, and requests, signals and disconnects that arrive during it.
 
-use crate::rig::*;
+use crate::harness::*;
 use std::io::Read;
 use std::net::TcpStream;
 use std::sync::atomic::Ordering;
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Waits until nobody is taken in any more.
-fn shut(node: &Node) {
-    let begun = Instant::now();
+/// Waits until the gatekeeper accepts no more connections.
+fn wait_until_listener_is_closed(node: &Node) {
+    let started_at = Instant::now();
     while TcpStream::connect(node.at).is_ok() {
-        assert!(begun.elapsed() < LONG, "it still accepts");
+        assert!(started_at.elapsed() < TIMEOUT, "connections are still accepted");
         thread::sleep(Duration::from_millis(5));
     }
 }
 
-/// A client that leaves during the shutdown is seen to: the process need not wait for an answer that nobody wants.
+/// A client disconnects during the shutdown: the process must not wait for an answer that no client will
+/// read.
 #[test]
-fn a_client_that_leaves_during_the_shutdown_is_gone_at_once() {
+fn shutdown_does_not_wait_when_client_disconnects() {
     for reset in [false, true] {
-        let (worker, _discovery, mut node) = one_worker();
+        let (worker, _discovery, mut node) = start_with_one_worker();
         let mut client = node.client();
-        client.say(ask(8000));
-        let mut out = worker.next();
-        out.command();
-        let begun = Instant::now();
+        client.send(read_request(8000));
+        let mut attempt = worker.accept();
+        attempt.read_command();
+        let started_at = Instant::now();
         node.signal("-TERM");
-        node.says(" stops");
-        shut(&node);
-        // Bytes that nobody reads any more stand before the end.
-        client.say(words(&["PING"]));
+        node.wait_for_log(" stops");
+        wait_until_listener_is_closed(&node);
+        // Unread bytes precede the end of the stream.
+        client.send(resp_command(&["PING"]));
         if reset {
             client.reset();
         } else {
             drop(client);
         }
-        assert!(node.exit().success());
-        assert!(begun.elapsed() < Duration::from_secs(5), "it waited for the worker: {:?}", begun.elapsed());
-        assert!(out.ended());
+        assert!(node.wait_for_exit().success());
+        assert!(
+            started_at.elapsed() < Duration::from_secs(5),
+            "the process waited for the worker: {:?}",
+            started_at.elapsed()
+        );
+        assert!(attempt.is_closed());
     }
 }
 
-/// A connection on which there is always one more command does not keep the process alive, and all that reaches a worker is
-/// answered.
+/// A connection on which there is always one more command must not keep the process alive, and every command
+/// that reached a worker is answered.
 #[test]
-fn a_client_that_never_stops_sending_is_ended_in_order() {
-    let (worker, _discovery, mut node) = one_worker();
-    let served = worker.serves_all("value");
+fn shutdown_closes_without_reset_when_client_keeps_sending() {
+    let (worker, _discovery, mut node) = start_with_one_worker();
+    let served = worker.serve_all("value");
     let mut client = node.client();
-    client.say(ask(8000));
-    let begun = Instant::now();
+    client.send(read_request(8000));
+    let started_at = Instant::now();
     let mut answers = 0;
-    let mut signalled = false;
+    let mut is_signalled = false;
     loop {
-        // The next one is there before the last is answered.
-        let _ = std::io::Write::write_all(client.read.get_mut(), &ask(8000));
+        // The next command arrives before the last one is answered.
+        let _ = std::io::Write::write_all(client.read.get_mut(), &read_request(8000));
         let mut head = [0; 1];
         match client.read.read(&mut head) {
             Ok(1) if head[0] == b'$' => {
-                client.line();
-                assert_eq!(client.line(), "value");
+                client.read_line();
+                assert_eq!(client.read_line(), "value");
                 answers += 1;
             }
-            Ok(1) => assert_eq!(client.line(), "BUSY"),
+            Ok(1) => assert_eq!(client.read_line(), "BUSY"),
             Ok(_) => break,
-            Err(e) => panic!("reset over an answer: {e}"),
+            Err(e) => panic!("connection failed with an answer pending: {e}"),
         }
-        if answers > 20 && !std::mem::replace(&mut signalled, true) {
+        if answers > 20 && !std::mem::replace(&mut is_signalled, true) {
             node.signal("-TERM");
         }
-        assert!(begun.elapsed() < Duration::from_secs(10), "served on and on");
+        assert!(started_at.elapsed() < Duration::from_secs(10), "the connection was not closed");
     }
-    assert!(node.exit().success());
-    assert_eq!(answers, served.load(Ordering::SeqCst), "what has reached a worker is answered");
+    assert!(node.wait_for_exit().success());
+    assert_eq!(answers, served.load(Ordering::SeqCst), "every command that reached a worker is answered");
 }
 
-/// Fills the table of one that has 64 descriptors with clients that all have something in flight.
-fn full_table(node: &Node, worker: &Door) -> Vec<(Line, Line)> {
-    (0..64 * 33 / 100).map(|_| hold(node, worker)).collect()
+/// Fills the client table of a gatekeeper with 64 sockets with clients that each have a request in flight.
+fn fill_client_table(node: &Node, worker: &TestListener) -> Vec<(TestConnection, TestConnection)> {
+    (0..64 * 33 / 100).map(|_| start_request(node, worker)).collect()
 }
 
-/// Answers what is in flight, and sees all connections and the process end in order.
-fn released(holders: Vec<(Line, Line)>, mut node: Node) {
-    for (mut client, mut line) in holders {
-        line.serve("held");
-        assert_eq!(client.answer(), "held");
-        assert!(client.ended_in_order());
+/// Answers the requests in flight and checks that all connections and the process end without an error.
+fn finish_requests_and_exit(pending: Vec<(TestConnection, TestConnection)>, mut node: Node) {
+    for (mut client, mut conn) in pending {
+        conn.send_value("held");
+        assert_eq!(client.read_answer(), "held");
+        assert!(client.is_closed_without_reset());
     }
-    assert!(node.exit().success());
+    assert!(node.wait_for_exit().success());
 }
 
-/// The table is full of clients that all have something in flight, and others stand in the listener's queue with their
-/// commands when the process is told to end: the kernel has accepted them, so they are answered.
+/// The client table is full of clients with a request in flight, and others wait in the accept queue with
+/// their commands when SIGTERM arrives. The kernel has accepted their connections, so they have to be
+/// answered.
 #[test]
-fn who_stands_in_the_listeners_queue_at_the_end_is_answered() {
-    let worker = Door::open();
+fn clients_in_accept_queue_are_answered_when_shutdown_starts() {
+    let worker = TestListener::bind();
     let discovery = Discovery::with(list(1, true, &[target("s-1", worker.at, "ready", 0)]));
     let node = Setup { sockets: 64, ..Setup::new(discovery.at) }.start();
-    let holders = full_table(&node, &worker);
-    let mut queued: Vec<Line> = (0..3).map(|_| node.client()).collect();
+    let pending = fill_client_table(&node, &worker);
+    let mut queued: Vec<TestConnection> = (0..3).map(|_| node.client()).collect();
     for client in &mut queued {
-        client.say(ask(30_000));
+        client.send(read_request(30_000));
     }
     node.signal("-TERM");
-    node.says(" stops");
+    node.wait_for_log(" stops");
     for _ in 0..3 {
-        let mut line = worker.next();
-        line.command();
-        line.serve("queued");
+        let mut conn = worker.accept();
+        conn.read_command();
+        conn.send_value("queued");
     }
     for mut client in queued {
-        assert_eq!(client.answer(), "queued");
-        assert!(client.ended_in_order());
+        assert_eq!(client.read_answer(), "queued");
+        assert!(client.is_closed_without_reset());
     }
-    released(holders, node);
+    finish_requests_and_exit(pending, node);
 }
 
-/// However long the queue is (it holds 128), and with however few descriptors left for it.
+/// Like the test above with a full accept queue (it holds 128), and with few descriptors left for it.
 #[test]
-fn a_long_listeners_queue_at_the_end_is_answered_to_the_last() {
-    for (most, queue) in [("1024", 128), ("64", 60)] {
-        let worker = Door::open();
+fn all_clients_in_long_accept_queue_are_answered_when_shutdown_starts() {
+    for (max_descriptors, queue_length) in [("1024", 128), ("64", 60)] {
+        let worker = TestListener::bind();
         let discovery = Discovery::with(list(1, true, &[target("s-1", worker.at, "ready", 0)]));
-        let setup =
-            Setup { sockets: 64, shell: format!("ulimit -n {most}; exec"), ..Setup::new(discovery.at) };
+        let setup = Setup {
+            sockets: 64,
+            shell: format!("ulimit -n {max_descriptors}; exec"),
+            ..Setup::new(discovery.at)
+        };
         let node = setup.start();
-        let holders = full_table(&node, &worker);
-        let mut queued: Vec<Line> = (0..queue).map(|_| node.client()).collect();
+        let pending = fill_client_table(&node, &worker);
+        let mut queued: Vec<TestConnection> = (0..queue_length).map(|_| node.client()).collect();
         for client in &mut queued {
-            client.say(words(&["PING"]));
+            client.send(resp_command(&["PING"]));
         }
         node.signal("-TERM");
-        node.says(" stops");
-        for (which, client) in queued.iter_mut().enumerate() {
-            assert_eq!(client.answer(), "+PONG", "{which} of {queue} with {most} descriptors");
-            assert!(client.ended_in_order(), "{which} of {queue} with {most} descriptors");
+        node.wait_for_log(" stops");
+        for (index, client) in queued.iter_mut().enumerate() {
+            assert_eq!(
+                client.read_answer(),
+                "+PONG",
+                "{index} of {queue_length} with {max_descriptors} descriptors"
+            );
+            assert!(
+                client.is_closed_without_reset(),
+                "{index} of {queue_length} with {max_descriptors} descriptors"
+            );
         }
         drop(queued);
-        released(holders, node);
+        finish_requests_and_exit(pending, node);
     }
 }
 
-/// A command stands unread behind one that is answered only after nothing more is begun: it is refused, and not passed over.
+/// A command is unread behind one that is answered only when no more requests are started: it has to be
+/// refused, not dropped.
 #[test]
-fn what_stands_behind_the_last_answer_of_the_shutdown_is_refused() {
-    let (worker, _discovery, mut node) = one_worker();
-    let (mut client, mut half) = (node.client(), node.client());
-    client.say(ask(30_000));
-    let mut line = worker.next();
-    line.command();
-    half.say("*1\r\n");
-    node.settled();
+fn pending_command_is_refused_when_shutdown_starts_no_more_requests() {
+    let (worker, _discovery, mut node) = start_with_one_worker();
+    let (mut client, mut incomplete) = (node.client(), node.client());
+    client.send(read_request(30_000));
+    let mut conn = worker.accept();
+    conn.read_command();
+    incomplete.send("*1\r\n");
+    node.wait_until_input_is_processed();
     node.signal("-TERM");
-    node.says(" stops");
-    // Whose command never becomes whole is ended when nothing more is begun.
-    assert!(half.ended_in_order());
-    client.say(ask(30_000));
-    client.arrived();
-    line.serve("served");
-    assert_eq!(client.answer(), "served");
-    assert_eq!(client.answer(), "-BUSY");
-    assert!(client.ended_in_order());
-    assert!(worker.nobody() && !line.speaks(), "nothing was begun");
+    node.wait_for_log(" stops");
+    // A client with an incomplete command is closed once no more requests are started.
+    assert!(incomplete.is_closed_without_reset());
+    client.send(read_request(30_000));
+    client.wait_until_acknowledged();
+    conn.send_value("served");
+    assert_eq!(client.read_answer(), "served");
+    assert_eq!(client.read_answer(), "-BUSY");
+    assert!(client.is_closed_without_reset());
+    assert!(worker.has_no_connection() && !conn.has_data(), "a request was started");
     drop(client);
-    assert!(node.exit().success());
+    assert!(node.wait_for_exit().success());
 }
 
 #[test]
-fn further_signals_during_the_shutdown_change_nothing() {
-    let (worker, _discovery, mut node) = one_worker();
+fn shutdown_continues_when_further_signals_arrive() {
+    let (worker, _discovery, mut node) = start_with_one_worker();
     let mut client = node.client();
-    client.say(ask(8000));
-    let mut out = worker.next();
-    out.command();
+    client.send(read_request(8000));
+    let mut attempt = worker.accept();
+    attempt.read_command();
     node.signal("-TERM");
-    node.says(" stops");
+    node.wait_for_log(" stops");
     for signal in ["-TERM", "-HUP", "-INT", "-TERM"] {
         node.signal(signal);
     }
-    shut(&node);
+    wait_until_listener_is_closed(&node);
     node.signal("-HUP");
-    out.serve("served");
-    assert_eq!(client.answer(), "served");
-    assert!(client.ended_in_order());
+    attempt.send_value("served");
+    assert_eq!(client.read_answer(), "served");
+    assert!(client.is_closed_without_reset());
     drop(client);
-    assert!(node.exit().success());
+    assert!(node.wait_for_exit().success());
 }
 
 #[test]
-fn a_signal_before_the_first_list_ends_it_in_order() {
-    let silent = Door::open();
+fn process_exits_successfully_when_sigterm_comes_before_first_list() {
+    let silent = TestListener::bind();
     let mut node = spawn(&Setup::new(silent.at).config(), "exec");
-    // It listens, and waits for the list.
-    let _call = silent.next();
+    // The process listens and waits for the list.
+    let _list_request = silent.accept();
     node.signal("-TERM");
-    node.says(" stops");
-    assert!(node.exit().success());
-    assert!(!node.log.lock().expect("whole").iter().any(|line| line.contains(" serves at ")));
+    node.wait_for_log(" stops");
+    assert!(node.wait_for_exit().success());
+    assert!(!node.log.lock().expect("an unpoisoned lock").iter().any(|line| line.contains(" serves at ")));
 }
--- a/tests/node/sockets.rs
+++ b/tests/node/sockets.rs
@@ -1,7 +1,7 @@
-//! What the kernel knows of one TCP connection, asked for by its addresses. The cost does not grow with the number of
-//! sockets on the machine.
+//! Queries the kernel (netlink `sock_diag`) for the state of one TCP connection by its addresses. The cost
+//! does not grow with the number of sockets on the machine.
 
-use crate::rig::LONG;
+use crate::harness::TIMEOUT;
 use netlink_packet_core::{NLM_F_DUMP, NLM_F_REQUEST, NetlinkHeader, NetlinkMessage, NetlinkPayload};
 use netlink_packet_sock_diag::SockDiagMessage;
 use netlink_packet_sock_diag::constants::*;
@@ -10,41 +10,41 @@
 use std::net::SocketAddr;
 use std::time::Instant;
 
-/// Room for one datagram of the kernel's answer.
+/// Buffer size for one datagram of the kernel's answer.
 const DATAGRAM_BYTES: usize = 64 * 1024;
 
-/// Stands for whichever socket has the addresses.
+/// Cookie that matches any socket with the given addresses.
 const ANY_COOKIE: [u8; 8] = [0xff; 8];
 
-/// One end of a connection.
+/// State of one end of a connection.
 #[derive(Clone, Copy, Debug)]
-pub struct End {
+pub struct SocketInfo {
     state: u8,
-    /// Sent and not acknowledged yet.
+    /// Bytes sent and not acknowledged yet.
     unacknowledged_bytes: u32,
-    /// 0 until a process has accepted it.
+    /// 0 until a process has accepted the connection.
     inode: u32,
     remote: SocketAddr,
 }
 
-impl End {
-    /// Whether all that was sent is acknowledged, the end of sending too where there was one.
-    pub fn all_acknowledged(&self) -> bool {
+impl SocketInfo {
+    /// Whether all that was sent is acknowledged, including the end of sending if there was one.
+    pub fn has_all_acknowledged(&self) -> bool {
         let acknowledged = [TCP_ESTABLISHED, TCP_FIN_WAIT2, TCP_CLOSE_WAIT].contains(&self.state);
         acknowledged && self.unacknowledged_bytes == 0
     }
 
-    pub fn accepted(&self) -> bool {
+    pub fn is_accepted(&self) -> bool {
         self.inode != 0
     }
 
-    pub fn established(&self) -> bool {
+    pub fn is_established(&self) -> bool {
         self.state == TCP_ESTABLISHED
     }
 }
 
-/// Asks the kernel, and gives what it tells.
-fn ask(flags: u16, states: StateFlags, socket_id: SocketId) -> Vec<End> {
+/// Sends a query to the kernel and returns the sockets of its answer.
+fn query(flags: u16, states: StateFlags, socket_id: SocketId) -> Vec<SocketInfo> {
     let mut socket = Socket::new(NETLINK_SOCK_DIAG).expect("a netlink socket");
     socket.bind_auto().expect("bound");
     let mut header = NetlinkHeader::default();
@@ -60,11 +60,11 @@
     message.finalize();
     let mut bytes = vec![0; message.buffer_len()];
     message.serialize(&mut bytes);
-    socket.send(&bytes, 0).expect("asked");
-    let mut ends = Vec::new();
+    socket.send(&bytes, 0).expect("query sent");
+    let mut sockets = Vec::new();
     loop {
         let mut datagram = Vec::with_capacity(DATAGRAM_BYTES);
-        socket.recv(&mut datagram, 0).expect("told");
+        socket.recv(&mut datagram, 0).expect("kernel answer");
         let mut rest = &datagram[..];
         while !rest.is_empty() {
             let message = NetlinkMessage::<SockDiagMessage>::deserialize(rest).expect("a message");
@@ -73,25 +73,25 @@
             match message.payload {
                 NetlinkPayload::InnerMessage(SockDiagMessage::InetResponse(response)) => {
                     let id = &response.header.socket_id;
-                    ends.push(End {
+                    sockets.push(SocketInfo {
                         state: response.header.state,
                         unacknowledged_bytes: response.header.send_queue,
                         inode: response.header.inode,
                         remote: SocketAddr::new(id.destination_address, id.destination_port),
                     });
                     if flags & NLM_F_DUMP == 0 {
-                        return ends;
+                        return sockets;
                     }
                 }
-                // Not there, or all told.
-                _ => return ends,
+                // No such socket, or the end of the answer.
+                _ => return sockets,
             }
         }
     }
 }
 
-/// Waits until this holds of one end of a connection, or of its absence.
-pub fn wait_for(own: SocketAddr, remote: SocketAddr, holds: impl Fn(Option<&End>) -> bool) {
+/// Waits until `predicate` holds for one end of a connection, or for `None` if there is no such connection.
+pub fn wait_for_socket(own: SocketAddr, remote: SocketAddr, predicate: impl Fn(Option<&SocketInfo>) -> bool) {
     let id = SocketId {
         source_port: own.port(),
         destination_port: remote.port(),
@@ -100,23 +100,26 @@
         cookie: ANY_COOKIE,
         ..SocketId::new_v4()
     };
-    let begun = Instant::now();
+    let started_at = Instant::now();
     loop {
-        // Where there is no such connection the kernel tells of the listener at its address.
-        let found = ask(0, StateFlags::all(), id.clone());
-        let end = found.first().filter(|end| end.state != TCP_LISTEN);
-        if holds(end) {
+        // If there is no such connection the kernel returns the listener at its address.
+        let found = query(0, StateFlags::all(), id.clone());
+        let socket_info = found.first().filter(|socket_info| socket_info.state != TCP_LISTEN);
+        if predicate(socket_info) {
             return;
         }
-        assert!(begun.elapsed() < LONG, "{end:?}");
+        assert!(started_at.elapsed() < TIMEOUT, "{socket_info:?}");
     }
 }
 
-/// Returns once somebody is connecting to this address and has no answer.
-pub fn connecting(to: SocketAddr) {
-    let begun = Instant::now();
+/// Waits until a connection attempt to this address is pending without an answer.
+pub fn wait_for_connection_attempt(address: SocketAddr) {
+    let started_at = Instant::now();
     let all = SocketId::new_v4();
-    while !ask(NLM_F_DUMP, StateFlags::SYN_SENT, all.clone()).iter().any(|end| end.remote == to) {
-        assert!(begun.elapsed() < LONG, "nobody connects to {to}");
+    while !query(NLM_F_DUMP, StateFlags::SYN_SENT, all.clone())
+        .iter()
+        .any(|socket_info| socket_info.remote == address)
+    {
+        assert!(started_at.elapsed() < TIMEOUT, "no connection attempt to {address}");
     }
 }
--- a/tests/node/stalls.rs
+++ b/tests/node/stalls.rs
@@ -1,75 +1,78 @@
-//! A process that stands still while requests come in: their clients' time runs on.
+//! A gatekeeper process that is stopped while requests arrive: the deadlines of their clients go on.
 
-use crate::rig::*;
+use crate::harness::*;
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// A final answer that comes later than this after its client's time is lost.
-const GRACE: Duration = Duration::from_millis(500);
-/// An attempt may tell its server so much more than is left to the client.
-const SLACK: Duration = Duration::from_millis(150);
-/// How long the process stands still.
-const STALL: Duration = Duration::from_millis(600);
+/// A final answer that comes more than this after the client's deadline counts as lost.
+const ANSWER_GRACE: Duration = Duration::from_millis(500);
+/// The wait that a command states to a worker may exceed the client's remaining time by at most this.
+const WAIT_TOLERANCE: Duration = Duration::from_millis(150);
+/// How long the process is stopped.
+const STALL_TIME: Duration = Duration::from_millis(600);
 
-/// Where the client's connection is when the process stands still.
+/// State of the client's connection while the process is stopped.
 #[derive(Clone, Copy, Debug)]
-enum Connection {
-    Used,
-    InTheListenersQueue,
+enum ClientConnection {
+    Accepted,
+    InAcceptQueue,
 }
 
-const CONNECTIONS: [Connection; 2] = [Connection::Used, Connection::InTheListenersQueue];
+const CONNECTIONS: [ClientConnection; 2] = [ClientConnection::Accepted, ClientConnection::InAcceptQueue];
 
-/// A client that sends this request while the process stands still, and when it did.
-fn asks_during_a_stall(
+/// Sends a request while the process is stopped; returns the client and the time of sending.
+fn send_during_stall(
     node: &Node,
-    worker: &Door,
-    connection: Connection,
+    worker: &TestListener,
+    connection: ClientConnection,
     wait: Duration,
-) -> (Line, Instant) {
-    let used = match connection {
-        Connection::Used => {
-            let (mut client, mut line) = hold(node, worker);
-            line.serve("first");
-            assert_eq!(client.answer(), "first");
+) -> (TestConnection, Instant) {
+    let accepted = match connection {
+        ClientConnection::Accepted => {
+            let (mut client, mut conn) = start_request(node, worker);
+            conn.send_value("first");
+            assert_eq!(client.read_answer(), "first");
             Some(client)
         }
-        Connection::InTheListenersQueue => None,
+        ClientConnection::InAcceptQueue => None,
     };
     node.freeze();
-    let mut client = used.unwrap_or_else(|| node.client());
-    let sent = Instant::now();
-    client.say(ask(wait.as_millis() as u32));
-    client.arrived();
-    thread::sleep(STALL);
+    let mut client = accepted.unwrap_or_else(|| node.client());
+    let sent_at = Instant::now();
+    client.send(read_request(wait.as_millis() as u32));
+    client.wait_until_acknowledged();
+    thread::sleep(STALL_TIME);
     node.thaw();
-    (client, sent)
+    (client, sent_at)
 }
 
 #[test]
-fn a_server_is_not_told_the_time_that_a_request_stood_unread() {
+fn worker_deadline_excludes_time_that_request_was_unread() {
     let wait = Duration::from_secs(5);
     for connection in CONNECTIONS {
-        let (worker, _discovery, node) = one_worker();
-        let (mut client, sent) = asks_during_a_stall(&node, &worker, connection, wait);
-        let mut line = worker.next();
-        let command = line.command();
-        let left = wait.saturating_sub(sent.elapsed());
-        let told = command[3].split(',').find_map(|field| field.strip_prefix("d=")).expect("d");
-        let told = Duration::from_millis(told.parse().expect("a number"));
-        assert!(told <= left + SLACK, "{connection:?}: told {told:?}, {left:?} left");
-        line.serve("served");
-        assert_eq!(client.answer(), "served");
+        let (worker, _discovery, node) = start_with_one_worker();
+        let (mut client, sent_at) = send_during_stall(&node, &worker, connection, wait);
+        let mut conn = worker.accept();
+        let command = conn.read_command();
+        let remaining = wait.saturating_sub(sent_at.elapsed());
+        let stated = command[3].split(',').find_map(|field| field.strip_prefix("d=")).expect("d");
+        let stated = Duration::from_millis(stated.parse().expect("a number"));
+        assert!(
+            stated <= remaining + WAIT_TOLERANCE,
+            "{connection:?}: {stated:?} stated, {remaining:?} remain"
+        );
+        conn.send_value("served");
+        assert_eq!(client.read_answer(), "served");
     }
 }
 
 #[test]
-fn a_request_that_stood_unread_has_its_answer_in_its_clients_time() {
+fn request_is_answered_in_time_when_process_was_stopped() {
     let wait = Duration::from_millis(700);
     for connection in CONNECTIONS {
-        let (worker, _discovery, node) = one_worker();
-        let (mut client, sent) = asks_during_a_stall(&node, &worker, connection, wait);
-        client.answer();
-        assert!(sent.elapsed() < wait + GRACE, "{connection:?}: {:?}", sent.elapsed());
+        let (worker, _discovery, node) = start_with_one_worker();
+        let (mut client, sent_at) = send_during_stall(&node, &worker, connection, wait);
+        client.read_answer();
+        assert!(sent_at.elapsed() < wait + ANSWER_GRACE, "{connection:?}: {:?}", sent_at.elapsed());
     }
 }
