--- a/tests/node/harness.rs
+++ b/tests/node/harness.rs
@@ -31,6 +31,7 @@
         TestListener { at, connections }
     }
 
+    /// Waits for the next connection.
     pub fn accept(&self) -> TestConnection {
         TestConnection::new(self.connections.recv_timeout(TIMEOUT).expect("a connection"))
     }
@@ -78,6 +79,7 @@
         served
     }
 
+    /// Whether no connection waits to be accepted. Does not block.
     pub fn has_no_connection(&self) -> bool {
         self.connections.try_recv().is_err()
     }
@@ -164,6 +166,7 @@
         (0..count).map(|_| self.read_answer()).collect()
     }
 
+    /// Answers a command with this value.
     pub fn send_value(&mut self, value: &str) {
         self.send(format!("*3\r\n${}\r\n{value}\r\n$-1\r\n$17\r\nutil=0.61,qps=9.5\r\n", value.len()));
     }
@@ -258,6 +261,7 @@
     (listener, at, TcpStream::connect(at).expect("fills the queue"))
 }
 
+/// A command as a RESP array of bulk strings.
 pub fn resp_command(arguments: &[&str]) -> Vec<u8> {
     let mut out = format!("*{}\r\n", arguments.len());
     arguments.iter().for_each(|p| out.push_str(&format!("${}\r\n{p}\r\n", p.len())));
@@ -281,12 +285,14 @@
     resp_command(&["Q.DO", "00000000b4d65521", REQUEST_ID, &fields, "BODY"])
 }
 
+/// An entry of an endpoint list.
 pub fn target(uid: &str, at: SocketAddr, state: &str, boot_ms: u64) -> String {
     format!(
         r#"{{"uid":"{uid}","endpoint":"{at}","az":"a","model":"m","pod_group":0,"state":"{state}","capacity_hint":1.0,"boot_ms":{boot_ms}}}"#
     )
 }
 
+/// An endpoint list: complete, or with the changed entries only.
 pub fn list(version: u64, is_complete: bool, targets: &[String]) -> String {
     format!(r#"{{"rev":{version},"all":{is_complete},"targets":[{}]}}"#, targets.join(","))
 }
@@ -344,11 +350,13 @@
         self.watch()
     }
 
+    /// Waits for the next watch.
     pub fn watch(&self) -> TcpStream {
         self.watches.recv_timeout(TIMEOUT).expect("a watch")
     }
 }
 
+/// Sends a line on a watch, as one HTTP chunk.
 pub fn push(watch: &mut TcpStream, line: &str) {
     let chunk = format!("{:x}\r\n{line}\n\r\n", line.len() + 1);
     watch.write_all(chunk.as_bytes()).expect("written");
@@ -390,8 +398,11 @@
 pub struct Node {
     pub child: Child,
     pub at: SocketAddr,
+    /// All log lines so far.
     pub log: Arc<Mutex<Vec<String>>>,
+    /// Log lines that no test has waited for yet.
     pub lines: Receiver<String>,
+    /// Path of its configuration file.
     pub config: PathBuf,
 }
 
@@ -406,10 +417,13 @@
 /// Settings of a gatekeeper that differ between tests.
 pub struct Setup {
     pub discovery: SocketAddr,
+    /// Endpoint list in the configuration, as JSON.
     pub known: String,
     pub sockets: u32,
     pub memory_mb: u32,
+    /// Fields of `Bounds` besides `TryLimit`, as JSON.
     pub bounds: &'static str,
+    /// Shell command that the path of the program is appended to.
     pub shell: String,
 }
 
--- a/tests/node/main.rs
+++ b/tests/node/main.rs
@@ -256,7 +256,7 @@
             thread::sleep(REUSE_DELAY)
         }
     });
-    for (name, client) in [("half", &mut incomplete), ("dribble", &mut trickling)] {
+    for (name, client) in [("incomplete", &mut incomplete), ("trickling", &mut trickling)] {
         assert!(client.read_answer().starts_with("-ERR protocol error"), "{name}");
         assert!(client.is_closed(), "{name}");
     }
--- a/tests/node/workers.rs
+++ b/tests/node/workers.rs
@@ -211,7 +211,7 @@
         let node = Setup::new(discovery.at).start();
         let watch = discovery.watch();
         let mut client = Some(node.client());
-        client.as_mut().expect("it is there").send(read_request(30_000));
+        client.as_mut().expect("a connected client").send(read_request(30_000));
         wait_for_connection_attempt(at);
         let new_entry = match event {
             "restarts" => Some(target("s-1", at, "ready", 1_700_000_000_000)),
@@ -225,7 +225,7 @@
                 discovery.apply_list(watch, &new_entry, &new_entry);
             }
             None => {
-                node.disconnect_client(client.take().expect("it is there"), drop);
+                node.disconnect_client(client.take().expect("a connected client"), drop);
                 node.wait_until_input_is_processed();
             }
         }
