--- a/crates/agent/src/record/lifecycle.rs
+++ b/crates/agent/src/record/lifecycle.rs
@@ -1,5 +1,6 @@
-//! Ends of lives: this agent's own, which takes the last words of its gatekeepers first, and words that gatekeepers
-//! left in files because no agent was there. Decisions: `frostvale-handover`.
+//! Shutdown and restart: a stopping agent first collects the final usage reports of its gatekeepers, and an
+//! agent reads the reports that gatekeepers wrote to files while no agent was connected. The decisions are
+//! made in `frostvale-handover`.
 
 use super::{Incarnation, Member, RecordKeeper, lock};
 use frostvale_handover::{
@@ -13,13 +14,14 @@
 use std::time::{Duration, Instant};
 use tokio::time::sleep;
 
-/// How often a stop looks whether it is done.
-const LOOK: Duration = Duration::from_millis(10);
-/// The least time between two lines about the same file that can't be taken up.
-const SAY_AGAIN: Duration = Duration::from_secs(60);
+/// How often a stopping agent checks whether it is done.
+const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(10);
+/// The shortest time between two warnings about final report files that cannot be processed.
+const MIN_WARNING_INTERVAL: Duration = Duration::from_secs(60);
 
 impl Incarnation {
-    pub(super) fn mark(&self) -> Watermark {
+    /// The last batch that is known of this incarnation, and whether it is the final one.
+    pub(super) fn watermark(&self) -> Watermark {
         Watermark {
             epoch_ms: self.epoch_ms,
             last_seq: self.last_seq,
@@ -28,177 +30,196 @@
         }
     }
 
-    fn set_mark(&mut self, mark: Watermark) {
+    fn set_watermark(&mut self, watermark: Watermark) {
         (self.epoch_ms, self.last_seq, self.last_to_ms, self.ended) =
-            (mark.epoch_ms, mark.last_seq, mark.to_ms, mark.ended);
+            (watermark.epoch_ms, watermark.last_seq, watermark.to_ms, watermark.ended);
     }
 }
 
 impl RecordKeeper {
-    /// This agent stops: takes what its gatekeepers have used so far, and the last words of those that stop too, then
-    /// lets the spool land. Bounded by `LAST_WORD_MS` and `UPLOAD_TIMEOUT_MS`; what is late is taken up by the next agent.
+    /// Stops the agent's record: collects the usage of its gatekeepers so far and the final reports of those
+    /// that stop too, then waits until the spool is uploaded. The two steps are bounded by
+    /// `FINAL_REPORT_TIMEOUT_MS` and `UPLOAD_TIMEOUT_MS`. Whatever is left is processed by the next agent.
     pub async fn stop(&self) {
         let members = self.members.get().map(Vec::as_slice).unwrap_or_default();
         members.iter().for_each(|m| m.link.announce_stop());
-        let begun = Instant::now();
-        let ms = || begun.elapsed().as_secs_f64() * 1000.0;
-        while self.taking.load(Ordering::Acquire) > 0
-            || members.iter().any(|m| should_wait_for(&m.seen(), ms()))
+        let started = Instant::now();
+        let ms = || started.elapsed().as_secs_f64() * 1000.0;
+        while self.unspooled_batches.load(Ordering::Acquire) > 0
+            || members.iter().any(|m| should_wait_for(&m.status(), ms()))
         {
             if ms() > frostvale_handover::FINAL_REPORT_TIMEOUT_MS {
                 break;
             }
-            sleep(LOOK).await;
+            sleep(STOP_CHECK_INTERVAL).await;
         }
         for k in 0..members.len() {
             self.take_final_reports(k).await;
         }
-        let landing = Instant::now();
-        while landing.elapsed().as_secs_f64() * 1000.0 < UPLOAD_TIMEOUT_MS {
-            let (waiting, away) = {
+        let upload_started = Instant::now();
+        while upload_started.elapsed().as_secs_f64() * 1000.0 < UPLOAD_TIMEOUT_MS {
+            let (waiting, is_unavailable) = {
                 let upload = lock(&self.upload);
                 (upload.waiting(), upload.unavailable_since().is_some())
             };
-            if waiting == 0 || away {
+            if waiting == 0 || is_unavailable {
                 break;
             }
-            sleep(LOOK).await;
+            sleep(STOP_CHECK_INTERVAL).await;
         }
         let waiting = lock(&self.upload).waiting();
         if waiting > 0 {
             tracing::warn!(
                 batches = waiting,
-                "stops with use in the spool, as the database did not take it in time; the next agent over this spool \
-                 lands it"
+                "the agent ends with {waiting} usage batches in the spool, as the database did not store them in \
+                 time; the next agent with this spool uploads them"
             );
         }
     }
 
-    /// A gatekeeper has reported what it used until it heard of this agent's stop.
+    /// Records that gatekeeper `k` has reported its usage up to this agent's stop announcement; `number` is
+    /// the sequence number of its last batch.
     pub fn usage_reported(&self, k: usize, number: u64) {
         if let Some(member) = self.member(k) {
-            lock(&member.life).reported = Some(i64::try_from(number).unwrap_or(i64::MAX));
+            lock(&member.incarnation).reported = Some(i64::try_from(number).unwrap_or(i64::MAX));
         }
     }
 
-    /// Takes up the words that a gatekeeper left. Each is gone once it is in the spool; what is found twice, as after
-    /// a kill between the two, is the same batches of the same life, and counts once.
+    /// Processes the final report files of gatekeeper `k`. Each file is removed once its batches are in the
+    /// spool. A file that is processed twice, as after a kill between the two steps, yields the same batches
+    /// of the same incarnation, and these count once.
     pub(super) async fn take_final_reports(&self, k: usize) {
         let Some(member) = self.member(k) else { return };
-        let _one = self.taking_up.lock().await;
+        let _guard = self.final_report_lock.lock().await;
         let socket = member.socket.clone();
         let Ok(Ok(paths)) = tokio::task::spawn_blocking(move || final_report::find_all(&socket)).await else {
             return;
         };
         for path in paths {
-            if let Err(why) = self.take_file(k, member, &path).await
-                && self.says_again()
+            if let Err(why) = self.process_file(k, member, &path).await
+                && self.may_warn_again()
             {
                 tracing::warn!(
                     instance = member.name,
                     file = %path.display(),
                     reason = why,
-                    "a last word can't be taken up; its use is not in the record yet, and the file stays"
+                    "cannot process a final usage report file: {why}; its usage is not in the record yet, \
+                     and the file is kept"
                 );
             }
         }
     }
 
-    fn says_again(&self) -> bool {
-        let mut said = lock(&self.said_left);
-        let again = said.is_none_or(|at| at.elapsed() > SAY_AGAIN);
-        if again {
-            *said = Some(Instant::now());
+    /// Whether enough time has passed since the last warning; if so, restarts the period.
+    fn may_warn_again(&self) -> bool {
+        let mut last_warning = lock(&self.last_file_warning);
+        let may_warn = last_warning.is_none_or(|at| at.elapsed() > MIN_WARNING_INTERVAL);
+        if may_warn {
+            *last_warning = Some(Instant::now());
         }
-        again
+        may_warn
     }
 
-    async fn take_file(&self, k: usize, member: &Member, path: &Path) -> Result<(), String> {
+    /// Processes one final report file and removes it. A file that ends early or is of another gatekeeper is
+    /// renamed.
+    async fn process_file(&self, k: usize, member: &Member, path: &Path) -> Result<(), String> {
         let file = path.to_path_buf();
         let read = tokio::task::spawn_blocking(move || final_report::read(&file)).await;
-        let left = match read.map_err(|e| e.to_string())? {
-            Ok(left) => left,
+        let report = match read.map_err(|e| e.to_string())? {
+            Ok(report) => report,
             Err(e) if e.kind() == std::io::ErrorKind::Other => {
-                aside(path, "torn")?;
+                rename_aside(path, "torn")?;
                 return Err(format!(
-                    "{e}; it is set aside, use of that life after its last report is not known"
+                    "{e}; renamed to *.torn, usage of that incarnation after its last report is unknown"
                 ));
             }
             Err(e) => return Err(e.to_string()),
         };
-        let what = classify_final_report(left.is_complete, &left.welcome.name, &member.name);
-        if what == FinalReportAction::Reject {
-            aside(path, "refused")?;
-            return Err(format!("it is of {:?}; it is set aside", left.welcome.name));
-        }
-        let life = self.spool_left(k, &left).await?;
-        let (batches, stores) = (left.batches.len(), life.levels.len());
-        if what == FinalReportAction::Accept {
-            std::fs::remove_file(path).map_err(|e| format!("it is taken up, but can't be removed: {e}"))?;
+        let action = classify_final_report(report.is_complete, &report.welcome.name, &member.name);
+        if action == FinalReportAction::Reject {
+            rename_aside(path, "refused")?;
+            return Err(format!("it belongs to gatekeeper {:?}; renamed to *.refused", report.welcome.name));
+        }
+        let incarnation = self.spool_final_report(k, &report).await?;
+        let (batches, stores) = (report.batches.len(), incarnation.levels.len());
+        if action == FinalReportAction::Accept {
+            std::fs::remove_file(path)
+                .map_err(|e| format!("its batches are in the spool, but cannot remove the file: {e}"))?;
             tracing::info!(
                 instance = member.name,
                 batches,
                 stores,
-                "a last word left beside its socket is taken up"
+                "processed a final usage report file beside its socket"
             );
         } else {
-            aside(path, "torn")?;
+            rename_aside(path, "torn")?;
             tracing::warn!(
                 instance = member.name,
                 batches,
-                "a last word left beside its socket is torn: what is sound of it is taken up, what followed is a gap"
+                "a final usage report file beside its socket is incomplete: its intact batches are spooled, \
+                 usage after them is unknown"
             );
         }
-        let mut current = lock(&member.life);
-        if current.epoch_ms == life.epoch_ms {
-            let mark = previous_incarnation([current.mark(), life.mark()], 0).unwrap_or_default();
-            current.set_mark(mark);
-            current.levels.extend(life.levels);
+        let mut current = lock(&member.incarnation);
+        if current.epoch_ms == incarnation.epoch_ms {
+            let watermark =
+                previous_incarnation([current.watermark(), incarnation.watermark()], 0).unwrap_or_default();
+            current.set_watermark(watermark);
+            current.levels.extend(incarnation.levels);
         } else {
             drop(current);
-            lock(&member.left).push(life);
+            lock(&member.from_files).push(incarnation);
         }
         Ok(())
     }
 
-    /// Puts what a file says into the spool.
-    async fn spool_left(&self, k: usize, left: &FinalReport) -> Result<Incarnation, String> {
-        let tier = crate::fleet::tier_of(&left.welcome);
-        let epoch_ms = i64::try_from(left.welcome.started_ms).unwrap_or(i64::MAX);
-        let batches: Vec<_> = left.batches.iter().filter_map(|b| self.read(k, epoch_ms, b, &tier)).collect();
-        let mut life = Incarnation { epoch_ms, ..Incarnation::default() };
+    /// Writes the batches of a final report to the spool. Returns the incarnation that the report describes.
+    ///
+    /// # Errors
+    /// If the spool is full or cannot be written.
+    async fn spool_final_report(&self, k: usize, report: &FinalReport) -> Result<Incarnation, String> {
+        let tier = crate::fleet::tier_of(&report.welcome);
+        let epoch_ms = i64::try_from(report.welcome.started_ms).unwrap_or(i64::MAX);
+        let batches: Vec<_> =
+            report.batches.iter().filter_map(|b| self.to_usage_batch(k, epoch_ms, b, &tier)).collect();
+        let mut incarnation = Incarnation { epoch_ms, ..Incarnation::default() };
         for batch in &batches {
-            life.last_seq = life.last_seq.max(batch.seq);
-            life.last_to_ms = life.last_to_ms.max(batch.to_ms);
-            life.ended |= batch.last;
+            incarnation.last_seq = incarnation.last_seq.max(batch.seq);
+            incarnation.last_to_ms = incarnation.last_to_ms.max(batch.to_ms);
+            incarnation.ended |= batch.last;
         }
         let sizes: Vec<u64> = batches.iter().map(Spool::size_bytes).collect();
         if !lock(&self.upload).can_spool(sizes.iter().sum()) {
             return Err("the spool is full".into());
         }
-        let new = self.spool.append(batches).await.map_err(|e| format!("the spool takes nothing: {e}"))?;
+        let new = self.spool.append(batches).await.map_err(|e| format!("cannot write to the spool: {e}"))?;
         for (size, _) in sizes.iter().zip(new).filter(|(_, new)| *new) {
             lock(&self.upload).batch_spooled(*size);
         }
-        self.wake.notify_one();
-        let at_ms = life.last_to_ms;
-        life.levels = left.levels.iter().map(|l| (l.key, super::level(l, at_ms))).collect();
-        Ok(life)
+        self.upload_wake.notify_one();
+        let at_ms = incarnation.last_to_ms;
+        incarnation.levels = report.levels.iter().map(|l| (l.key, super::to_token_level(l, at_ms))).collect();
+        Ok(incarnation)
     }
 
-    /// The latest life before the one that begins, from all who know of it.
+    /// The latest incarnation before the one that started at `epoch_ms`, merged from memory, files, spool and
+    /// database. The one that started at `epoch_ms` itself, if it is already known.
     pub(super) async fn previous_incarnation(&self, member: &Member, epoch_ms: i64) -> Incarnation {
-        let mut lives: Vec<Incarnation> = std::mem::take(&mut *lock(&member.left));
+        let mut incarnations: Vec<Incarnation> = std::mem::take(&mut *lock(&member.from_files));
         {
-            let mut current = lock(&member.life);
+            let mut current = lock(&member.incarnation);
             if current.epoch_ms != 0 {
-                lives.push(std::mem::take(&mut *current));
+                incarnations.push(std::mem::take(&mut *current));
             }
         }
-        if lives.iter().all(|l| l.down_ms == 0)
-            && let Ok(Some(former)) = tokio::time::timeout(super::ASK_FOR, self.former(&member.name)).await
+        if incarnations.iter().all(|i| i.disconnected_ms == 0)
+            && let Ok(Some(former)) = tokio::time::timeout(
+                super::PREVIOUS_INCARNATION_TIMEOUT,
+                self.load_previous_incarnation(&member.name),
+            )
+            .await
         {
-            lives.push(former);
+            incarnations.push(former);
         }
         let spooled = self.spool.latest(&member.name).await.ok().flatten();
         let spooled = spooled.map(|b| Watermark {
@@ -207,45 +228,47 @@
             to_ms: b.to_ms,
             ended: b.last,
         });
-        let Some(mark) = previous_incarnation(lives.iter().map(Incarnation::mark).chain(spooled), epoch_ms)
+        let Some(watermark) =
+            previous_incarnation(incarnations.iter().map(Incarnation::watermark).chain(spooled), epoch_ms)
         else {
-            // This very life, as after the loss of a link.
-            return lives.into_iter().find(|l| l.epoch_ms == epoch_ms).unwrap_or_default();
+            // The same incarnation has connected again after the loss of its link.
+            return incarnations.into_iter().find(|i| i.epoch_ms == epoch_ms).unwrap_or_default();
         };
-        if let Some(same) = lives.iter().position(|l| l.epoch_ms == epoch_ms) {
-            return lives.swap_remove(same);
-        }
-        let mut whole = Incarnation::default();
-        for life in lives.into_iter().filter(|l| l.epoch_ms == mark.epoch_ms) {
-            whole.down_ms = whole.down_ms.max(life.down_ms);
-            for (key, level) in life.levels {
-                let newer = whole.levels.get(&key).is_none_or(|l| l.at_ms <= level.at_ms);
+        if let Some(same_incarnation) = incarnations.iter().position(|i| i.epoch_ms == epoch_ms) {
+            return incarnations.swap_remove(same_incarnation);
+        }
+        let mut merged = Incarnation::default();
+        for incarnation in incarnations.into_iter().filter(|i| i.epoch_ms == watermark.epoch_ms) {
+            merged.disconnected_ms = merged.disconnected_ms.max(incarnation.disconnected_ms);
+            for (key, level) in incarnation.levels {
+                let newer = merged.levels.get(&key).is_none_or(|l| l.at_ms <= level.at_ms);
                 if newer {
-                    whole.levels.insert(key, level);
+                    merged.levels.insert(key, level);
                 }
             }
         }
-        whole.set_mark(mark);
-        whole
+        merged.set_watermark(watermark);
+        merged
     }
 }
 
 impl Member {
-    fn seen(&self) -> GatekeeperStatus {
-        let life = lock(&self.life);
+    /// The state that decides whether a stopping agent waits for this gatekeeper.
+    fn status(&self) -> GatekeeperStatus {
+        let incarnation = lock(&self.incarnation);
         GatekeeperStatus {
             linked: self.link.welcome().is_some(),
             stopping: self.link.is_stopping(),
-            ended: life.ended,
-            reported: life.reported,
-            kept: life.last_seq,
+            ended: incarnation.ended,
+            reported: incarnation.reported,
+            kept: incarnation.last_seq,
         }
     }
 }
 
-/// A file that is not taken up a second time, but not lost either.
-fn aside(path: &Path, why: &str) -> Result<PathBuf, String> {
-    let to = path.with_extension(why);
-    std::fs::rename(path, &to).map_err(|e| format!("it can't be set aside: {e}"))?;
+/// Renames a file to this extension, so that it is neither processed again nor lost.
+fn rename_aside(path: &Path, extension: &str) -> Result<PathBuf, String> {
+    let to = path.with_extension(extension);
+    std::fs::rename(path, &to).map_err(|e| format!("cannot rename it to *.{extension}: {e}"))?;
     Ok(to)
 }
--- a/crates/agent/src/record/plans.rs
+++ b/crates/agent/src/record/plans.rs
@@ -1,36 +1,36 @@
-//! Plans for gatekeepers: those in effect, and by whose decision.
+//! The plans that are sent to gatekeepers, with the fence under which they were published.
 
 use super::{RecordKeeper, lock};
 use crate::clock::unix_ms;
 use crate::duties::PUBLISH_DUTY;
-use frostvale_link::proto::{Fence, Plan as PlanWord, Plans};
+use frostvale_link::proto::{Fence, Plan as WirePlan, Plans};
 use frostvale_record::{Backend, Error, Op, Reply};
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 
 impl RecordKeeper {
-    /// The database.
+    /// The record database.
     #[must_use]
     pub fn backend(&self) -> Arc<dyn Backend> {
         self.backend.clone()
     }
 
-    /// From now on a council says who has plans take effect.
+    /// Leaves the publishing of plans to the council's owner of that duty from now on.
     pub fn set_council_governed(&self) {
-        self.governed.store(true, Ordering::Relaxed);
+        self.is_council_governed.store(true, Ordering::Relaxed);
     }
 
-    /// All that gatekeepers are to know, with every plan published whose time has come: by the council's owner of that
-    /// duty where there is one, else by whichever agent sees it first.
+    /// Loads plans and fences from the database. Without a council, plans that are due are published first, by
+    /// whichever agent sees them first. With one, its owner of the publish duty publishes them.
     pub(super) async fn load(&self) -> Result<Reply, Error> {
         let loaded = self.backend.run(Op::Load).await?;
         let now_ms = unix_ms();
-        let governed = self.governed.load(Ordering::Relaxed);
+        let is_governed = self.is_council_governed.load(Ordering::Relaxed);
         match loaded {
-            Reply::Snapshot(snapshot) if !governed && snapshot.has_due(now_ms) => {
+            Reply::Snapshot(snapshot) if !is_governed && snapshot.has_due(now_ms) => {
                 match self.backend.run(Op::PublishDue { now_ms }).await {
                     Ok(_) => self.backend.run(Op::Load).await,
-                    // What is published already goes on.
+                    // The plans that are already published stay in effect.
                     Err(_) => Ok(Reply::Snapshot(snapshot)),
                 }
             }
@@ -38,12 +38,13 @@
         }
     }
 
-    /// The plans that are in effect by now, and by whose decision where there is a council.
+    /// The published plans, with the fence of the publish duty where there is a council. `None` before the
+    /// first load, and with a council before its first fence is known.
     pub(crate) fn current_plans(&self) -> Option<Plans> {
         let snapshot = lock(&self.snapshot);
         let snapshot = snapshot.as_ref()?;
-        let governed = self.governed.load(Ordering::Relaxed);
-        let fence = match governed {
+        let is_governed = self.is_council_governed.load(Ordering::Relaxed);
+        let fence = match is_governed {
             true => Some(snapshot.fences.iter().find(|f| f.duty == PUBLISH_DUTY)?),
             false => None,
         };
@@ -53,7 +54,7 @@
             owner: f.owner.clone(),
         });
         let units = |milli: i64| u64::try_from(milli).unwrap_or(0);
-        let plans = snapshot.published.iter().map(|published| &published.plan).map(|plan| PlanWord {
+        let plans = snapshot.published.iter().map(|published| &published.plan).map(|plan| WirePlan {
             name: plan.name.clone(),
             rate_milli: units(plan.rate_milli),
             burst_milli: units(plan.burst_milli),
