--- a/crates/agent/src/fleet.rs
+++ b/crates/agent/src/fleet.rs
@@ -1,4 +1,5 @@
-//! The gatekeepers of this host: a link to each, what they say of the tier, and who is asked.
+//! The links to the gatekeepers of this host, the tier's settings as the gatekeepers report them, and the
+//! choice of the gatekeeper that decides a check.
 
 use crate::config::Config;
 use crate::council::CouncilSeat;
@@ -10,7 +11,7 @@
 use frostvale_link::agent::{self, CheckError, Link, LinkEvent, LinkOptions};
 use frostvale_link::proto::decision::Code;
 use frostvale_link::proto::outside_state::Breaker;
-use frostvale_link::proto::{Check, OutsideState, Plan as PlanWord, Welcome};
+use frostvale_link::proto::{Check, OutsideState, Plan as WirePlan, Welcome};
 use frostvale_proto::agent::Gatekeeper;
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicU32, Ordering};
@@ -19,73 +20,79 @@
 use tokio::sync::{mpsc, watch};
 use tracing::Instrument;
 
-/// Sets of shops that the owner of the audit is told of.
-const SETS_TOLD: usize = 256;
-/// News of one gatekeeper that are not taken up yet.
-const NEWS: usize = 4096;
+/// Limit of distinct sets of gatekeepers that are passed to the owner of the audit.
+const MAX_AUDITED_SETS: usize = 256;
+/// Capacity of the queue of events of one gatekeeper's link.
+const EVENT_QUEUE_CAPACITY: usize = 4096;
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
+/// One gatekeeper of this host.
 struct Member {
     name: String,
     socket: String,
     link: Link,
+    /// Why it is not connected (empty while it is), and the last reported state of its outside service.
     state: Mutex<(String, Option<OutsideState>)>,
 }
 
-/// What a gatekeeper decided.
+/// The outcome of a check.
 pub enum CheckOutcome {
-    /// Granted; `held` settles it where the grant is to be held.
+    /// The units were granted.
     Granted {
-        /// In thousandths.
+        /// Remaining units in thousandths.
         remaining_milli: Option<u64>,
-        /// Until the store is full.
+        /// Milliseconds until the token bucket is full.
         reset_ms: u64,
-        /// To be settled.
+        /// The grant to settle later, where the check asked for one to be held.
         held: Option<HeldGrant>,
     },
-    /// Over.
+    /// The units were refused, as the shop is over its limit.
     OverLimit {
-        /// In thousandths.
+        /// Remaining units in thousandths.
         remaining_milli: Option<u64>,
-        /// Until the units fit.
+        /// Milliseconds until the bucket holds enough for the units.
         reset_ms: u64,
     },
-    /// The gatekeeper can't read it: what it says of the field.
+    /// The gatekeeper rejected the check as malformed; its message names the field.
     Invalid(String),
-    /// None could be asked; nothing is charged.
+    /// No gatekeeper could be asked; nothing was charged.
     NoGatekeeper,
-    /// One was asked and did not answer in time: it may have charged.
+    /// A gatekeeper was asked and did not answer in time: it may have charged the units.
     InDoubt,
 }
 
-/// A grant that is not settled yet. Dropped without a word it counts as used.
+/// A grant that is not settled yet. One that is dropped unsettled counts as used.
 pub struct HeldGrant {
     link: Link,
     id: u64,
 }
 
 impl HeldGrant {
-    /// Says whether the units are used.
+    /// Keeps the units (`keep`) or returns them to the bucket.
     pub fn settle(self, keep: bool) {
         self.link.settle(self.id, keep);
     }
 }
 
-/// All gatekeepers of this host.
+/// The gatekeepers of this host.
 pub struct Fleet {
     members: Vec<Arc<Member>>,
     tier: RwLock<Arc<Tier>>,
+    /// The sets of gatekeepers of shops, as gatekeepers reported them.
     sets: Mutex<ShopSets>,
-    turn: AtomicU32,
-    up: watch::Sender<usize>,
+    /// Counts checks, to rotate between the gatekeepers of a set.
+    check_count: AtomicU32,
+    /// How many gatekeepers are connected.
+    connected: watch::Sender<usize>,
+    /// First gatekeeper and spread of shops whose set is not known.
     default_set: (u32, u32),
 }
 
 impl Fleet {
-    /// Connects to all of them, for as long as the runtime lives.
+    /// Connects to all configured gatekeepers. The links are kept up until the runtime ends.
     pub fn start(
         config: &Config,
         outside: Option<Arc<Outside>>,
@@ -94,7 +101,7 @@
     ) -> Arc<Fleet> {
         let rls = config.rls.clone().unwrap_or_default();
         let mut members = Vec::new();
-        let mut heard = Vec::new();
+        let mut receivers = Vec::new();
         for g in &config.gatekeepers {
             let options = LinkOptions {
                 socket: g.socket.clone(),
@@ -105,26 +112,26 @@
                 audit: config.audit.is_some(),
                 max_in_flight: rls.in_hand,
             };
-            let (tell, news) = mpsc::channel(NEWS);
-            let (link, work) = agent::connect(options, tell);
+            let (event_tx, event_rx) = mpsc::channel(EVENT_QUEUE_CAPACITY);
+            let (link, work) = agent::connect(options, event_tx);
             tokio::spawn(work);
             let (name, socket) = (g.name.clone(), g.socket.display().to_string());
             let state = Mutex::new(("not connected yet".to_string(), None));
             members.push(Arc::new(Member { name, socket, link, state }));
-            heard.push(news);
+            receivers.push(event_rx);
         }
         let fleet = Arc::new(Fleet {
             members,
             tier: RwLock::default(),
             sets: Mutex::default(),
-            turn: AtomicU32::new(0),
-            up: watch::Sender::new(0),
+            check_count: AtomicU32::new(0),
+            connected: watch::Sender::new(0),
             default_set: (rls.default_set.first, rls.default_set.spread),
         });
         if let Some(audit) = seat.and_then(|s| s.audit.as_ref()) {
             let links = fleet.members.iter().map(|m| (m.name.clone(), m.link.clone())).collect();
-            let own = fleet.clone();
-            audit.set_links(links, move || lock(&own.sets).distinct(SETS_TOLD));
+            let this = fleet.clone();
+            audit.set_links(links, move || lock(&this.sets).distinct(MAX_AUDITED_SETS));
         }
         if let Some(seat) = seat {
             seat.set_links(fleet.members.iter().map(|m| m.link.clone()).collect());
@@ -135,35 +142,37 @@
                 .iter()
                 .map(|m| (m.name.clone(), PathBuf::from(&m.socket), m.link.clone()))
                 .collect();
-            let own = fleet.clone();
-            keeper.start(links, taken, move || own.tier());
+            let this = fleet.clone();
+            keeper.start(links, taken, move || this.tier());
             keeper
         });
-        for (k, news) in heard.into_iter().enumerate() {
+        for (k, events) in receivers.into_iter().enumerate() {
             let span = tracing::debug_span!("link", instance = fleet.members[k].name);
-            let hear = fleet.clone().hear(k, news, outside.clone(), keeper.clone(), seat.cloned());
-            tokio::spawn(hear.instrument(span));
+            let handler =
+                fleet.clone().handle_events(k, events, outside.clone(), keeper.clone(), seat.cloned());
+            tokio::spawn(handler.instrument(span));
         }
         fleet
     }
 
-    async fn hear(
+    /// Handles the events of gatekeeper `k`'s link.
+    async fn handle_events(
         self: Arc<Self>,
         k: usize,
-        mut news: mpsc::Receiver<LinkEvent>,
+        mut events: mpsc::Receiver<LinkEvent>,
         outside: Option<Arc<Outside>>,
         keeper: Option<Arc<RecordKeeper>>,
         seat: Option<Arc<CouncilSeat>>,
     ) {
         let member = self.members[k].clone();
         let name = &member.name;
-        while let Some(news) = news.recv().await {
-            match news {
+        while let Some(event) = events.recv().await {
+            match event {
                 LinkEvent::Connected(welcome) => {
                     lock(&member.state).0.clear();
-                    self.welcomed(&welcome);
+                    self.update_tier(&welcome);
                     tracing::info!(instance = name, "gatekeeper {name} is linked, number {}", welcome.me);
-                    self.count_up();
+                    self.update_connected_count();
                     if let Some(keeper) = &keeper {
                         keeper.gatekeeper_connected(k, &welcome).await;
                     }
@@ -179,11 +188,11 @@
                     tracing::warn!(
                         instance = name,
                         reason = why,
-                        "gatekeeper {name} is not linked: {why}; checks go to others of each shop's \
-                         set, or by the failure mode; connecting again"
+                        "gatekeeper {name} is not linked: {why}; checks go to the other gatekeepers of each \
+                         shop's set, or are answered by the failure mode; reconnecting"
                     );
                     *lock(&member.state) = (why, None);
-                    self.count_up();
+                    self.update_connected_count();
                 }
                 LinkEvent::ShopSet(seen) => {
                     let gatekeepers = self.tier().gatekeepers;
@@ -210,12 +219,14 @@
                             instance = name,
                             revision = taken.revision,
                             reason = taken.error,
-                            "{name} keeps the plans it has"
+                            "gatekeeper {name} rejected the plans and keeps those in effect"
                         );
                     }
                     if !taken.unknown.is_empty() {
                         let unknown = taken.unknown.join(", ");
-                        tracing::warn!("{name} has no place for these plans in its settings: {unknown}");
+                        tracing::warn!(
+                            "gatekeeper {name} ignores plans that are missing from its settings: {unknown}"
+                        );
                     }
                     let known = self.tier();
                     let tier = Tier { plans: plans(&taken.plans), ..(*known).clone() };
@@ -228,7 +239,8 @@
                     duty = refused.duty,
                     epoch = refused.epoch,
                     stands = refused.stands,
-                    "{name} refuses what was decided under epoch {} of {}: {} {} stands",
+                    "gatekeeper {name} rejected a message of epoch {} of duty {}: epoch {} of owner {} \
+                     is in effect",
                     refused.epoch,
                     refused.duty,
                     refused.stands,
@@ -239,89 +251,106 @@
                         zones.record_observation(name, seen);
                     }
                 }
-                LinkEvent::AppliedVersions(acts) => {
+                LinkEvent::AppliedVersions(versions) => {
                     if let Some(audit) = seat.as_ref().and_then(|s| s.audit.as_ref()) {
-                        audit.record_applied_versions(name, acts);
+                        audit.record_applied_versions(name, versions);
                     }
                 }
                 LinkEvent::BreakerState(state) => {
-                    tracing::info!("{name}: the breaker before the outside service is {}", word(&state));
+                    tracing::info!(
+                        "gatekeeper {name}: the circuit breaker of the outside service is {}",
+                        breaker_name(&state)
+                    );
                     lock(&member.state).1 = Some(state);
                 }
-                LinkEvent::OutsideRequest(ask) => match &outside {
-                    Some(outside) => outside.clone().ask(ask, member.link.clone(), &self.tier()),
-                    None => member.link.send_verdict(crate::outside::failed(ask.id)),
+                LinkEvent::OutsideRequest(request) => match &outside {
+                    Some(outside) => outside.clone().send_request(request, member.link.clone(), &self.tier()),
+                    None => member.link.send_verdict(crate::outside::failed(request.id)),
                 },
             }
         }
     }
 
-    fn count_up(&self) {
-        let up = self.members.iter().filter(|m| m.link.welcome().is_some()).count();
-        self.up.send_replace(up);
+    fn update_connected_count(&self) {
+        let connected = self.members.iter().filter(|m| m.link.welcome().is_some()).count();
+        self.connected.send_replace(connected);
     }
 
-    fn welcomed(&self, welcome: &Welcome) {
+    /// Takes over the tier's settings from a gatekeeper that has connected.
+    fn update_tier(&self, welcome: &Welcome) {
         let tier = tier_of(welcome);
         let mut known = self.tier.write().unwrap_or_else(PoisonError::into_inner);
         if **known != tier {
             if known.gatekeepers > 0 {
-                tracing::warn!("the gatekeepers' settings differ; those of the one linked last are used");
+                tracing::warn!(
+                    "the gatekeepers' settings differ; using those of the gatekeeper that connected last"
+                );
             }
             *known = Arc::new(tier);
         }
     }
 
-    /// What the gatekeepers have in common, as the last one linked told it.
+    /// The tier's settings, as reported by the gatekeeper that connected last.
     #[must_use]
     pub fn tier(&self) -> Arc<Tier> {
         self.tier.read().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// How many are linked, as it changes.
+    /// Watches the number of connected gatekeepers.
     #[must_use]
-    pub fn up(&self) -> watch::Receiver<usize> {
-        self.up.subscribe()
+    pub fn watch_connected(&self) -> watch::Receiver<usize> {
+        self.connected.subscribe()
     }
 
-    /// The set of a shop: as the descriptor says, else as a gatekeeper saw it, else the default.
-    fn set(&self, ask: &CheckRequest, gatekeepers: u32) -> (u32, u32) {
+    /// The set of a shop, as first gatekeeper and spread: from the descriptor, else as a gatekeeper reported
+    /// it, else the configured default, limited to the gatekeepers that exist.
+    fn set(&self, request: &CheckRequest, gatekeepers: u32) -> (u32, u32) {
         let (first, spread) = self.default_set;
-        ask.set.or_else(|| lock(&self.sets).get(&ask.shop)).unwrap_or((
+        request.set.or_else(|| lock(&self.sets).get(&request.shop)).unwrap_or((
             if first < gatekeepers { first } else { 0 },
             if (1..=gatekeepers).contains(&spread) { spread } else { gatekeepers },
         ))
     }
 
-    /// Has one of the shop's set decide. One that did not get the check at all is passed over for the next.
-    pub async fn decide(&self, ask: &CheckRequest, plan: &Plan, hold: bool, until: Instant) -> CheckOutcome {
+    /// Has a gatekeeper of the shop's set decide the check before `until`. The next one is tried only where
+    /// the check was not sent or the gatekeeper was busy, so that no check is charged twice. `hold` keeps a
+    /// grant open until it is settled.
+    pub async fn decide(
+        &self,
+        request: &CheckRequest,
+        plan: &Plan,
+        hold: bool,
+        until: Instant,
+    ) -> CheckOutcome {
         let gatekeepers = self.tier().gatekeepers;
-        let set = self.set(ask, gatekeepers);
-        let turn = self.turn.fetch_add(1, Ordering::Relaxed);
-        let of = |number: u32| {
+        let set = self.set(request, gatekeepers);
+        let check_count = self.check_count.fetch_add(1, Ordering::Relaxed);
+        let find_usable = |number: u32| {
             let here = |m: &&Arc<Member>| m.link.welcome().is_some_and(|w| w.me == number);
             self.members.iter().find(|m| here(m) && m.link.is_usable())
         };
-        let all =
-            candidates(&ask.shop, set, gatekeepers, plan.ceiling_rate_milli > 0, turn, |n| of(n).is_some());
-        for number in all {
-            let Some(member) = of(number) else { continue };
-            let left = until.saturating_duration_since(Instant::now());
-            if left < Duration::from_millis(1) {
+        let numbers =
+            candidates(&request.shop, set, gatekeepers, plan.ceiling_rate_milli > 0, check_count, |n| {
+                find_usable(n).is_some()
+            });
+        for number in numbers {
+            let Some(member) = find_usable(number) else { continue };
+            let remaining = until.saturating_duration_since(Instant::now());
+            if remaining < Duration::from_millis(1) {
                 return CheckOutcome::NoGatekeeper;
             }
             let check = Check {
                 id: 0,
-                shop: ask.shop.clone(),
+                shop: request.shop.clone(),
                 plan: plan.number,
-                class: ask.class,
-                units_milli: ask.units_milli,
+                class: request.class,
+                units_milli: request.units_milli,
                 first: set.0,
                 spread: set.1,
-                within_ms: u32::try_from(left.as_millis()).unwrap_or(u32::MAX).min(60_000),
+                within_ms: u32::try_from(remaining.as_millis()).unwrap_or(u32::MAX).min(60_000),
                 hold,
             };
-            match tokio::time::timeout(left, member.link.check(check)).await {
+            match tokio::time::timeout(remaining, member.link.check(check)).await {
                 Err(_) => return CheckOutcome::InDoubt,
                 Ok(Err(CheckError::InDoubt)) => return CheckOutcome::InDoubt,
                 Ok(Err(CheckError::Unsent | CheckError::Busy)) => {}
@@ -343,16 +372,16 @@
         CheckOutcome::NoGatekeeper
     }
 
-    /// Shops whose set is known.
+    /// The number of shops whose set has been reported.
     #[must_use]
     pub fn sets(&self) -> u64 {
         lock(&self.sets).len() as u64
     }
 
-    /// Each gatekeeper as operators see it.
+    /// The state of each gatekeeper for operators.
     #[must_use]
     pub fn status(&self) -> Vec<Gatekeeper> {
-        let one = |m: &Arc<Member>| {
+        let to_status = |m: &Arc<Member>| {
             let welcome = m.link.welcome();
             let (problem, outside) = lock(&m.state).clone();
             let state = match (&welcome, m.link.is_usable()) {
@@ -368,16 +397,16 @@
                 in_hand: m.link.in_flight() as u64,
                 number: welcome.as_ref().map_or(0, |w| w.me),
                 started_ms: welcome.as_ref().map_or(0, |w| w.started_ms),
-                breaker: outside.as_ref().map_or_else(String::new, |s| word(s).to_string()),
+                breaker: outside.as_ref().map_or_else(String::new, |s| breaker_name(s).to_string()),
                 outside_failed: outside.as_ref().map_or(0, |s| s.failed),
                 outside_by_mode: outside.as_ref().map_or(0, |s| s.by_mode),
             }
         };
-        self.members.iter().map(one).collect()
+        self.members.iter().map(to_status).collect()
     }
 }
 
-/// What a gatekeeper's welcome says of the tier.
+/// The tier's settings from a gatekeeper's welcome message.
 pub(crate) fn tier_of(welcome: &Welcome) -> Tier {
     Tier {
         gatekeepers: welcome.gateways,
@@ -387,9 +416,9 @@
     }
 }
 
-/// The plans by name, as a gatekeeper told them.
-fn plans(told: &[PlanWord]) -> std::collections::BTreeMap<String, Plan> {
-    let plan = |(k, p): (usize, &PlanWord)| {
+/// Indexes the plans of a gatekeeper by name. A plan's number is its position in the list.
+fn plans(wire_plans: &[WirePlan]) -> std::collections::BTreeMap<String, Plan> {
+    let plan = |(k, p): (usize, &WirePlan)| {
         let plan = Plan {
             number: u32::try_from(k).unwrap_or(u32::MAX),
             rate_milli: p.rate_milli,
@@ -398,10 +427,10 @@
         };
         (p.name.clone(), plan)
     };
-    told.iter().enumerate().map(plan).collect()
+    wire_plans.iter().enumerate().map(plan).collect()
 }
 
-fn word(state: &OutsideState) -> &'static str {
+fn breaker_name(state: &OutsideState) -> &'static str {
     match state.breaker() {
         Breaker::Closed => "closed",
         Breaker::Open => "open",
--- a/crates/agent/src/outside.rs
+++ b/crates/agent/src/outside.rs
@@ -1,10 +1,10 @@
-//! The way to an outside rate limit service. When to ask and what to do without an answer is decided at the
-//! gatekeepers (`frostvale-outside`); here calls are made, bounded in number and in time.
+//! The client of an outside rate limit service. The gatekeepers decide when to call it and what to do without
+//! an answer (`frostvale-outside`). This module makes the calls, with a limit on their number and their time.
 
 use crate::config::{self, Keys};
 use frostvale_checks::Tier;
 use frostvale_link::agent::Link;
-use frostvale_link::proto::outside_verdict::Code as Word;
+use frostvale_link::proto::outside_verdict::Code as VerdictCode;
 use frostvale_link::proto::{OutsideAsk, OutsideVerdict};
 use frostvale_proto::envoy::extensions::common::ratelimit::v3::RateLimitDescriptor;
 use frostvale_proto::envoy::extensions::common::ratelimit::v3::rate_limit_descriptor::Entry;
@@ -19,54 +19,57 @@
 use tokio::sync::Semaphore;
 use tonic::transport::{Certificate, Channel, ClientTlsConfig, Endpoint};
 
-/// A connection that is not up within this time is given up.
-const CONNECT: Duration = Duration::from_millis(500);
-/// A connection over which nothing comes is tested this often, and given up after as long again.
-const ALIVE: Duration = Duration::from_secs(2);
-/// The longest answer that is read, in bytes.
-const ANSWER_MOST: usize = 64 * 1024;
+/// Timeout for opening a connection.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+/// Interval of HTTP/2 keepalive pings while calls are in flight. The connection is closed if the answer takes
+/// as long again.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(2);
+/// The longest response that is accepted.
+const MAX_RESPONSE_BYTES: usize = 64 * 1024;
 
-/// What was asked and answered since the start.
+/// Counters of calls to the outside service since the start.
 #[derive(Debug, Default)]
 pub struct Counts {
-    /// Calls.
+    /// Calls requested by gatekeepers, including those that could not be made.
     pub asked: AtomicU64,
-    /// Answered OK.
+    /// Calls answered with OK.
     pub ok: AtomicU64,
-    /// Answered over the limit.
+    /// Calls answered with over the limit.
     pub over: AtomicU64,
-    /// With no answer that can be used.
+    /// Calls without a usable answer, and those that could not be made.
     pub failed: AtomicU64,
 }
 
-/// An outside service.
+/// A client of an outside rate limit service.
 pub struct Outside {
     client: RateLimitServiceClient<Channel>,
     domain: String,
     keys: Keys,
-    places: Arc<Semaphore>,
-    most: usize,
-    /// Since the start.
+    /// Limits the calls in flight.
+    call_permits: Arc<Semaphore>,
+    /// The limit of calls in flight.
+    max_in_flight: usize,
+    /// Counters since the start.
     pub counts: Counts,
 }
 
-/// The verdict where there is none.
+/// The verdict for a call without a usable answer.
 #[must_use]
 pub fn failed(id: u64) -> OutsideVerdict {
-    OutsideVerdict { id, code: Word::Failed.into(), ..OutsideVerdict::default() }
+    OutsideVerdict { id, code: VerdictCode::Failed.into(), ..OutsideVerdict::default() }
 }
 
 impl Outside {
-    /// Prepares calls; nothing is connected before the first.
+    /// Creates the client. It connects at the first call.
     ///
     /// # Errors
-    /// When the endpoint or the CA can't be used.
+    /// If the endpoint or the CA file cannot be used.
     pub fn new(config: &config::Outside) -> Result<Arc<Outside>, String> {
         let mut endpoint = Endpoint::from_shared(config.endpoint.clone())
             .map_err(|e| format!("outside.endpoint: {e}"))?
-            .connect_timeout(CONNECT)
-            .http2_keep_alive_interval(ALIVE)
-            .keep_alive_timeout(ALIVE)
+            .connect_timeout(CONNECT_TIMEOUT)
+            .http2_keep_alive_interval(KEEPALIVE_INTERVAL)
+            .keep_alive_timeout(KEEPALIVE_INTERVAL)
             .keep_alive_while_idle(false)
             .tcp_nodelay(true);
         if let Some(ca) = &config.ca {
@@ -78,66 +81,70 @@
         }
         Ok(Arc::new(Outside {
             client: RateLimitServiceClient::new(endpoint.connect_lazy())
-                .max_decoding_message_size(ANSWER_MOST),
+                .max_decoding_message_size(MAX_RESPONSE_BYTES),
             domain: config.domain.clone(),
             keys: config.keys.clone(),
-            places: Arc::new(Semaphore::new(config.in_hand)),
-            most: config.in_hand,
+            call_permits: Arc::new(Semaphore::new(config.in_hand)),
+            max_in_flight: config.in_hand,
             counts: Counts::default(),
         }))
     }
 
-    /// Calls in hand.
+    /// The number of calls in flight.
     #[must_use]
     pub fn in_hand(&self) -> u64 {
-        (self.most - self.places.available_permits()) as u64
+        (self.max_in_flight - self.call_permits.available_permits()) as u64
     }
 
-    /// Asks for a gatekeeper, and gives it the verdict.
-    pub fn ask(self: Arc<Self>, ask: OutsideAsk, link: Link, tier: &Tier) {
+    /// Calls the service on behalf of a gatekeeper and sends the verdict over its link. The verdict is
+    /// "failed" at once if the limit of calls in flight is reached or the plan is unknown.
+    pub fn send_request(self: Arc<Self>, check: OutsideAsk, link: Link, tier: &Tier) {
         self.counts.asked.fetch_add(1, Ordering::Relaxed);
-        let named = tier.plans.iter().find(|(_, plan)| plan.number == ask.plan).map(|(name, _)| name.clone());
-        let (Ok(place), Some(plan)) = (self.places.clone().try_acquire_owned(), named) else {
+        let plan_name =
+            tier.plans.iter().find(|(_, plan)| plan.number == check.plan).map(|(name, _)| name.clone());
+        let (Ok(permit), Some(plan)) = (self.call_permits.clone().try_acquire_owned(), plan_name) else {
             self.counts.failed.fetch_add(1, Ordering::Relaxed);
-            return link.send_verdict(failed(ask.id));
+            return link.send_verdict(failed(check.id));
         };
-        let names = self.keys.entry_keys(&[]);
+        let entry_keys = self.keys.entry_keys(&[]);
         let entry = |key: String, value: String| Entry { key, value };
-        let mut entries = vec![entry(names.shop, ask.shop), entry(names.plan, plan)];
-        if let Some(class) = tier.classes.get(ask.class as usize) {
-            entries.push(entry(names.class, class.clone()));
+        let mut entries = vec![entry(entry_keys.shop, check.shop), entry(entry_keys.plan, plan)];
+        if let Some(class) = tier.classes.get(check.class as usize) {
+            entries.push(entry(entry_keys.class, class.clone()));
         }
-        let hits_addend = u32::try_from(ask.units_milli.div_ceil(1000)).unwrap_or(u32::MAX);
+        let hits_addend = u32::try_from(check.units_milli.div_ceil(1000)).unwrap_or(u32::MAX);
         let descriptors = vec![RateLimitDescriptor { entries, hits_addend: None }];
         let call = RateLimitRequest { domain: self.domain.clone(), descriptors, hits_addend };
-        let within = Duration::from_millis(u64::from(ask.within_ms));
+        let within = Duration::from_millis(u64::from(check.within_ms));
         tokio::spawn(async move {
             let mut request = tonic::Request::new(call);
             request.set_timeout(within);
             let mut client = self.client.clone();
             let answer = tokio::time::timeout(within, client.should_rate_limit(request)).await;
-            let verdict = answer.ok().and_then(Result::ok).and_then(|a| said(ask.id, &a.into_inner()));
+            let verdict =
+                answer.ok().and_then(Result::ok).and_then(|a| to_verdict(check.id, &a.into_inner()));
             let count = match verdict.as_ref().map(OutsideVerdict::code) {
-                Some(Word::Ok) => &self.counts.ok,
-                Some(Word::Over) => &self.counts.over,
+                Some(VerdictCode::Ok) => &self.counts.ok,
+                Some(VerdictCode::Over) => &self.counts.over,
                 _ => &self.counts.failed,
             };
             count.fetch_add(1, Ordering::Relaxed);
-            link.send_verdict(verdict.unwrap_or_else(|| failed(ask.id)));
-            drop(place);
+            link.send_verdict(verdict.unwrap_or_else(|| failed(check.id)));
+            drop(permit);
         });
     }
 }
 
-/// What an answer says, if it says anything.
-fn said(id: u64, answer: &RateLimitResponse) -> Option<OutsideVerdict> {
+/// Converts a response to a verdict. `None` if its code is unknown.
+fn to_verdict(id: u64, answer: &RateLimitResponse) -> Option<OutsideVerdict> {
     let status = answer.statuses.first();
     match answer.overall_code() {
         Code::Ok => {
-            let own = status.and_then(|s| s.quota_specifier.as_ref()).map(|QuotaSpecifier::Quota(q)| q);
-            let (units, ms) = own.or(answer.quota.as_ref()).map_or((0, 0), ahead);
+            let descriptor_quota =
+                status.and_then(|s| s.quota_specifier.as_ref()).map(|QuotaSpecifier::Quota(q)| q);
+            let (units, ms) = descriptor_quota.or(answer.quota.as_ref()).map_or((0, 0), advance_quota);
             let (quota_milli, quota_ms) = if ms > 0 { (units, ms) } else { (0, 0) };
-            Some(OutsideVerdict { id, code: Word::Ok.into(), quota_milli, quota_ms, reset_ms: 0 })
+            Some(OutsideVerdict { id, code: VerdictCode::Ok.into(), quota_milli, quota_ms, reset_ms: 0 })
         }
         Code::OverLimit => {
             let reset = status.and_then(|s| s.duration_until_reset);
@@ -145,14 +152,14 @@
                 let ms = d.seconds.saturating_mul(1000).saturating_add(i64::from(d.nanos) / 1_000_000);
                 u64::try_from(ms).unwrap_or(0)
             });
-            Some(OutsideVerdict { id, code: Word::Over.into(), reset_ms, ..OutsideVerdict::default() })
+            Some(OutsideVerdict { id, code: VerdictCode::Over.into(), reset_ms, ..OutsideVerdict::default() })
         }
         Code::Unknown => None,
     }
 }
 
-/// Requests granted ahead, in thousandths, and for how many ms from now.
-fn ahead(quota: &Quota) -> (u64, u64) {
+/// The quota granted in advance: requests in thousandths, and how many milliseconds from now it is valid.
+fn advance_quota(quota: &Quota) -> (u64, u64) {
     let Some(ExpirationSpecifier::ValidUntil(until)) = &quota.expiration_specifier else { return (0, 0) };
     let now = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
     let now = i64::try_from(now.as_millis()).unwrap_or(i64::MAX);
--- a/crates/agent/src/rls.rs
+++ b/crates/agent/src/rls.rs
@@ -1,4 +1,5 @@
-//! The rate limit service: Envoy's `envoy.service.ratelimit.v3.RateLimitService`, as its public API defines it.
+//! Implements Envoy's rate limit service, `envoy.service.ratelimit.v3.RateLimitService`, as its public API
+//! defines it.
 
 use crate::config::Rls;
 use crate::fleet::{CheckOutcome, Fleet, HeldGrant};
@@ -15,10 +16,10 @@
 use tonic::{Request, Response, Status};
 use tracing::Instrument;
 
-/// The part of a caller's time that is left for the answer's way back.
-const MARGIN: Duration = Duration::from_millis(5);
+/// Time kept free within a client's deadline for the response to reach it.
+const RESPONSE_MARGIN: Duration = Duration::from_millis(5);
 
-/// What has happened since the start.
+/// Counters of calls and descriptors since the start.
 #[derive(Default)]
 pub struct Counts {
     calls: AtomicU64,
@@ -32,12 +33,12 @@
     in_doubt: AtomicU64,
 }
 
-fn up(count: &AtomicU64) {
+fn increment(count: &AtomicU64) {
     count.fetch_add(1, Ordering::Relaxed);
 }
 
 impl Counts {
-    /// As operators see them.
+    /// The counters for operators.
     #[must_use]
     pub fn status(&self) -> Calls {
         let get = |count: &AtomicU64| count.load(Ordering::Relaxed);
@@ -55,110 +56,115 @@
     }
 }
 
-/// The service.
+/// The rate limit service.
 #[derive(Clone)]
 pub struct Service {
     fleet: Arc<Fleet>,
     rls: Arc<Rls>,
-    names: Arc<EntryKeys>,
+    entry_keys: Arc<EntryKeys>,
     counts: Arc<Counts>,
 }
 
 impl Service {
-    /// Over these gatekeepers.
+    /// Creates the service for these gatekeepers.
     #[must_use]
     pub fn new(fleet: Arc<Fleet>, rls: Rls) -> Service {
-        let names = Arc::new(rls.keys.entry_keys(&rls.domains));
-        Service { fleet, rls: Arc::new(rls), names, counts: Arc::default() }
+        let entry_keys = Arc::new(rls.keys.entry_keys(&rls.domains));
+        Service { fleet, rls: Arc::new(rls), entry_keys, counts: Arc::default() }
     }
 
-    /// What has happened since the start.
+    /// The counters since the start.
     #[must_use]
     pub fn counts(&self) -> Arc<Counts> {
         self.counts.clone()
     }
 
-    /// What came of one descriptor.
-    async fn one(
+    /// Checks one descriptor and counts the outcome. A grant is returned where `hold` is set.
+    ///
+    /// # Errors
+    /// The gatekeeper's message if it rejects the check as malformed.
+    async fn check_descriptor(
         &self,
-        ask: &CheckRequest,
+        request: &CheckRequest,
         plan: &Plan,
         hold: bool,
         until: Instant,
     ) -> Result<(CheckResult, Option<HeldGrant>), String> {
-        let mode = plan.failure_mode(self.rls.mode(&ask.plan));
+        let mode = plan.failure_mode(self.rls.mode(&request.plan));
         let undecided = || {
-            up(if mode == FailureMode::Deny { &self.counts.denied } else { &self.counts.allowed });
+            increment(if mode == FailureMode::Deny { &self.counts.denied } else { &self.counts.allowed });
             Ok((CheckResult::Undecided(mode), None))
         };
-        match self.fleet.decide(ask, plan, hold, until).await {
+        match self.fleet.decide(request, plan, hold, until).await {
             CheckOutcome::Granted { remaining_milli, reset_ms, held } => {
-                up(&self.counts.granted);
+                increment(&self.counts.granted);
                 Ok((CheckResult::Granted { remaining_milli, reset_ms }, held))
             }
             CheckOutcome::OverLimit { remaining_milli, reset_ms } => {
-                up(&self.counts.over);
+                increment(&self.counts.over);
                 Ok((CheckResult::OverLimit { remaining_milli, reset_ms }, None))
             }
             CheckOutcome::Invalid(what) => Err(what),
             CheckOutcome::NoGatekeeper => undecided(),
             CheckOutcome::InDoubt => {
-                up(&self.counts.in_doubt);
+                increment(&self.counts.in_doubt);
                 undecided()
             }
         }
     }
 
+    /// Checks all descriptors of a call before `until`. Either all granted units are used or none.
     async fn call(&self, call: &RateLimitRequest, until: Instant) -> Result<RateLimitResponse, Status> {
         let tier = self.fleet.tier();
         let invalid = |what: String| {
-            up(&self.counts.invalid);
+            increment(&self.counts.invalid);
             Status::invalid_argument(what)
         };
-        let asks = parse_request(call, &self.names, &tier).map_err(|e| invalid(e.0))?;
+        let requests = parse_request(call, &self.entry_keys, &tier).map_err(|e| invalid(e.0))?;
         let unknown = Plan::default();
-        let of = |ask: &CheckRequest| tier.plans.get(&ask.plan).unwrap_or(&unknown).clone();
-        let plans: Vec<Option<Plan>> = asks.iter().map(|ask| ask.as_ref().map(of)).collect();
-        let matched = asks.iter().flatten().count();
-        // One alone needs no second word; of several each is held until all are known.
+        let of = |request: &CheckRequest| tier.plans.get(&request.plan).unwrap_or(&unknown).clone();
+        let plans: Vec<Option<Plan>> = requests.iter().map(|request| request.as_ref().map(of)).collect();
+        let matched = requests.iter().flatten().count();
+        // A single grant takes effect at once. Of several, each is held until all outcomes are known.
         let hold = matched > 1;
-        let mut found = Vec::with_capacity(asks.len());
+        let mut results = Vec::with_capacity(requests.len());
         let mut held = Vec::new();
-        let mut wrong = None;
-        // One after the other, and none after a refusal: what is not asked for need not be given back.
-        let mut over = false;
-        for (ask, plan) in asks.iter().zip(&plans) {
-            let (Some(ask), Some(plan)) = (ask, plan) else {
-                up(&self.counts.unmatched);
-                found.push(CheckResult::Unmatched);
+        let mut error = None;
+        // Checked one after the other and not beyond a refusal: units that were not requested need not be
+        // returned.
+        let mut is_over = false;
+        for (request, plan) in requests.iter().zip(&plans) {
+            let (Some(request), Some(plan)) = (request, plan) else {
+                increment(&self.counts.unmatched);
+                results.push(CheckResult::Unmatched);
                 continue;
             };
-            if over {
-                found.push(CheckResult::NotAsked);
+            if is_over {
+                results.push(CheckResult::NotAsked);
                 continue;
             }
-            match self.one(ask, plan, hold, until).await {
-                Ok((one, grant)) => {
-                    over |= one.is_over_limit();
-                    found.push(one);
+            match self.check_descriptor(request, plan, hold, until).await {
+                Ok((result, grant)) => {
+                    is_over |= result.is_over_limit();
+                    results.push(result);
                     held.extend(grant);
                 }
                 Err(what) => {
-                    wrong = Some(what);
+                    error = Some(what);
                     break;
                 }
             }
         }
-        let keep = !over && wrong.is_none();
+        let keep = !is_over && error.is_none();
         if !keep {
             self.counts.given_back.fetch_add(held.len() as u64, Ordering::Relaxed);
         }
         held.into_iter().for_each(|grant| grant.settle(keep));
-        if let Some(what) = wrong {
+        if let Some(what) = error {
             return Err(invalid(what));
         }
-        let of = asks.iter().zip(&plans).map(|(ask, plan)| ask.as_ref().zip(plan.as_ref()));
-        Ok(build_response(found.into_iter().zip(of)))
+        let of = requests.iter().zip(&plans).map(|(request, plan)| request.as_ref().zip(plan.as_ref()));
+        Ok(build_response(results.into_iter().zip(of)))
     }
 }
 
@@ -168,20 +174,21 @@
         &self,
         request: Request<RateLimitRequest>,
     ) -> Result<Response<RateLimitResponse>, Status> {
-        up(&self.counts.calls);
-        let most = self.rls.decide_within();
-        let within = grpc_timeout(request.metadata()).map_or(most, |t| t.saturating_sub(MARGIN).min(most));
+        increment(&self.counts.calls);
+        let limit = self.rls.decide_within();
+        let within =
+            grpc_timeout(request.metadata()).map_or(limit, |t| t.saturating_sub(RESPONSE_MARGIN).min(limit));
         let call = request.get_ref();
         let span = tracing::debug_span!("call", domain = call.domain, descriptors = call.descriptors.len());
         let answered = self.call(call, Instant::now() + within).instrument(span).await;
         if let Err(status) = &answered {
-            tracing::debug!(reason = status.message(), "a call is not answered");
+            tracing::debug!(reason = status.message(), "rejected a call");
         }
         answered.map(Response::new)
     }
 }
 
-/// A caller's own limit: up to 8 digits and a unit (the gRPC protocol over HTTP/2, "Timeout").
+/// The client's deadline: up to 8 digits and a unit ("Timeout" in the gRPC protocol over HTTP/2).
 fn grpc_timeout(metadata: &MetadataMap) -> Option<Duration> {
     let text = metadata.get("grpc-timeout")?.to_str().ok()?;
     let (digits, unit) = text.split_at_checked(text.len().checked_sub(1)?)?;
@@ -205,7 +212,7 @@
     use super::*;
 
     #[test]
-    fn a_callers_limit_is_read_as_the_protocol_writes_it() {
+    fn grpc_timeout_parses_digits_and_unit_and_rejects_other_values() {
         let read = |text: &str| {
             let mut metadata = MetadataMap::new();
             metadata.insert("grpc-timeout", text.parse().expect("ascii"));
--- a/crates/agent/src/serve.rs
+++ b/crates/agent/src/serve.rs
@@ -19,20 +19,22 @@
 use tonic::transport::server::TcpIncoming;
 use tonic::transport::{Certificate, Identity, Server, ServerTlsConfig};
 
-/// The longest call that is read, in bytes: more than the most descriptors of the most entries fill.
-const CALL_MOST: usize = 512 * 1024;
-/// Calls in hand on one connection.
-const STREAMS: u32 = 1024;
-/// A connection over which nothing comes is tested this often, and closed after as long again.
-const ALIVE: Duration = Duration::from_secs(20);
+/// The longest call that is accepted: longer than the allowed number of descriptors and entries can fill.
+const MAX_CALL_BYTES: usize = 512 * 1024;
+/// Limit of concurrent calls on one connection.
+const MAX_STREAMS_PER_CONNECTION: u32 = 1024;
+/// Interval of HTTP/2 keepalive pings on an idle connection. It is closed if the answer takes as long again.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(20);
 
-/// Calls in hand at a stop are answered within this time, or not at all.
-const CALLS_END: Duration = Duration::from_secs(2);
+/// How long a stopping agent waits for the calls in flight; calls that take longer are not answered.
+const SHUTDOWN_CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Runs until `stop` says so, then takes the last words of its gatekeepers.
+/// Runs the agent until `stop` becomes true, then collects the final usage reports of its gatekeepers.
+/// `ready` is called once the listeners are open, with the address of the rate limit service, if it is
+/// served.
 ///
 /// # Errors
-/// With one line on what can't be used.
+/// One line that names the setting, file or address that cannot be used.
 pub async fn run(
     config: Config,
     mut stop: watch::Receiver<bool>,
@@ -58,9 +60,9 @@
     crate::clock::set_off(&config.drill);
     let at = listener.as_ref().and_then(|l| l.local_addr().ok());
     let seat = match &config.council {
-        Some(part) => {
+        Some(council) => {
             let at = at.map_or(String::new(), |at| at.to_string());
-            Some(CouncilSeat::start(&config, part, &at, keeper.clone())?)
+            Some(CouncilSeat::start(&config, council, &at, keeper.clone())?)
         }
         None => None,
     };
@@ -87,33 +89,33 @@
                     let _ = stop.wait_for(|stop| *stop).await;
                 });
             if let Err(e) = served.await {
-                tracing::warn!("the control socket has failed: {e}; checks go on");
+                tracing::warn!("cannot serve the control socket: {e}; checks are still answered");
             }
         });
     }
     ready(at);
-    // Others are heard until the duties of this agent are theirs.
+    // The service stays up at a stop until this agent's duties have been handed to other agents.
     if let Some(seat) = seat.clone() {
-        let (late, stopped) = watch::channel(false);
-        let mut asked = std::mem::replace(&mut stop, stopped);
+        let (handed_over, stopped) = watch::channel(false);
+        let mut stop_requested = std::mem::replace(&mut stop, stopped);
         tokio::spawn(async move {
-            let _ = asked.wait_for(|stop| *stop).await;
+            let _ = stop_requested.wait_for(|stop| *stop).await;
             seat.close().await;
-            let _ = late.send(true);
+            let _ = handed_over.send(true);
         });
     }
     let served = match (listener, rls) {
         (Some(listener), Some(_)) => {
             let mut stopped = stop.clone();
-            let door = seat.as_ref().map(|s| CouncilService(s.clone()));
-            let served = serve_rls(listener, tls, service, door, fleet, stop);
+            let council_service = seat.as_ref().map(|s| CouncilService(s.clone()));
+            let served = serve_rls(listener, tls, service, council_service, fleet, stop);
             tokio::pin!(served);
             tokio::select! {
                 ended = &mut served => ended,
-                // A caller that never closes its connection must not keep it here.
+                // A client that never closes its connection must not keep the agent from ending.
                 () = async {
                     let _ = stopped.wait_for(|stop| *stop).await;
-                    tokio::time::sleep(CALLS_END).await;
+                    tokio::time::sleep(SHUTDOWN_CALL_TIMEOUT).await;
                 } => Ok(()),
             }
         }
@@ -122,7 +124,7 @@
             Ok(())
         }
     };
-    // Calls in hand may still have been charged: last words come after them.
+    // The calls in flight may still charge units, so the final usage reports are collected after them.
     if let Some(keeper) = keeper
         && served.is_ok()
     {
@@ -134,25 +136,28 @@
     served
 }
 
+/// Serves the rate limit service, gRPC health and reflection, and the council's service, until `stop` becomes
+/// true.
 async fn serve_rls(
     listener: TcpListener,
     tls: Option<ServerTlsConfig>,
     service: Service,
-    door: Option<CouncilService>,
+    council_service: Option<CouncilService>,
     fleet: Arc<Fleet>,
     mut stop: watch::Receiver<bool>,
 ) -> Result<(), String> {
     let (reporter, health) = tonic_health::server::health_reporter();
-    // Healthy is who can have checks decided: balancers take their calls elsewhere else.
-    let mut up = fleet.up();
+    // The service is healthy while a gatekeeper is connected. Otherwise load balancers send their calls
+    // elsewhere.
+    let mut connected = fleet.watch_connected();
     tokio::spawn(async move {
         loop {
-            if *up.borrow_and_update() > 0 {
+            if *connected.borrow_and_update() > 0 {
                 reporter.set_serving::<RateLimitServiceServer<Service>>().await;
             } else {
                 reporter.set_not_serving::<RateLimitServiceServer<Service>>().await;
             }
-            if up.changed().await.is_err() {
+            if connected.changed().await.is_err() {
                 return;
             }
         }
@@ -161,24 +166,24 @@
         .register_encoded_file_descriptor_set(frostvale_proto::RLS_DESCRIPTORS)
         .register_encoded_file_descriptor_set(tonic_health::pb::FILE_DESCRIPTOR_SET)
         .build_v1()
-        .map_err(|e| format!("reflection: {e}"))?;
+        .map_err(|e| format!("cannot set up gRPC reflection: {e}"))?;
     let mut server = Server::builder();
     if let Some(tls) = tls {
         server = server.tls_config(tls).map_err(|e| format!("rls.tls: {e}"))?;
     }
     server
-        .max_concurrent_streams(STREAMS)
-        .http2_keepalive_interval(Some(ALIVE))
-        .http2_keepalive_timeout(Some(ALIVE))
-        .add_service(RateLimitServiceServer::new(service).max_decoding_message_size(CALL_MOST))
+        .max_concurrent_streams(MAX_STREAMS_PER_CONNECTION)
+        .http2_keepalive_interval(Some(KEEPALIVE_INTERVAL))
+        .http2_keepalive_timeout(Some(KEEPALIVE_INTERVAL))
+        .add_service(RateLimitServiceServer::new(service).max_decoding_message_size(MAX_CALL_BYTES))
         .add_service(health)
         .add_service(reflection)
-        .add_optional_service(door.map(CouncilService::service))
+        .add_optional_service(council_service.map(CouncilService::service))
         .serve_with_incoming_shutdown(TcpIncoming::from(listener).with_nodelay(Some(true)), async move {
             let _ = stop.wait_for(|stop| *stop).await;
         })
         .await
-        .map_err(|e| format!("the rate limit service has failed: {e}"))
+        .map_err(|e| format!("cannot serve the rate limit service: {e}"))
 }
 
 fn server_tls(tls: &Tls) -> Result<ServerTlsConfig, String> {
@@ -190,15 +195,16 @@
     Ok(ServerTlsConfig::new().identity(identity).client_ca_root(ca))
 }
 
-/// A Unix socket that only its owner may connect to. A file that a dead process has left is replaced.
+/// Opens a Unix socket that only its owner may connect to. The socket file of a process that no longer runs
+/// is replaced.
 fn private_socket(path: &Path) -> Result<UnixListener, String> {
     frostvale_link::socket::listen(path).map_err(|e| format!("control.{e}"))
 }
 
-/// A client of an agent's control socket.
+/// Connects to an agent's control socket.
 ///
 /// # Errors
-/// When nobody listens there.
+/// If no process listens there.
 pub async fn control(
     socket: &Path,
 ) -> Result<frostvale_proto::agent::agent_client::AgentClient<tonic::transport::Channel>, String> {
