--- a/crates/agent/benches/record.rs
+++ b/crates/agent/benches/record.rs
@@ -1,9 +1,9 @@
-//! The store of record in figures: batches a second on both databases; with 100,000 shops the agent's memory, its start
-//! and the time from a kill to serving on recorded plans; and RESP2's p99 while the database is slow, hung and dead,
-//! beside that of a sound one, in one run. `cargo build --release --workspace`, then
-//! `cargo bench -p frostvale-agent --bench record`.
+//! Measures the record database: batches per second on both databases; with 100,000 shops the agent's memory,
+//! its start time and the time from a kill until the recorded plans are in effect; and the p99 of RESP2
+//! requests while the database is slow, hung and dead, against that of a healthy one in the same run. Run
+//! `cargo build --release --workspace` first, then `cargo bench -p frostvale-agent --bench record`.
 
-use frostvale_record::model::{Change, Plan as KeptPlan, TokenLevel, UsageBatch, UsageLine};
+use frostvale_record::model::{Change, Plan as RecordPlan, TokenLevel, UsageBatch, UsageLine};
 use frostvale_record::{Backend, Op, RecordLocation};
 use frostvale_standin::client::{ClientPool, Shop};
 use frostvale_standin::clock::unix_ms;
@@ -17,9 +17,12 @@
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
 
+/// Shops with a saved token level.
 const SHOPS: i64 = 100_000;
-const TIME: Duration = Duration::from_secs(4);
+/// Duration of each measurement.
+const MEASUREMENT_DURATION: Duration = Duration::from_secs(4);
 
+/// A usage batch of 20 lines.
 fn batch(seq: i64) -> UsageBatch {
     let line = |k: i64| UsageLine {
         shop: format!("{:016x}", 7919 * k),
@@ -34,18 +37,20 @@
     UsageBatch { instance: "n1".into(), epoch_ms: 1, seq, from_ms, to_ms, last: false, revision: 0, lines }
 }
 
-async fn batches(name: &str, backend: &dyn Backend) {
-    let (begun, mut seq) = (Instant::now(), 0);
-    while begun.elapsed() < TIME {
+/// Prints how many batches per second a database stores.
+async fn measure_batches(name: &str, backend: &dyn Backend) {
+    let (started, mut seq) = (Instant::now(), 0);
+    while started.elapsed() < MEASUREMENT_DURATION {
         let batches: Vec<UsageBatch> = (seq..seq + 64).map(batch).collect();
-        backend.run(Op::Append { batches, now_ms: seq }).await.expect("landed");
+        backend.run(Op::Append { batches, now_ms: seq }).await.expect("stored");
         seq += 64;
     }
-    let rate = seq as f64 / begun.elapsed().as_secs_f64();
+    let rate = seq as f64 / started.elapsed().as_secs_f64();
     println!("{name}: {rate:.0} batches of 20 lines a second, 64 in a transaction");
 }
 
-fn place(server: &Postgres, folder: &Path) -> RecordLocation {
+/// Location of the record in the PostgreSQL stand-in, with its password file in this folder.
+fn postgres_location(server: &Postgres, folder: &Path) -> RecordLocation {
     let password = folder.join("password");
     std::fs::write(&password, "bench").expect("written");
     RecordLocation {
@@ -54,8 +59,10 @@
     }
 }
 
-fn town(place: &RecordLocation, folder: &Path, gatekeepers: usize) -> ClusterOptions {
-    let password = place.password_file.as_ref().map_or(String::new(), |p| format!("password_file = {p:?}\n"));
+/// Options of a cluster with this record database.
+fn cluster_options(location: &RecordLocation, folder: &Path, gatekeepers: usize) -> ClusterOptions {
+    let password =
+        location.password_file.as_ref().map_or(String::new(), |p| format!("password_file = {p:?}\n"));
     ClusterOptions {
         gatekeepers,
         servers: 6,
@@ -69,13 +76,14 @@
         gatekeeper_settings: "[usage]\nreport_ms = 200\n".into(),
         agent_settings: format!(
             "[record]\nurl = {:?}\n{password}spool = {:?}\npoll_ms = 200\n",
-            place.url,
+            location.url,
             folder.join("spool.db")
         ),
         ..ClusterOptions::default()
     }
 }
 
+/// Resident memory of a process; 0 if it cannot be read.
 fn memory_mb(pid: Option<u32>) -> f64 {
     let status =
         pid.and_then(|pid| std::fs::read_to_string(format!("/proc/{pid}/status")).ok()).unwrap_or_default();
@@ -84,50 +92,51 @@
     kb / 1024.0
 }
 
-/// Kills gatekeeper and perhaps agent, and gives the time until the gatekeeper runs the recorded plans and its stores
-/// are restored.
-async fn recovery(town: &mut LocalCluster, agent_too: bool) -> (f64, f64) {
+/// Kills a gatekeeper, and the agent too where `agent_too` is set. Returns the seconds until the recorded
+/// plans are in effect at the gatekeeper, and until its token levels are restored.
+async fn recovery(cluster: &mut LocalCluster, agent_too: bool) -> (f64, f64) {
     if agent_too {
-        town.agent.as_mut().expect("an agent").kill().await;
+        cluster.agent.as_mut().expect("agent is running").kill().await;
     }
-    let restored = |town: &LocalCluster| {
-        let log = town.agent.as_ref().map_or(Vec::new(), frostvale_standin::local_cluster::Process::log);
+    let count_restored = |cluster: &LocalCluster| {
+        let log = cluster.agent.as_ref().map_or(Vec::new(), frostvale_standin::local_cluster::Process::log);
         log.iter().filter(|line| line.contains("stores are restored")).count()
     };
-    let before = if agent_too { 0 } else { restored(town) };
-    let begun = Instant::now();
-    town.gatekeepers[0].process.kill().await;
-    town.restart_gatekeeper(0).await.expect("started");
+    let before = if agent_too { 0 } else { count_restored(cluster) };
+    let started = Instant::now();
+    cluster.gatekeepers[0].process.kill().await;
+    cluster.restart_gatekeeper(0).await.expect("started");
     if agent_too {
-        town.start_agent().await.expect("started");
+        cluster.start_agent().await.expect("started");
     }
-    town.gatekeepers[0].process.wait_for_log("are in effect").await.expect("plans");
-    let plans = begun.elapsed().as_secs_f64();
-    while restored(town) == before && begun.elapsed() < Duration::from_secs(10) {
+    cluster.gatekeepers[0].process.wait_for_log("are in effect").await.expect("plans");
+    let plans = started.elapsed().as_secs_f64();
+    while count_restored(cluster) == before && started.elapsed() < Duration::from_secs(10) {
         tokio::time::sleep(Duration::from_millis(2)).await;
     }
-    (plans, begun.elapsed().as_secs_f64())
+    (plans, started.elapsed().as_secs_f64())
 }
 
-async fn many_shops() {
-    let folder = tempfile::tempdir().expect("a folder");
-    let place = RecordLocation::new(&format!("sqlite:{}", folder.path().join("record.db").display()));
-    let backend = place.open().await.expect("opened");
+/// Measures memory, start and recovery with the saved token levels of many shops.
+async fn measure_many_shops() {
+    let folder = tempfile::tempdir().expect("temporary folder");
+    let location = RecordLocation::new(&format!("sqlite:{}", folder.path().join("record.db").display()));
+    let backend = location.open().await.expect("opened");
     backend.migrate().await.expect("migrated");
     let now = i64::try_from(unix_ms()).expect("after 1970");
     let level = |k| TokenLevel { key: 7919 * k, plan: 0, store_milli: 5000, ceiling_milli: 0, at_ms: now };
     for from in (0..SHOPS).step_by(10_000) {
         let levels = (from..from + 10_000).map(level).collect();
-        backend.run(Op::SaveLevels { instance: "n1".into(), levels }).await.expect("kept");
+        backend.run(Op::SaveLevels { instance: "n1".into(), levels }).await.expect("levels saved");
     }
     let seen =
         Op::Seen { name: "n1".into(), host: "h".into(), epoch_ms: now - 9000, now_ms: now, revision: 0 };
     backend.run(seen).await.expect("seen");
-    let plan = KeptPlan {
+    let plan = RecordPlan {
         name: "wide".into(),
         rate_milli: 9_000_000,
         burst_milli: 9_000_000,
-        ..KeptPlan::default()
+        ..RecordPlan::default()
     };
     let change = Change {
         id: "bench".into(),
@@ -139,67 +148,71 @@
     };
     backend.run(Op::SetPlan(plan, change)).await.expect("set");
     drop(backend);
-    let begun = Instant::now();
-    let mut town = LocalCluster::start(town(&place, folder.path(), 1)).await.expect("started");
-    let agent = town.agent.as_mut().expect("an agent");
+    let started = Instant::now();
+    let mut cluster =
+        LocalCluster::start(cluster_options(&location, folder.path(), 1)).await.expect("started");
+    let agent = cluster.agent.as_mut().expect("agent is running");
     agent.wait_for_log("stores are restored").await.expect("restored");
     println!(
         "{SHOPS} shops: town up and stores restored after {:.2} s; agent {:.0} MB, gatekeeper {:.0} MB",
-        begun.elapsed().as_secs_f64(),
-        memory_mb(town.agent.as_ref().and_then(frostvale_standin::local_cluster::Process::pid)),
-        memory_mb(town.gatekeepers[0].process.pid()),
+        started.elapsed().as_secs_f64(),
+        memory_mb(cluster.agent.as_ref().and_then(frostvale_standin::local_cluster::Process::pid)),
+        memory_mb(cluster.gatekeepers[0].process.pid()),
     );
-    // The agent hears of all stores before any is lost with it.
+    // The gatekeeper reports all token levels to the agent before either is killed.
     tokio::time::sleep(Duration::from_secs(6)).await;
     for (what, agent_too) in [("gatekeeper", false), ("gatekeeper and agent", true)] {
-        let (plans, stores) = recovery(&mut town, agent_too).await;
+        let (plans, stores) = recovery(&mut cluster, agent_too).await;
         println!(
             "{SHOPS} shops, {what} killed: on recorded plans after {plans:.2} s, stores restored after {stores:.2} s"
         );
     }
-    town.stop().await;
+    cluster.stop().await;
 }
 
-/// p50 and p99 of RESP2 in ms, 16 clients that ask without a pause.
-async fn latency(town: &LocalCluster) -> (f64, f64, usize) {
-    let begun = Instant::now();
+/// Sends RESP2 requests from 16 clients without a pause. Returns p50 and p99 in ms, and the number of
+/// requests.
+async fn measure_latency(cluster: &LocalCluster) -> (f64, f64, usize) {
+    let started = Instant::now();
     let mut tasks = Vec::new();
     for c in 0..16u64 {
-        let pool = ClientPool::new(town.gatekeepers[c as usize % 2].resp);
+        let pool = ClientPool::new(cluster.gatekeepers[c as usize % 2].resp);
         tasks.push(tokio::spawn(async move {
             let mut times = Vec::new();
-            while begun.elapsed() < TIME {
+            while started.elapsed() < MEASUREMENT_DURATION {
                 let shop = Shop {
                     id: format!("{:016x}", 0x5000 + c),
                     plan: "wide".into(),
                     first: (c % 2) as u32,
                     spread: 1,
                 };
-                let asked = Instant::now();
+                let sent = Instant::now();
                 let answer = pool.send_request(&shop, "formula-read", None, 1, Duration::from_secs(1)).await;
                 assert!(matches!(answer, Ok(Answer::Served(_) | Answer::Busy(_))), "{answer:?}");
-                times.push(asked.elapsed().as_micros() as u64);
+                times.push(sent.elapsed().as_micros() as u64);
             }
             times
         }));
     }
     let mut all = Vec::new();
     for task in tasks {
-        all.extend(task.await.expect("ended"));
+        all.extend(task.await.expect("task ended"));
     }
     all.sort_unstable();
-    let at = |q: usize| all[all.len() * q / 1000] as f64 / 1000.0;
-    (at(500), at(990), all.len())
+    let percentile = |q: usize| all[all.len() * q / 1000] as f64 / 1000.0;
+    (percentile(500), percentile(990), all.len())
 }
 
-async fn failing_database() {
-    let folder = tempfile::tempdir().expect("a folder");
+/// Measures request latency under faults of the database.
+async fn measure_failing_database() {
+    let folder = tempfile::tempdir().expect("temporary folder");
     let file = folder.path().join("pg.db");
     let server =
         Postgres::start(Ipv4Addr::LOCALHOST.into(), &file, "bench", Login::Scram).await.expect("started");
-    let place = place(&server, folder.path());
-    let mut town = LocalCluster::start(town(&place, folder.path(), 2)).await.expect("started");
-    latency(&town).await;
+    let location = postgres_location(&server, folder.path());
+    let mut cluster =
+        LocalCluster::start(cluster_options(&location, folder.path(), 2)).await.expect("started");
+    measure_latency(&cluster).await;
     let mut base = 0.0;
     for what in ["sound", "slow: 2 s a statement", "sound again", "hung", "dead"] {
         let faults = &server.faults;
@@ -209,31 +222,31 @@
         if what == "dead" {
             faults.cut_after.store(0, Ordering::SeqCst);
         }
-        let (p50, p99, n) = latency(&town).await;
+        let (p50, p99, n) = measure_latency(&cluster).await;
         base = if what == "sound" { p99 } else { base };
         println!(
             "database {what}: RESP2 p50 {p50:.2} ms, p99 {p99:.2} ms ({n} requests), p99 {:.2} of sound",
             p99 / base
         );
     }
-    town.stop().await;
+    cluster.stop().await;
 }
 
 fn main() {
-    let runtime = tokio::runtime::Runtime::new().expect("a runtime");
+    let runtime = tokio::runtime::Runtime::new().expect("runtime started");
     runtime.block_on(async {
-        let folder = tempfile::tempdir().expect("a folder");
+        let folder = tempfile::tempdir().expect("temporary folder");
         let sqlite = RecordLocation::new(&format!("sqlite:{}", folder.path().join("record.db").display()));
         let backend = sqlite.open().await.expect("opened");
         backend.migrate().await.expect("migrated");
-        batches("SQLite", &*backend).await;
+        measure_batches("SQLite", &*backend).await;
         let file = folder.path().join("pg.db");
         let server =
             Postgres::start(Ipv4Addr::LOCALHOST.into(), &file, "bench", Login::Scram).await.expect("started");
-        let backend = place(&server, folder.path()).open().await.expect("opened");
+        let backend = postgres_location(&server, folder.path()).open().await.expect("opened");
         backend.migrate().await.expect("migrated");
-        batches("PostgreSQL stand-in", &*backend).await;
-        many_shops().await;
-        failing_database().await;
+        measure_batches("PostgreSQL stand-in", &*backend).await;
+        measure_many_shops().await;
+        measure_failing_database().await;
     });
 }
