--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,5 +1,6 @@
-//! Stand-ins for all that stands around a gatekeeper, written from the public protocols alone: for tests, and for
-//! `frostctl dev`. Each is a file, listens on loopback, books what it was sent and does wrong on demand.
+//! Stand-ins for the systems around a gatekeeper, for tests and for `frostctl dev`. They are written from the public
+//! protocols alone. Each stand-in has its own file, listens on loopback, records what it receives and can inject
+//! faults on demand.
 
 pub mod client;
 pub mod clock;
--- a/crates/standin/src/local_cluster.rs
+++ b/crates/standin/src/local_cluster.rs
@@ -1,5 +1,5 @@
-//! The whole town on one machine: formula servers, discovery and counter as stand-ins in this process, gatekeepers
-//! and an agent as processes of their own. For `frostctl dev` and for tests.
+//! A local cluster on one machine, for `frostctl dev` and for tests. Formula servers, discovery and the shared counter
+//! are stand-ins in this process; the gatekeepers and the agent run as child processes.
 
 pub mod zone_views;
 
@@ -22,14 +22,16 @@
 use tokio::process::{Child, Command};
 use tokio::sync::watch;
 
-/// Nothing of a town takes so long to start.
-const START: Duration = Duration::from_secs(20);
+/// The longest wait for a log line of a process, also while it starts.
+const START_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// How long gatekeepers are given to drain and to speak their last word, and an agent to take it and land it.
-const STOP: Duration = Duration::from_secs(8);
-const AGENT_STOP: Duration = Duration::from_secs(14);
+/// How long the gatekeepers have to drain and to send their final usage report before they are killed.
+const GATEKEEPER_STOP_TIMEOUT: Duration = Duration::from_secs(8);
+/// How long the agent has to receive and store the final usage reports before it is killed.
+const AGENT_STOP_TIMEOUT: Duration = Duration::from_secs(14);
 
-/// A loopback address of this process's own, so that towns beside each other don't meet.
+/// Returns a loopback address for one cluster, derived from the process id and a counter, so that clusters that run at
+/// the same time do not collide. Outside Linux it is always 127.0.0.1.
 #[must_use]
 pub fn own_ip() -> IpAddr {
     static NEXT: AtomicU32 = AtomicU32::new(0);
@@ -37,64 +39,69 @@
         return Ipv4Addr::LOCALHOST.into();
     }
     let n = std::process::id().wrapping_mul(16).wrapping_add(NEXT.fetch_add(1, Ordering::Relaxed));
-    // 127.64.0.0 and up; the last byte is neither 0 nor 255.
+    // Addresses start at 127.64.0.0; the last byte is never 0 or 255.
     Ipv4Addr::new(127, 64 + (n >> 16 & 63) as u8, (n >> 8) as u8, 1 + (n & 0xff).min(253) as u8).into()
 }
 
-/// Where tests keep files: in memory, where there is room for them. Councils sync each step and their leases last
-/// 600 ms here; a disk that takes 0.1 s for a sync would end leases that no test means to end.
+/// Returns the parent folder for test files: `/dev/shm` if it has at least 1 GiB available, else the system's
+/// temporary folder. The consensus group syncs its file at each step and its leases last 600 ms in tests; on a disk
+/// that takes 0.1 s per sync, leases would expire in tests that do not intend it.
 #[must_use]
 pub fn scratch_folder() -> PathBuf {
     const IN_MEMORY: &str = "/dev/shm";
-    const ROOM_BYTES: u64 = 1 << 30;
-    let has_room = rustix::fs::statvfs(IN_MEMORY).is_ok_and(|s| s.f_bavail * s.f_frsize >= ROOM_BYTES);
-    if has_room { PathBuf::from(IN_MEMORY) } else { std::env::temp_dir() }
+    const MIN_AVAILABLE_BYTES: u64 = 1 << 30;
+    let has_space =
+        rustix::fs::statvfs(IN_MEMORY).is_ok_and(|s| s.f_bavail * s.f_frsize >= MIN_AVAILABLE_BYTES);
+    if has_space { PathBuf::from(IN_MEMORY) } else { std::env::temp_dir() }
 }
 
-/// A program that the workspace builds: beside this one, or where its tests are.
+/// Returns the path of a program of this workspace. It is searched for in the folder of the running executable and in
+/// that folder's parent (test executables are in `deps/`).
 ///
 /// # Errors
-/// When it is not built.
+/// When the program is in neither folder.
 pub fn program(name: &str) -> Result<PathBuf, String> {
-    let own = std::env::current_exe().map_err(|e| format!("this program's own place is not known: {e}"))?;
-    let near = own.ancestors().skip(1).take(2).map(|folder| folder.join(name)).find(|path| path.is_file());
-    near.ok_or_else(|| {
-        format!("{name} is not beside {}; build it: cargo build --release --workspace", own.display())
+    let own = std::env::current_exe()
+        .map_err(|e| format!("cannot find the path of the running executable: {e}"))?;
+    let found = own.ancestors().skip(1).take(2).map(|folder| folder.join(name)).find(|path| path.is_file());
+    found.ok_or_else(|| {
+        format!("cannot find {name} beside {}; build it: cargo build --release --workspace", own.display())
     })
 }
 
-/// What a town is to be.
+/// Options of a local cluster.
 #[derive(Clone)]
 pub struct ClusterOptions {
-    /// Gatekeepers, 1 to 100.
+    /// Number of gatekeepers: 1 to 100, or 0 to 100 without an agent.
     pub gatekeepers: usize,
-    /// Formula servers.
+    /// Number of formula servers.
     pub servers: usize,
-    /// How each works.
+    /// Options of each formula server.
     pub formula: ServerOptions,
-    /// Plans, as the platform's settings write them; none is the brief's four.
+    /// Plans, in the form of the platform's settings. `None` stands for `example_plans`.
     pub plans: Option<Value>,
-    /// For the gatekeepers' own files: the section on an outside service.
+    /// TOML text appended to the local settings file of each gatekeeper.
     pub gatekeeper_settings: String,
-    /// For the agent's file, beside its gatekeepers: sections of their own.
+    /// TOML sections appended to the agent's settings file.
     pub agent_settings: String,
-    /// The agent's rate limit section, without its listener.
+    /// TOML lines appended to the `[rls]` section of the agent's settings file, after `listen`.
     pub rls: String,
     /// Whether an agent is started.
     pub agent: bool,
-    /// Whether each zone reaches servers by ways of its own.
+    /// Whether each zone reaches the servers through proxies of its own (see `zone_views`).
     pub views: bool,
-    /// What a program is started with in front of it, if anything.
+    /// Command and arguments placed in front of each program. Empty: the program is started directly.
     pub launcher: Vec<String>,
-    /// Where configurations, sockets and logs go; none is a new folder that goes with the town.
+    /// Folder of the settings files, sockets and logs. `None` creates a new folder that is removed when the cluster is
+    /// dropped.
     pub folder: Option<PathBuf>,
-    /// Whether gatekeepers may send each other notes.
+    /// Whether gatekeepers send each other peer messages (`Bounds.Peers`).
     pub notes: bool,
-    /// The units that one request may count at the most.
+    /// The maximum units of one request (`Domain.Largest`).
     pub largest: u32,
-    /// By how many ms each gatekeeper's host has its clock ahead; none is right.
+    /// How far the clock of each gatekeeper's host is ahead, in ms, by gatekeeper number. A missing entry means 0.
     pub clocks_ahead_ms: Vec<i64>,
-    /// How programs write their log lines: `text` or `json`.
+    /// Log format of the programs: `text` or `json`.
     pub log_format: String,
 }
 
@@ -120,7 +127,7 @@
     }
 }
 
-/// The brief's four plans.
+/// Returns the four example plans, in the form of the platform's settings.
 #[must_use]
 pub fn example_plans() -> Value {
     json!([
@@ -133,16 +140,16 @@
     ])
 }
 
-/// The names of the town's plans, by number.
+/// Returns the names of the plans, in their order.
 #[must_use]
 pub fn plan_names(plans: &Value) -> Vec<String> {
     let names = plans.as_array().map(Vec::as_slice).unwrap_or_default().iter();
     names.filter_map(|p| p["Name"].as_str().map(str::to_string)).collect()
 }
 
-/// A process of the town.
+/// A child process of the cluster, with its captured log.
 pub struct Process {
-    /// Its name.
+    /// Name of the process, used in error messages.
     pub name: String,
     child: Child,
     log: Arc<Mutex<Vec<String>>>,
@@ -151,82 +158,91 @@
 
 impl Process {
     pub(crate) async fn start(name: &str, mut command: Command, log_file: &Path) -> Result<Process, String> {
-        // A signal to this process's group, as Ctrl-C sends it, is not theirs: the town ends in its order.
+        // The child gets a process group of its own, so that Ctrl-C, which signals the whole foreground group, does not
+        // end it: the cluster stops its processes in order.
         command.process_group(0);
         command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::piped()).kill_on_drop(true);
-        let mut child = ports::start(&mut command).map_err(|e| format!("{name}: cannot be started: {e}"))?;
-        let Some(stderr) = child.stderr.take() else { return Err(format!("{name}: has no log")) };
+        let mut child = ports::start(&mut command).map_err(|e| format!("cannot start {name}: {e}"))?;
+        let Some(stderr) = child.stderr.take() else {
+            return Err(format!("cannot read the log of {name}: standard error is not a pipe"));
+        };
         let mut file = tokio::fs::OpenOptions::new()
             .create(true)
             .append(true)
             .open(log_file)
             .await
-            .map_err(|e| format!("{name}: its log {}: {e}", log_file.display()))?;
+            .map_err(|e| format!("cannot open the log of {name}: {}: {e}", log_file.display()))?;
         let log: Arc<Mutex<Vec<String>>> = Arc::default();
-        let (told, lines) = watch::channel(0);
-        let kept = log.clone();
+        let (line_count, lines) = watch::channel(0);
+        let shared_log = log.clone();
         tokio::spawn(async move {
-            let mut read = BufReader::new(stderr).lines();
-            while let Ok(Some(line)) = read.next_line().await {
+            let mut reader = BufReader::new(stderr).lines();
+            while let Ok(Some(line)) = reader.next_line().await {
                 let _ = file.write_all(format!("{line}\n").as_bytes()).await;
                 let _ = file.flush().await;
                 let count = {
-                    let mut log = kept.lock().unwrap_or_else(PoisonError::into_inner);
-                    // The file has all of them.
+                    let mut log = shared_log.lock().unwrap_or_else(PoisonError::into_inner);
+                    // Limits memory; the file holds all lines.
                     if log.len() < 10_000 {
                         log.push(line);
                     }
                     log.len()
                 };
-                told.send_replace(count);
+                line_count.send_replace(count);
             }
         });
         Ok(Process { name: name.to_string(), child, log, lines })
     }
 
-    /// Its log so far.
+    /// Returns the log lines so far, at most the first 10,000.
     #[must_use]
     pub fn log(&self) -> Vec<String> {
         self.log.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// Waits until a line of its log holds this text, and gives the line.
+    /// Waits until a log line contains `text`, and returns the line.
     ///
     /// # Errors
-    /// When that takes too long, or it ends before.
+    /// When there is no such line within `START_TIMEOUT`, or the process closes its log first.
     pub async fn wait_for_log(&mut self, text: &str) -> Result<String, String> {
         self.wait_for_log_times(text, 1).await
     }
 
-    /// Waits until so many lines of its log hold this text, and gives the last of them.
+    /// Waits until `times` log lines contain `text`, and returns the last of them.
     ///
     /// # Errors
-    /// When that takes too long, or it ends before.
+    /// When there are too few such lines within `START_TIMEOUT`, or the process closes its log first.
     pub async fn wait_for_log_times(&mut self, text: &str, times: usize) -> Result<String, String> {
-        let until = tokio::time::Instant::now() + START;
+        let deadline = tokio::time::Instant::now() + START_TIMEOUT;
         loop {
             let _ = self.lines.borrow_and_update();
             let found = self.log().into_iter().filter(|line| line.contains(text)).nth(times - 1);
             if let Some(line) = found {
                 return Ok(line);
             }
-            let ended = tokio::time::timeout_at(until, self.lines.changed()).await;
-            let last = || self.log().last().cloned().unwrap_or_default();
-            match ended {
+            let changed = tokio::time::timeout_at(deadline, self.lines.changed()).await;
+            let last_line = || self.log().last().cloned().unwrap_or_default();
+            match changed {
                 Ok(Ok(())) => {}
-                Ok(Err(_)) => return Err(format!("{} has ended: {}", self.name, last())),
-                Err(_) => return Err(format!("{} never said {text:?}; last: {}", self.name, last())),
+                Ok(Err(_)) => return Err(format!("{} ended; last log line: {}", self.name, last_line())),
+                Err(_) => {
+                    return Err(format!(
+                        "{} did not log {text:?} in time; last log line: {}",
+                        self.name,
+                        last_line()
+                    ));
+                }
             }
         }
     }
 
-    /// Its process id while it runs.
+    /// The process id, or `None` once the process has ended and was waited for.
     #[must_use]
     pub fn pid(&self) -> Option<u32> {
         self.child.id()
     }
 
-    /// Sends it a signal by its number's name, as `kill -NAME` does.
+    /// Sends the process a signal by name, as `kill -NAME` does (`TERM`, `GATEKEEPER_STOP_TIMEOUT`).
     pub async fn signal(&self, name: &str) {
         if let Some(pid) = self.pid() {
             let mut kill = Command::new("kill");
@@ -237,89 +253,91 @@
         }
     }
 
-    /// Kills it, and waits until it is gone.
+    /// Kills the process and waits until it has ended.
     pub async fn kill(&mut self) {
         let _ = self.child.kill().await;
     }
 
-    /// Waits until it has ended.
+    /// Waits until the process has ended, and returns its exit status.
     pub async fn wait(&mut self) -> Option<ExitStatus> {
         self.child.wait().await.ok()
     }
 
-    /// How it ended, if it has.
+    /// Returns the exit status if the process has ended.
     pub fn has_ended(&mut self) -> Option<ExitStatus> {
         self.child.try_wait().ok().flatten()
     }
 
-    /// CPU time that it has used, in ms; 0 where that can't be told.
+    /// CPU time (user and system) used by the process, in ms, at 100 clock ticks per second; 0 where `/proc` does not
+    /// tell it.
     #[must_use]
     pub fn cpu_ms(&self) -> u64 {
         let stat = self.pid().and_then(|pid| fs::read_to_string(format!("/proc/{pid}/stat")).ok());
         let ticks = stat.and_then(|s| {
             let rest = s.rsplit_once(')')?.1.to_string();
-            let words: Vec<&str> = rest.split_whitespace().collect();
-            Some(words.get(11)?.parse::<u64>().ok()? + words.get(12)?.parse::<u64>().ok()?)
+            let fields: Vec<&str> = rest.split_whitespace().collect();
+            Some(fields.get(11)?.parse::<u64>().ok()? + fields.get(12)?.parse::<u64>().ok()?)
         });
         ticks.unwrap_or(0) * 10
     }
 
-    /// Asks it to end and waits, but not for ever.
-    pub async fn stop(&mut self, most: Duration) {
+    /// Sends SIGTERM and waits for the process to end; kills it after `timeout`.
+    pub async fn stop(&mut self, timeout: Duration) {
         self.signal("TERM").await;
-        if tokio::time::timeout(most, self.child.wait()).await.is_err() {
+        if tokio::time::timeout(timeout, self.child.wait()).await.is_err() {
             self.kill().await;
         }
     }
 }
 
-/// A gatekeeper of the town.
+/// A gatekeeper of the cluster.
 pub struct Gatekeeper {
-    /// Its name.
+    /// Name: `n1`, `n2`, and so on.
     pub name: String,
-    /// Its number.
+    /// Number, from 0.
     pub number: u32,
-    /// Where clients connect.
+    /// Address where clients connect (RESP).
     pub resp: SocketAddr,
-    /// The socket of its link.
+    /// Unix socket of its link to the agent.
     pub socket: PathBuf,
-    /// Its configuration.
+    /// Its configuration file (JSON).
     pub config: PathBuf,
-    /// Its own file.
+    /// Its local settings file (TOML).
     pub local_settings: PathBuf,
-    /// Its process.
+    /// The running process.
     pub process: Process,
 }
 
-/// A running town. Its processes end with it.
+/// A running local cluster. Its processes are killed when it is dropped.
 pub struct LocalCluster {
-    /// Everything of it stands here.
+    /// Folder of the settings files, sockets and logs.
     pub folder: PathBuf,
     own_folder: bool,
-    /// Its loopback address.
+    /// Loopback address of all its listeners.
     pub ip: IpAddr,
     /// The formula servers.
     pub servers: Vec<FormulaServer>,
-    /// The list of them.
+    /// Discovery, which lists the formula servers.
     pub discovery: Discovery,
     /// The shared counter.
     pub counter: SharedCounter,
     /// The gatekeepers, by number.
     pub gatekeepers: Vec<Gatekeeper>,
-    /// Discovery and servers as each zone sees them, where zones have ways of their own.
+    /// Discovery and servers as each zone sees them; empty unless `ClusterOptions::views` is set.
     pub zone_views: Vec<ZoneView>,
+    /// The keys that the servers of each rack share.
     pub(crate) racks: Vec<SharedKeys>,
-    /// Servers that others took the place of.
+    /// Formula servers that were replaced by new ones.
     pub retired_servers: Vec<FormulaServer>,
-    /// The agent.
+    /// The agent, if one was started.
     pub agent: Option<Process>,
-    /// Where the agent answers rate limit calls.
+    /// Address where the agent serves rate limit calls.
     pub rls: SocketAddr,
-    /// Where the agent's operators ask.
+    /// Unix socket for the agent's operators.
     pub control: PathBuf,
-    /// The plans' names.
+    /// Names of the plans.
     pub plans: Vec<String>,
-    plan: ClusterOptions,
+    options: ClusterOptions,
 }
 
 impl Drop for LocalCluster {
@@ -331,51 +349,54 @@
 }
 
 impl LocalCluster {
-    /// Starts it, and waits until all serve.
+    /// Starts the cluster and waits until all its parts serve.
     ///
     /// # Errors
-    /// With what did not start.
-    pub async fn start(plan: ClusterOptions) -> Result<LocalCluster, String> {
+    /// When the number of gatekeepers is out of range, a file cannot be written, or a part does not start.
+    pub async fn start(options: ClusterOptions) -> Result<LocalCluster, String> {
         static NEXT: AtomicU32 = AtomicU32::new(0);
-        let least = usize::from(plan.agent);
-        if !(least..=100).contains(&plan.gatekeepers) {
-            return Err(format!("gatekeepers: {}; {least} to 100", plan.gatekeepers));
+        let min_gatekeepers = usize::from(options.agent);
+        if !(min_gatekeepers..=100).contains(&options.gatekeepers) {
+            return Err(format!(
+                "cannot start {} gatekeepers: the range is {min_gatekeepers} to 100",
+                options.gatekeepers
+            ));
         }
         let ip = own_ip();
-        let own_folder = plan.folder.is_none();
-        let folder = plan.folder.clone().unwrap_or_else(|| {
+        let own_folder = options.folder.is_none();
+        let folder = options.folder.clone().unwrap_or_else(|| {
             let n = NEXT.fetch_add(1, Ordering::Relaxed);
             scratch_folder().join(format!("frostvale-{}-{n}", std::process::id()))
         });
         fs::create_dir_all(&folder).map_err(|e| format!("{}: {e}", folder.display()))?;
         let folder = folder.canonicalize().map_err(|e| format!("{}: {e}", folder.display()))?;
-        let start = |e: std::io::Error| format!("a stand-in cannot listen at {ip}: {e}");
-        let discovery = Discovery::start(ip).await.map_err(start)?;
-        let counter = SharedCounter::start(ip).await.map_err(start)?;
+        let listen_error = |e: std::io::Error| format!("cannot start a stand-in at {ip}: {e}");
+        let discovery = Discovery::start(ip).await.map_err(listen_error)?;
+        let counter = SharedCounter::start(ip).await.map_err(listen_error)?;
         let racks: Vec<SharedKeys> = (0..3).map(|_| SharedKeys::default()).collect();
         let mut servers = Vec::new();
-        for k in 0..plan.servers {
+        for k in 0..options.servers {
             let uid = format!("formula{}", k + 1);
-            let server = FormulaServer::start(&uid, ip, plan.formula.clone(), racks[k % 3].clone(), false)
+            let server = FormulaServer::start(&uid, ip, options.formula.clone(), racks[k % 3].clone(), false)
                 .await
-                .map_err(start)?;
+                .map_err(listen_error)?;
             discovery.set(&uid, target(&server, k));
             servers.push(server);
         }
         let zone_views =
-            if plan.views { ZoneView::all(ip, &servers).await.map_err(start)? } else { Vec::new() };
-        let plans = plan.plans.clone().unwrap_or_else(example_plans);
+            if options.views { ZoneView::all(ip, &servers).await.map_err(listen_error)? } else { Vec::new() };
+        let plans = options.plans.clone().unwrap_or_else(example_plans);
         let rls = SocketAddr::new(ip, free_port(ip)?);
         let mut ports = Vec::new();
-        for _ in 0..2 * plan.gatekeepers {
+        for _ in 0..2 * options.gatekeepers {
             let mut port = free_port(ip)?;
             while ports.contains(&port) || port == rls.port() {
                 port = free_port(ip)?;
             }
             ports.push(port);
         }
-        let (resp, notes) = ports.split_at(plan.gatekeepers);
-        let mut town = LocalCluster {
+        let (resp_ports, peer_ports) = ports.split_at(options.gatekeepers);
+        let mut cluster = LocalCluster {
             control: folder.join("agent.sock"),
             plans: plan_names(&plans),
             ip,
@@ -390,35 +411,43 @@
             agent: None,
             rls,
             folder,
-            plan,
+            options,
         };
-        for (k, port) in resp.iter().enumerate() {
+        for (k, port) in resp_ports.iter().enumerate() {
             let resp = SocketAddr::new(ip, *port);
-            town.write(k, resp, notes, &plans)?;
+            cluster.write_settings(k, resp, peer_ports, &plans)?;
             let name = format!("n{}", k + 1);
             let gatekeeper = Gatekeeper {
                 number: u32::try_from(k).unwrap_or(0),
                 resp,
-                socket: town.folder.join(format!("{name}.sock")),
-                config: town.folder.join(format!("{name}.json")),
-                local_settings: town.folder.join(format!("{name}.toml")),
-                process: town.spawn_gatekeeper(k).await?,
+                socket: cluster.folder.join(format!("{name}.sock")),
+                config: cluster.folder.join(format!("{name}.json")),
+                local_settings: cluster.folder.join(format!("{name}.toml")),
+                process: cluster.spawn_gatekeeper(k).await?,
                 name,
             };
-            town.gatekeepers.push(gatekeeper);
+            cluster.gatekeepers.push(gatekeeper);
         }
-        for g in &mut town.gatekeepers {
+        for g in &mut cluster.gatekeepers {
             g.process.wait_for_log("serves at").await?;
         }
-        if town.plan.agent {
-            town.start_agent().await?;
+        if cluster.options.agent {
+            cluster.start_agent().await?;
         }
-        Ok(town)
+        Ok(cluster)
     }
 
-    fn write(&self, k: usize, listen: SocketAddr, notes: &[u16], plans: &Value) -> Result<(), String> {
+    /// Writes the configuration and the local settings file of the gatekeeper number `k`.
+    fn write_settings(
+        &self,
+        k: usize,
+        listen: SocketAddr,
+        peer_ports: &[u16],
+        plans: &Value,
+    ) -> Result<(), String> {
         let name = format!("n{}", k + 1);
-        let peers: Vec<String> = notes.iter().map(|p| SocketAddr::new(self.ip, *p).to_string()).collect();
+        let peers: Vec<String> =
+            peer_ports.iter().map(|p| SocketAddr::new(self.ip, *p).to_string()).collect();
         let config = json!({
             "name": name, "listen": listen.to_string(),
             "discovery": zone_views::discovery_address(&self.zone_views, k, &self.discovery).to_string(),
@@ -426,10 +455,10 @@
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
             "peer_listen": peers[k], "peers": peers, "counter": self.counter.at.to_string(),
             "settings": {
-                "Balancers": self.plan.gatekeepers, "Me": k, "Zone": k % 3,
+                "Balancers": self.options.gatekeepers, "Me": k, "Zone": k % 3,
                 "Areas": zone_views::ZONES, "Kinds": ["std-2", "slow-3"],
-                "Bounds": {"Peers": self.plan.notes, "TryLimit": 3},
-                "Domain": {"PeerIntake": 60.0, "Largest": self.plan.largest},
+                "Bounds": {"Peers": self.options.notes, "TryLimit": 3},
+                "Domain": {"PeerIntake": 60.0, "Largest": self.options.largest},
                 "Rules": {"ColdFrom": 0.25, "WarmWithin": 4000.0},
                 "Classes": [
                     {"Name": "formula-read", "Worth": 1.0, "Target": 400.0, "Deadline": 1000.0,
@@ -441,25 +470,26 @@
             },
         });
         let socket = self.folder.join(format!("{name}.sock"));
-        let extra = format!(
+        let local_settings = format!(
             "clock_ahead_ms = {}\n[link]\nsocket = {:?}\n[log]\nformat = {:?}\n{}",
-            self.plan.clocks_ahead_ms.get(k).copied().unwrap_or(0),
+            self.options.clocks_ahead_ms.get(k).copied().unwrap_or(0),
             socket.display().to_string(),
-            self.plan.log_format,
-            self.plan.gatekeeper_settings
+            self.options.log_format,
+            self.options.gatekeeper_settings
         );
-        let put = |file: String, text: String| {
+        let write_file = |file: String, text: String| {
             let path = self.folder.join(file);
             fs::write(&path, text).map_err(|e| format!("{}: {e}", path.display()))
         };
-        put(format!("{name}.json"), config.to_string())?;
-        put(format!("{name}.toml"), extra)
+        write_file(format!("{name}.json"), config.to_string())?;
+        write_file(format!("{name}.toml"), local_settings)
     }
 
+    /// Returns the command that starts `program`, behind the launcher if there is one.
     fn command(&self, program: &Path) -> Command {
-        let mut words = self.plan.launcher.iter().map(PathBuf::from).chain([program.to_path_buf()]);
-        let mut command = Command::new(words.next().unwrap_or_default());
-        command.args(words);
+        let mut arguments = self.options.launcher.iter().map(PathBuf::from).chain([program.to_path_buf()]);
+        let mut command = Command::new(arguments.next().unwrap_or_default());
+        command.args(arguments);
         command
     }
 
@@ -474,10 +504,10 @@
         Process::start(&name, command, &self.folder.join(format!("{name}.log"))).await
     }
 
-    /// Starts a gatekeeper again that has ended, and waits until it serves.
+    /// Restarts a gatekeeper that has ended, and waits until it serves.
     ///
     /// # Errors
-    /// When it does not start.
+    /// When the gatekeeper does not start.
     pub async fn restart_gatekeeper(&mut self, k: usize) -> Result<(), String> {
         let mut process = self.spawn_gatekeeper(k).await?;
         process.wait_for_log("serves at").await?;
@@ -485,10 +515,11 @@
         Ok(())
     }
 
-    /// Where the agent finds a gatekeeper's link, if not at the gatekeeper's own socket.
+    /// Starts the agent and waits until it is linked with all gatekeepers. `sockets` gives, by gatekeeper name, the
+    /// socket that the agent connects to in place of the gatekeeper's own.
     ///
     /// # Errors
-    /// When it does not start.
+    /// When the settings file cannot be written, the agent does not start, or a link is not made in time.
     pub async fn start_agent_with(&mut self, sockets: &BTreeMap<String, PathBuf>) -> Result<(), String> {
         let mut text = String::from("name = \"agent\"\n");
         for g in &self.gatekeepers {
@@ -498,12 +529,12 @@
         text.push_str(&format!("[control]\nsocket = {:?}\n", self.control.display().to_string()));
         text.push_str(&format!(
             "[rls]\nlisten = \"{}\"\n{}\n{}\n",
-            self.rls, self.plan.rls, self.plan.agent_settings
+            self.rls, self.options.rls, self.options.agent_settings
         ));
         let path = self.folder.join("agent.toml");
         fs::write(&path, text).map_err(|e| format!("{}: {e}", path.display()))?;
         let mut command = self.command(&program("frostagent")?);
-        command.arg("--config").arg(&path).arg("--log-format").arg(&self.plan.log_format);
+        command.arg("--config").arg(&path).arg("--log-format").arg(&self.options.log_format);
         let mut agent = Process::start("agent", command, &self.folder.join("agent.log")).await?;
         agent.wait_for_log("serves rate limits at").await?;
         agent.wait_for_log_times("is linked, number", self.gatekeepers.len()).await?;
@@ -511,18 +542,18 @@
         Ok(())
     }
 
-    /// Starts the agent, and waits until it is linked with all gatekeepers.
+    /// Starts the agent and waits until it is linked with all gatekeepers.
     ///
     /// # Errors
-    /// When it does not start.
+    /// When the agent does not start.
     pub async fn start_agent(&mut self) -> Result<(), String> {
         self.start_agent_with(&BTreeMap::new()).await
     }
 
-    /// Shops, `each` of each plan, whose sets are as wide as `spread`.
+    /// Returns `each` shops of each plan, whose sets have `spread` gatekeepers (1 to all of them).
     #[must_use]
     pub fn shops(&self, each: usize, spread: u32) -> Vec<Shop> {
-        let all = u32::try_from(self.gatekeepers.len().max(1)).unwrap_or(1);
+        let gatekeeper_count = u32::try_from(self.gatekeepers.len().max(1)).unwrap_or(1);
         let mut shops = Vec::new();
         for k in 0..each {
             for (p, plan) in self.plans.iter().enumerate() {
@@ -530,27 +561,27 @@
                 shops.push(Shop {
                     id: format!("{:016x}", 0x1000 + n * 7919),
                     plan: plan.clone(),
-                    first: u32::try_from(n).unwrap_or(0) % all,
-                    spread: spread.clamp(1, all),
+                    first: u32::try_from(n).unwrap_or(0) % gatekeeper_count,
+                    spread: spread.clamp(1, gatekeeper_count),
                 });
             }
         }
         shops
     }
 
-    /// Units that formula servers ran, by shop.
+    /// Returns the units that the present formula servers ran, by shop.
     #[must_use]
     pub fn units_by_shop(&self) -> BTreeMap<String, f64> {
-        let mut all = BTreeMap::new();
+        let mut units_by_shop = BTreeMap::new();
         for server in &self.servers {
             for (shop, units) in server.ledger().units {
-                *all.entry(shop).or_default() += units;
+                *units_by_shop.entry(shop).or_default() += units;
             }
         }
-        all
+        units_by_shop
     }
 
-    /// Where everything is, as JSON for scripts.
+    /// Returns the addresses and sockets of all parts, as JSON for scripts.
     #[must_use]
     pub fn ready_json(&self) -> Value {
         let gatekeeper = |g: &Gatekeeper| json!({"name": g.name, "resp": g.resp.to_string(), "control": g.socket.display().to_string()});
@@ -563,21 +594,21 @@
         })
     }
 
-    /// Ends all processes: the gatekeepers together, with time to drain, and then the agent, which takes their last
-    /// words.
+    /// Stops all processes: first the gatekeepers, all at once and with time to drain, then the agent, which receives
+    /// their final usage reports.
     pub async fn stop(&mut self) {
         for g in &self.gatekeepers {
             g.process.signal("TERM").await;
         }
-        let until = Instant::now() + STOP;
+        let deadline = Instant::now() + GATEKEEPER_STOP_TIMEOUT;
         for g in &mut self.gatekeepers {
-            let left = until.saturating_duration_since(Instant::now());
-            if tokio::time::timeout(left, g.process.wait()).await.is_err() {
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            if tokio::time::timeout(remaining, g.process.wait()).await.is_err() {
                 g.process.kill().await;
             }
         }
         if let Some(agent) = &mut self.agent {
-            agent.stop(AGENT_STOP).await;
+            agent.stop(AGENT_STOP_TIMEOUT).await;
         }
     }
 }
--- a/crates/standin/src/local_cluster/zone_views.rs
+++ b/crates/standin/src/local_cluster/zone_views.rs
@@ -1,5 +1,5 @@
-//! Discovery as each zone sees it: every server stands behind a gate of that zone's own, so that the ways from one zone to
-//! another can be cut, held or slowed by direction.
+//! Discovery as each zone sees it. Each zone has its own proxy in front of every formula server, so that the paths
+//! from one zone to another can be cut, held or slowed separately for each direction.
 
 use crate::discovery::{Discovery, Target};
 use crate::formula_server::FormulaServer;
@@ -7,10 +7,10 @@
 use std::io;
 use std::net::{IpAddr, SocketAddr};
 
-/// The zones' names: gatekeepers, servers and agents are dealt over them by turns.
+/// Names of the zones. Gatekeepers, servers and agents are assigned to them round-robin.
 pub const ZONES: [&str; 3] = ["room-a", "room-b", "room-c"];
 
-/// A server as discovery lists it, the k-th of the town.
+/// Returns the discovery entry of the formula server number `k`.
 pub(super) fn target(server: &FormulaServer, k: usize) -> Target {
     Target {
         endpoint: server.at,
@@ -21,23 +21,24 @@
     }
 }
 
-/// What one zone's gatekeepers see.
+/// The discovery and the server proxies of one zone's gatekeepers.
 pub struct ZoneView {
-    /// The list that they are told.
+    /// Discovery of this zone; it lists the addresses of the proxies.
     pub discovery: Discovery,
     ip: IpAddr,
-    gates: Vec<Proxy>,
+    /// One proxy for each formula server, by server number.
+    proxies: Vec<Proxy>,
 }
 
 impl ZoneView {
-    /// One for each zone.
+    /// Creates the view of each zone, with all `servers`.
     ///
     /// # Errors
-    /// When something can't listen.
+    /// When a discovery or a proxy cannot listen.
     pub async fn all(ip: IpAddr, servers: &[FormulaServer]) -> io::Result<Vec<ZoneView>> {
         let mut views = Vec::new();
         for _ in ZONES {
-            let mut view = ZoneView { discovery: Discovery::start(ip).await?, ip, gates: Vec::new() };
+            let mut view = ZoneView { discovery: Discovery::start(ip).await?, ip, proxies: Vec::new() };
             for (k, server) in servers.iter().enumerate() {
                 view.add_server(k, server).await?;
             }
@@ -46,39 +47,44 @@
         Ok(views)
     }
 
-    /// Lists a server, or the new process that took its place.
+    /// Adds the formula server number `k` behind a new proxy, or replaces the server and proxy of that number.
     ///
     /// # Errors
-    /// When its gate can't listen.
+    /// When the proxy cannot listen.
     pub async fn add_server(&mut self, k: usize, server: &FormulaServer) -> io::Result<()> {
-        let (gate, at) = Proxy::tcp(self.ip, server.at).await?;
+        let (proxy, at) = Proxy::tcp(self.ip, server.at).await?;
         let target = Target { endpoint: at, ..target(server, k) };
         self.discovery.set(&server.uid, target);
-        match self.gates.get_mut(k) {
-            Some(old) => *old = gate,
-            None => self.gates.push(gate),
+        match self.proxies.get_mut(k) {
+            Some(old) => *old = proxy,
+            None => self.proxies.push(proxy),
         }
         Ok(())
     }
 
-    /// Sets the ways to a zone's servers.
-    pub fn set_mode(&self, zone: usize, way: ProxyMode) {
-        self.gates.iter().enumerate().filter(|(k, _)| k % 3 == zone).for_each(|(_, gate)| gate.set_mode(way));
+    /// Sets the mode of the paths from this view's zone to the servers of `zone`.
+    pub fn set_mode(&self, zone: usize, mode: ProxyMode) {
+        self.proxies
+            .iter()
+            .enumerate()
+            .filter(|(k, _)| k % 3 == zone)
+            .for_each(|(_, proxy)| proxy.set_mode(mode));
     }
 
-    /// Bytes that have gone to a zone's servers.
+    /// Returns the bytes that were forwarded to the servers of `zone`.
     #[must_use]
     pub fn forwarded_bytes(&self, zone: usize) -> u64 {
-        self.gates
+        self.proxies
             .iter()
             .enumerate()
             .filter(|(k, _)| k % 3 == zone)
-            .map(|(_, gate)| gate.forwarded_bytes())
+            .map(|(_, proxy)| proxy.forwarded_bytes())
             .sum()
     }
 }
 
-/// Where the k-th gatekeeper asks.
-pub(super) fn discovery_address(views: &[ZoneView], k: usize, all: &Discovery) -> SocketAddr {
-    views.get(k % 3).map_or(all.at, |v| v.discovery.at)
+/// Returns the discovery address for the gatekeeper number `k`: that of its zone's view, or of `default_discovery`
+/// when there are no views.
+pub(super) fn discovery_address(views: &[ZoneView], k: usize, default_discovery: &Discovery) -> SocketAddr {
+    views.get(k % 3).map_or(default_discovery.at, |v| v.discovery.at)
 }
