--- a/crates/standin/src/fleet/check.rs
+++ b/crates/standin/src/fleet/check.rs
@@ -1,70 +1,71 @@
-//! What must hold of a fleet's effects, whatever was done to it: over what the record took, in order.
+//! Checks of the invariants that the effects of a fleet must keep under any fault. Each check takes the effects that the
+//! record accepted, in order.
 
 use super::Effect;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Epochs only grow at the resource, and each is one owner's.
+/// Checks that the epochs of each duty never decrease at the resource, and that each epoch has a single owner.
 ///
 /// # Errors
-/// With the first effect that breaks it.
-pub fn epochs_in_order(touches: &[Effect]) -> Result<(), String> {
+/// Describes the first effect that violates this.
+pub fn epochs_in_order(effects: &[Effect]) -> Result<(), String> {
     let mut last: BTreeMap<&str, &Effect> = BTreeMap::new();
     let mut owners: BTreeMap<(&str, u64), &str> = BTreeMap::new();
-    for touch in touches {
-        if let Some(before) = last.insert(&touch.duty, touch)
-            && before.epoch > touch.epoch
+    for effect in effects {
+        if let Some(before) = last.insert(&effect.duty, effect)
+            && before.epoch > effect.epoch
         {
-            return Err(format!("{touch:?} was taken after {before:?}"));
+            return Err(format!("the record accepted {effect:?} after the later epoch of {before:?}"));
         }
-        let owner = owners.entry((&touch.duty, touch.epoch)).or_insert(&touch.owner);
-        if *owner != touch.owner {
-            return Err(format!("{touch:?}: that epoch is {owner}'s"));
+        let owner = owners.entry((&effect.duty, effect.epoch)).or_insert(&effect.owner);
+        if *owner != effect.owner {
+            return Err(format!("{effect:?} has an epoch that belongs to {owner}"));
         }
     }
     Ok(())
 }
 
-/// No number is given out for two duties or two owners.
+/// Checks that no epoch is assigned to two duties or two owners.
 ///
 /// # Errors
-/// With the first that was.
-pub fn epochs_once(touches: &[Effect]) -> Result<(), String> {
-    let mut of: BTreeMap<u64, (&str, &str)> = BTreeMap::new();
-    for touch in touches {
-        let who = (touch.duty.as_str(), touch.owner.as_str());
-        let known = of.entry(touch.epoch).or_insert(who);
-        if *known != who {
-            return Err(format!("{touch:?}: that number was given to {known:?}"));
+/// Describes the first effect whose epoch was assigned before.
+pub fn epochs_once(effects: &[Effect]) -> Result<(), String> {
+    let mut assigned: BTreeMap<u64, (&str, &str)> = BTreeMap::new();
+    for effect in effects {
+        let assignee = (effect.duty.as_str(), effect.owner.as_str());
+        let known = assigned.entry(effect.epoch).or_insert(assignee);
+        if *known != assignee {
+            return Err(format!("{effect:?} has an epoch that was assigned to {known:?}"));
         }
     }
     Ok(())
 }
 
-/// Owners of a duty follow one another: no effect of one between two of another's.
+/// Checks that the owners of a duty do not overlap: no effect of one owner lies between two effects of another.
 ///
 /// # Errors
-/// With the owner that came back between.
-pub fn no_overlap(touches: &[Effect]) -> Result<(), String> {
-    let mut now: BTreeMap<&str, (u64, &str)> = BTreeMap::new();
-    let mut done: BTreeSet<(&str, u64)> = BTreeSet::new();
-    for touch in touches {
-        let key = (touch.epoch, touch.owner.as_str());
-        if done.contains(&(touch.duty.as_str(), touch.epoch)) {
-            return Err(format!("{touch:?} came after its epoch was over"));
+/// Describes the first effect under an epoch that had already ended.
+pub fn no_overlap(effects: &[Effect]) -> Result<(), String> {
+    let mut current: BTreeMap<&str, (u64, &str)> = BTreeMap::new();
+    let mut ended: BTreeSet<(&str, u64)> = BTreeSet::new();
+    for effect in effects {
+        let key = (effect.epoch, effect.owner.as_str());
+        if ended.contains(&(effect.duty.as_str(), effect.epoch)) {
+            return Err(format!("the record accepted {effect:?} after its epoch had ended"));
         }
-        if let Some(before) = now.insert(&touch.duty, key)
+        if let Some(before) = current.insert(&effect.duty, key)
             && before != key
         {
-            done.insert((&touch.duty, before.0));
+            ended.insert((&effect.duty, before.0));
         }
     }
     Ok(())
 }
 
-/// The longest time in ms between two effects of a duty, from the first to this instant.
+/// Returns the longest time between two successive effects of a duty, in ms; `until_ms` counts as the last effect.
 #[must_use]
-pub fn longest_gap(touches: &[Effect], duty: &str, until_ms: u64) -> u64 {
-    let times = touches.iter().filter(|t| t.duty == duty).map(|t| t.at_ms).chain([until_ms]);
+pub fn longest_gap(effects: &[Effect], duty: &str, until_ms: u64) -> u64 {
+    let times = effects.iter().filter(|t| t.duty == duty).map(|t| t.at_ms).chain([until_ms]);
     let mut last = None;
     let mut longest = 0;
     for at in times {
@@ -74,42 +75,42 @@
     longest
 }
 
-/// Who owned a duty after whom.
+/// Returns the epochs and owners of a duty in order, without consecutive repeats.
 #[must_use]
-pub fn owners(touches: &[Effect], duty: &str) -> Vec<(u64, String)> {
-    let mut all: Vec<(u64, String)> = Vec::new();
-    for touch in touches.iter().filter(|t| t.duty == duty) {
-        let key = (touch.epoch, touch.owner.clone());
-        if all.last() != Some(&key) {
-            all.push(key);
+pub fn owners(effects: &[Effect], duty: &str) -> Vec<(u64, String)> {
+    let mut owners: Vec<(u64, String)> = Vec::new();
+    for effect in effects.iter().filter(|t| t.duty == duty) {
+        let key = (effect.epoch, effect.owner.clone());
+        if owners.last() != Some(&key) {
+            owners.push(key);
         }
     }
-    all
+    owners
 }
 
 #[cfg(test)]
 mod tests {
     use super::*;
 
-    fn touch(duty: &str, epoch: u64, owner: &str, at_ms: u64) -> Effect {
+    fn effect(duty: &str, epoch: u64, owner: &str, at_ms: u64) -> Effect {
         Effect { duty: duty.into(), epoch, owner: owner.into(), at_ms }
     }
 
     #[test]
-    fn each_check_finds_what_it_is_for() {
-        let sound = [
-            touch("d", 1, "a#1", 0),
-            touch("d", 1, "a#1", 10),
-            touch("d", 3, "b#1", 50),
-            touch("e", 2, "a#1", 60),
+    fn each_check_accepts_valid_effects_and_rejects_its_violation() {
+        let valid = [
+            effect("d", 1, "a#1", 0),
+            effect("d", 1, "a#1", 10),
+            effect("d", 3, "b#1", 50),
+            effect("e", 2, "a#1", 60),
         ];
-        assert!(epochs_in_order(&sound).is_ok() && epochs_once(&sound).is_ok() && no_overlap(&sound).is_ok());
-        assert_eq!(longest_gap(&sound, "d", 70), 40);
-        assert_eq!(owners(&sound, "d").len(), 2);
-        let with = |last: Effect| sound.iter().cloned().chain([last]).collect::<Vec<_>>();
-        assert!(epochs_in_order(&with(touch("d", 1, "a#1", 70))).is_err());
-        assert!(epochs_in_order(&with(touch("d", 3, "c#1", 70))).is_err());
-        assert!(epochs_once(&with(touch("e", 3, "b#1", 70))).is_err());
-        assert!(no_overlap(&with(touch("d", 1, "a#1", 70))).is_err());
+        assert!(epochs_in_order(&valid).is_ok() && epochs_once(&valid).is_ok() && no_overlap(&valid).is_ok());
+        assert_eq!(longest_gap(&valid, "d", 70), 40);
+        assert_eq!(owners(&valid, "d").len(), 2);
+        let valid_and = |last: Effect| valid.iter().cloned().chain([last]).collect::<Vec<_>>();
+        assert!(epochs_in_order(&valid_and(effect("d", 1, "a#1", 70))).is_err());
+        assert!(epochs_in_order(&valid_and(effect("d", 3, "c#1", 70))).is_err());
+        assert!(epochs_once(&valid_and(effect("e", 3, "b#1", 70))).is_err());
+        assert!(no_overlap(&valid_and(effect("d", 1, "a#1", 70))).is_err());
     }
 }
