--- a/crates/standin/src/discovery.rs
+++ b/crates/standin/src/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery: the list of formula servers, whole and as a watch. It can be silent.
+//! Stand-in for discovery: serves the list of formula servers, in full and as a watch. It can be made silent.
 
 use crate::http;
 use std::collections::BTreeMap;
@@ -12,35 +12,36 @@
 use tokio::task::JoinHandle;
 use tokio::time::{sleep, timeout};
 
-/// An empty line comes this often while nothing changes.
-const BEAT: Duration = Duration::from_secs(2);
+/// Interval of the empty lines that a watch sends while nothing changes.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(2);
 
-/// A line of the list.
+/// An entry of the list.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Target {
-    /// Where it listens.
+    /// Address where the server listens.
     pub endpoint: SocketAddr,
-    /// Its room.
+    /// Name of its zone.
     pub zone: String,
-    /// Its rack.
+    /// Number of its rack.
     pub rack: u32,
     /// `ready` or `draining`.
     pub state: String,
-    /// When it last started, Unix time in ms; 0 for long ago.
+    /// Last start, Unix time in ms; 0 for long ago.
     pub boot_ms: u64,
 }
 
 #[derive(Debug, Clone, Default)]
 struct List {
     rev: u64,
-    /// By uid, with the revision of the last change; a server that has gone stays as none.
+    /// Entries by uid, with the revision of their last change; a removed server stays as `None`.
     targets: BTreeMap<String, (u64, Option<Target>)>,
     silent: bool,
 }
 
 impl List {
+    /// Returns the full list as JSON, or only the changes after revision `after`.
     fn json(&self, after: Option<u64>) -> String {
-        let line = |(uid, (_, target)): (&String, &(u64, Option<Target>))| match target {
+        let entry_json = |(uid, (_, target)): (&String, &(u64, Option<Target>))| match target {
             Some(t) => serde_json::json!({
                 "uid": uid, "endpoint": t.endpoint.to_string(), "az": t.zone, "model": "std-2",
                 "pod_group": t.rack, "state": t.state, "capacity_hint": 1.0, "boot_ms": t.boot_ms,
@@ -50,18 +51,18 @@
                 "capacity_hint": 1.0, "boot_ms": 0,
             }),
         };
-        let wanted = |(_, (rev, target)): &(&String, &(u64, Option<Target>))| match after {
+        let is_included = |(_, (rev, target)): &(&String, &(u64, Option<Target>))| match after {
             Some(after) => *rev > after,
             None => target.is_some(),
         };
-        let targets: Vec<_> = self.targets.iter().filter(wanted).map(line).collect();
+        let targets: Vec<_> = self.targets.iter().filter(is_included).map(entry_json).collect();
         serde_json::json!({"rev": self.rev, "all": after.is_none(), "targets": targets}).to_string()
     }
 }
 
 /// A running discovery. Ends when dropped.
 pub struct Discovery {
-    /// Where it listens.
+    /// Address where it listens.
     pub at: SocketAddr,
     list: Arc<watch::Sender<List>>,
     list_bytes: Arc<AtomicU64>,
@@ -75,10 +76,10 @@
 }
 
 impl Discovery {
-    /// Starts one at a free port, with an empty list.
+    /// Starts a discovery at a free port of `ip`, with an empty list.
     ///
     /// # Errors
-    /// When it can't listen.
+    /// When the listener cannot be bound.
     pub async fn start(ip: IpAddr) -> std::io::Result<Discovery> {
         let listener = TcpListener::bind((ip, 0)).await?;
         let at = listener.local_addr()?;
@@ -87,23 +88,23 @@
         let (lists, bytes) = (list.clone(), list_bytes.clone());
         let task = tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                tokio::spawn(talk(stream, lists.subscribe(), bytes.clone()));
+                tokio::spawn(serve_connection(stream, lists.subscribe(), bytes.clone()));
             }
         });
         Ok(Discovery { at, list, list_bytes, task })
     }
 
-    /// Lists a server, or lists it anew.
+    /// Adds a server to the list, or replaces its entry.
     pub fn set(&self, uid: &str, target: Target) {
         self.change(uid, Some(target));
     }
 
-    /// Takes a server off the list.
+    /// Removes a server from the list.
     pub fn remove(&self, uid: &str) {
         self.change(uid, None);
     }
 
-    /// Lists servers, or lists them anew, all in one version.
+    /// Adds or replaces several servers in a single revision.
     pub fn set_all(&self, targets: Vec<(String, Target)>) {
         self.list.send_modify(|list| {
             list.rev += 1;
@@ -113,7 +114,7 @@
         });
     }
 
-    /// The servers that are listed.
+    /// Returns the listed servers by uid.
     #[must_use]
     pub fn targets(&self) -> Vec<(String, Target)> {
         let list = self.list.borrow();
@@ -122,7 +123,7 @@
         listed.collect()
     }
 
-    /// Bytes of lists and changes that were written so far.
+    /// Returns the bytes of lists and changes written so far.
     #[must_use]
     pub fn list_bytes(&self) -> u64 {
         self.list_bytes.load(Ordering::Relaxed)
@@ -135,16 +136,17 @@
         });
     }
 
-    /// Has it say nothing any more, or speak again.
+    /// Makes discovery stop responding (requests wait and watches send nothing), or respond again.
     pub fn set_silent(&self, silent: bool) {
         self.list.send_modify(|list| list.silent = silent);
     }
 }
 
-async fn talk(stream: TcpStream, mut lists: watch::Receiver<List>, list_bytes: Arc<AtomicU64>) {
+/// Serves the requests of one connection.
+async fn serve_connection(stream: TcpStream, mut lists: watch::Receiver<List>, list_bytes: Arc<AtomicU64>) {
     let (read, mut write) = stream.into_split();
-    let mut read = BufReader::new(read);
-    while let Ok(Some((_, target))) = http::request(&mut read).await {
+    let mut reader = BufReader::new(read);
+    while let Ok(Some((_, target))) = http::request(&mut reader).await {
         if lists.wait_for(|list| !list.silent).await.is_err() {
             return;
         }
@@ -156,7 +158,7 @@
             }
             continue;
         };
-        let mut known: u64 =
+        let mut known_revision: u64 =
             query.split('&').find_map(|p| p.strip_prefix("index=")).and_then(|n| n.parse().ok()).unwrap_or(0);
         if write.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await.is_err() {
             return;
@@ -167,8 +169,9 @@
             }
             let text = {
                 let list = lists.borrow_and_update();
-                let text = if list.rev > known { list.json(Some(known)) } else { String::new() };
-                known = list.rev;
+                let text =
+                    if list.rev > known_revision { list.json(Some(known_revision)) } else { String::new() };
+                known_revision = list.rev;
                 text
             };
             list_bytes.fetch_add(text.len() as u64, Ordering::Relaxed);
@@ -176,9 +179,9 @@
             if write.write_all(chunk.as_bytes()).await.is_err() {
                 return;
             }
-            match timeout(BEAT, lists.changed()).await {
+            match timeout(KEEPALIVE_INTERVAL, lists.changed()).await {
                 Ok(Err(_)) => return,
-                // Several changes at once go in one line.
+                // Changes within 1 ms are sent in one line.
                 Ok(Ok(())) => sleep(Duration::from_millis(1)).await,
                 Err(_) => {}
             }
--- a/crates/standin/src/formula_server.rs
+++ b/crates/standin/src/formula_server.rs
@@ -1,5 +1,6 @@
-//! A formula server: it has cores, takes time, books what it ran, and drops the repeats of a keyed mix. It can be
-//! slow, fail, hang, reset, start cold, drain and come back as a new process.
+//! Stand-in for a formula server. It runs commands on a limited number of cores for a set time, records what it ran, and
+//! ignores repeats of a keyed mix. On demand it is slow, fails, hangs, resets connections, starts cold or drains, and it
+//! can be replaced by a new instance.
 
 use crate::resp::RespConnection;
 use std::collections::HashMap;
@@ -13,22 +14,23 @@
 use tokio::task::JoinHandle;
 use tokio::time::sleep;
 
-/// How a server works.
+/// Options of a formula server.
 #[derive(Debug, Clone)]
 pub struct ServerOptions {
-    /// Commands that run at once.
+    /// Number of commands that run at the same time.
     pub cores: usize,
-    /// How long one runs.
+    /// Service time of one command.
     pub work: Duration,
-    /// Commands that wait for a core at the most; more are turned away.
+    /// Maximum number of commands that run or wait for a core; further ones are answered with `-BUSY`.
     pub queue: usize,
-    /// After a cold start it needs so long to be warm, and begins with a part of its speed.
+    /// Time that a cold server needs to reach its full speed; the speed grows linearly.
     pub warm_within: Duration,
-    /// The part of its speed that a cold one has.
+    /// Fraction of its full speed that a cold server starts with.
     pub cold_from: f64,
-    /// Repeats of a keyed mix are dropped for so long.
+    /// How long repeats of a keyed mix are ignored.
     pub window: Duration,
-    /// Whether each command's id and key are booked: for tests. A town that runs for days does without.
+    /// Whether the id and key of each command are recorded, for tests. This grows without limit, so a cluster that runs for
+    /// days leaves it off.
     pub ids: bool,
 }
 
@@ -46,63 +48,63 @@
     }
 }
 
-/// What it does wrong. All may be changed at any time.
+/// Injected faults. Each may be changed at any time.
 #[derive(Debug, Default)]
 pub struct ServerFaults {
-    /// Times its work takes, in thousandths; 0 is as usual.
+    /// Factor of the service time, in thousandths; 0 means unchanged.
     pub slower_milli: AtomicU64,
-    /// So many of a thousand commands fail.
+    /// Commands out of 1,000 that fail.
     pub errors_milli: AtomicU64,
-    /// Commands are taken and never answered.
+    /// Whether commands are accepted and never answered.
     pub hang: AtomicBool,
-    /// So many of a thousand keyed mixes do.
+    /// Keyed mixes out of 1,000 that fail, if this is more than `errors_milli`.
     pub mix_errors_milli: AtomicU64,
-    /// Connections are reset once a command has come.
+    /// Whether a connection is closed once a command was received on it.
     pub reset: AtomicBool,
-    /// All is turned away as while draining.
+    /// Whether all commands are answered with `-BUSY`, as while draining.
     pub busy: AtomicBool,
 }
 
-/// What was run.
+/// Record of the commands that a server ran.
 #[derive(Debug, Default, Clone)]
 pub struct ServerLedger {
-    /// Commands begun, by id: how often. More than once is a second copy.
+    /// How often each command was started, by id. More than once means a duplicate.
     pub runs: HashMap<String, u32>,
-    /// Keyed mixes that took effect, by key: how often. More than once is a mix booked twice.
+    /// How often each keyed mix took effect, by key. More than once means that a mix was recorded twice.
     pub mixes: HashMap<String, u32>,
-    /// Commands begun, in their order.
+    /// Commands that were started, in order.
     pub arrivals: Vec<Arrival>,
-    /// Units, by shop.
+    /// Units of the started commands, by shop.
     pub units: HashMap<String, f64>,
-    /// Commands that it could not read.
+    /// Number of commands answered with `-SYNTAX`.
     pub syntax: u64,
 }
 
-/// A command that came.
+/// A command that was received and started.
 #[derive(Debug, Clone)]
 pub struct Arrival {
-    /// Its id.
+    /// Id of the command.
     pub id: String,
-    /// When it was read.
+    /// Time when it was read.
     pub at: Instant,
-    /// How long its sender waits for the answer, as the command tells.
+    /// How long the sender waits for the response, from the field `d` of the command.
     pub wait: Option<Duration>,
 }
 
 /// A running formula server. Ends when dropped.
 pub struct FormulaServer {
-    /// Its name in discovery's list.
+    /// Name in the list of discovery.
     pub uid: String,
-    /// Where it listens.
+    /// Address where it listens.
     pub at: SocketAddr,
-    /// When it started, Unix time in ms; 0 for long ago.
+    /// Start time, Unix time in ms; 0 for long ago.
     pub boot_ms: u64,
-    /// What it does wrong.
+    /// Injected faults.
     pub faults: Arc<ServerFaults>,
-    books: Arc<Mutex<ServerLedger>>,
+    ledger: Arc<Mutex<ServerLedger>>,
     state: Arc<State>,
     task: JoinHandle<()>,
-    conns: Arc<Mutex<Vec<JoinHandle<()>>>>,
+    connection_tasks: Arc<Mutex<Vec<JoinHandle<()>>>>,
 }
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
@@ -112,26 +114,27 @@
 struct State {
     options: ServerOptions,
     faults: Arc<ServerFaults>,
-    books: Arc<Mutex<ServerLedger>>,
-    /// Of the rack: when a key first ran.
+    ledger: Arc<Mutex<ServerLedger>>,
+    /// Time of the first run of each key, shared by the servers of a rack.
     keys: Arc<Mutex<HashMap<String, Instant>>>,
     cores: Semaphore,
     waiting: AtomicU64,
     served: AtomicU64,
     connections: AtomicU64,
-    begun: Instant,
+    started: Instant,
     cold: bool,
-    count: AtomicU64,
+    next_sequence: AtomicU64,
 }
 
-/// The keys that a rack remembers together.
+/// Recent keys of mixes with the time of their first run, shared by the servers of a rack.
 pub type SharedKeys = Arc<Mutex<HashMap<String, Instant>>>;
 
 impl FormulaServer {
-    /// Starts one at a free port. `cold`: it has only now started.
+    /// Starts a server at a free port of `ip`. A `cold` server reports the present time as its start and begins at reduced
+    /// speed.
     ///
     /// # Errors
-    /// When it can't listen.
+    /// When the listener cannot be bound.
     pub async fn start(
         uid: &str,
         ip: IpAddr,
@@ -142,32 +145,32 @@
         let listener = TcpListener::bind((ip, 0)).await?;
         let at = listener.local_addr()?;
         let boot_ms = if cold { crate::clock::unix_ms() } else { 0 };
-        let (faults, books) =
+        let (faults, ledger) =
             (Arc::new(ServerFaults::default()), Arc::new(Mutex::new(ServerLedger::default())));
         let state = Arc::new(State {
             cores: Semaphore::new(options.cores),
             options,
             faults: faults.clone(),
-            books: books.clone(),
+            ledger: ledger.clone(),
             keys: rack,
             waiting: AtomicU64::new(0),
             served: AtomicU64::new(0),
             connections: AtomicU64::new(0),
-            begun: Instant::now(),
+            started: Instant::now(),
             cold,
-            count: AtomicU64::new(0),
+            next_sequence: AtomicU64::new(0),
         });
-        let conns: Arc<Mutex<Vec<JoinHandle<()>>>> = Arc::default();
-        let (all, own) = (conns.clone(), state.clone());
+        let connection_tasks: Arc<Mutex<Vec<JoinHandle<()>>>> = Arc::default();
+        let (accept_connection_tasks, server_state) = (connection_tasks.clone(), state.clone());
         let task = tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
                 let state = state.clone();
                 state.connections.fetch_add(1, Ordering::Relaxed);
-                let conn = tokio::spawn(async move {
+                let connection_task = tokio::spawn(async move {
                     let mut conn = RespConnection::new(stream);
                     while let Ok(Some(parts)) = conn.read_command().await {
                         let Some(answer) = state.run(&parts).await else {
-                            // Not answered: the connection stays, or is cut.
+                            // Without a response the connection is kept, or closed if `reset` is set.
                             if state.faults.reset.load(Ordering::Relaxed) {
                                 return;
                             }
@@ -178,36 +181,45 @@
                         }
                     }
                 });
-                let mut all = lock(&all);
-                all.retain(|c| !c.is_finished());
-                all.push(conn);
+                let mut connection_tasks = lock(&accept_connection_tasks);
+                connection_tasks.retain(|c| !c.is_finished());
+                connection_tasks.push(connection_task);
             }
         });
-        Ok(FormulaServer { uid: uid.to_string(), at, boot_ms, faults, books, state: own, task, conns })
+        Ok(FormulaServer {
+            uid: uid.to_string(),
+            at,
+            boot_ms,
+            faults,
+            ledger,
+            state: server_state,
+            task,
+            connection_tasks,
+        })
     }
 
-    /// What was run so far.
+    /// Returns a copy of the record so far.
     #[must_use]
     pub fn ledger(&self) -> ServerLedger {
-        lock(&self.books).clone()
+        lock(&self.ledger).clone()
     }
 
-    /// Commands that run or wait, and those that were answered since the start.
+    /// Returns the number of commands that run or wait, and of those completed since the start.
     #[must_use]
     pub fn work_counts(&self) -> (u64, u64) {
         (self.state.waiting.load(Ordering::Relaxed), self.state.served.load(Ordering::Relaxed))
     }
 
-    /// Connections that it has accepted so far.
+    /// Returns the number of connections accepted so far.
     #[must_use]
     pub fn connections(&self) -> u64 {
         self.state.connections.load(Ordering::Relaxed)
     }
 
-    /// Ends it as a killed process does: connections break, new ones are refused.
+    /// Ends the server like a killed process: open connections break and new ones are refused.
     pub fn kill(&self) {
         self.task.abort();
-        lock(&self.conns).drain(..).for_each(|c| c.abort());
+        lock(&self.connection_tasks).drain(..).for_each(|c| c.abort());
     }
 }
 
@@ -218,6 +230,7 @@
 }
 
 impl State {
+    /// Runs one command and returns its response; `None` if an injected fault prevents a response.
     async fn run(&self, parts: &[Vec<u8>]) -> Option<Vec<u8>> {
         let text = |k: usize| parts.get(k).and_then(|p| std::str::from_utf8(p).ok()).unwrap_or_default();
         let name = text(0);
@@ -228,7 +241,7 @@
         let field = |name: &str| fields.split(',').find_map(|f| f.strip_prefix(name)?.strip_prefix('='));
         let units: Option<f64> = field("units").and_then(|u| u.parse().ok());
         let (Some(units), true, true) = (units, shop.len() == 16, id.len() == 16) else {
-            lock(&self.books).syntax += 1;
+            lock(&self.ledger).syntax += 1;
             return Some(b"-SYNTAX\r\n".to_vec());
         };
         let options = &self.options;
@@ -238,17 +251,17 @@
             return Some(format!("-BUSY {}\r\n", self.report()).into_bytes());
         }
         {
-            let mut books = lock(&self.books);
+            let mut ledger = lock(&self.ledger);
             if options.ids {
-                *books.runs.entry(id.to_string()).or_default() += 1;
+                *ledger.runs.entry(id.to_string()).or_default() += 1;
                 let wait = field("d").and_then(|d| d.parse().ok()).map(Duration::from_millis);
-                books.arrivals.push(Arrival { id: id.to_string(), at: Instant::now(), wait });
+                ledger.arrivals.push(Arrival { id: id.to_string(), at: Instant::now(), wait });
             }
-            *books.units.entry(shop.to_string()).or_default() += units;
+            *ledger.units.entry(shop.to_string()).or_default() += units;
             if let Some(key) = field("k") {
                 let mut keys = lock(&self.keys);
                 let now = Instant::now();
-                // Swept when it has doubled, not for each mix.
+                // Expired keys are removed only when the map is nearly at its capacity, not for each mix.
                 if keys.len() >= 2 * keys.capacity() / 3 {
                     keys.retain(|_, at| now.duration_since(*at) < options.window);
                 }
@@ -257,7 +270,7 @@
                     keys.insert(key.to_string(), now);
                 }
                 if !known && options.ids {
-                    *books.mixes.entry(key.to_string()).or_default() += 1;
+                    *ledger.mixes.entry(key.to_string()).or_default() += 1;
                 }
             }
         }
@@ -270,15 +283,16 @@
             0 => 1.0,
             milli => milli as f64 / 1000.0,
         };
-        sleep(options.work.mul_f64(slower / self.warmth())).await;
+        sleep(options.work.mul_f64(slower / self.speed_fraction())).await;
         drop(core);
         self.waiting.fetch_sub(1, Ordering::Relaxed);
         self.served.fetch_add(1, Ordering::Relaxed);
-        let turn = self.count.fetch_add(1, Ordering::Relaxed);
-        // Spread evenly, so that the same number of commands gives the same number of errors.
-        let of_mixes = if name == "Q.DO" { self.faults.mix_errors_milli.load(Ordering::Relaxed) } else { 0 };
-        let errors = self.faults.errors_milli.load(Ordering::Relaxed).max(of_mixes);
-        if (turn * errors) / 1000 != ((turn + 1) * errors) / 1000 {
+        let sequence = self.next_sequence.fetch_add(1, Ordering::Relaxed);
+        // Errors are spread evenly, so that the same number of commands gives the same number of errors.
+        let mix_errors =
+            if name == "Q.DO" { self.faults.mix_errors_milli.load(Ordering::Relaxed) } else { 0 };
+        let errors = self.faults.errors_milli.load(Ordering::Relaxed).max(mix_errors);
+        if (sequence * errors) / 1000 != ((sequence + 1) * errors) / 1000 {
             return Some(format!("-ERR failed {}\r\n", self.report()).into_bytes());
         }
         let value = format!("formula for {id}");
@@ -289,18 +303,20 @@
         )
     }
 
-    fn warmth(&self) -> f64 {
+    /// Returns the present fraction of the full speed.
+    fn speed_fraction(&self) -> f64 {
         if !self.cold {
             return 1.0;
         }
-        let age = self.begun.elapsed().as_secs_f64() / self.options.warm_within.as_secs_f64().max(0.001);
+        let age = self.started.elapsed().as_secs_f64() / self.options.warm_within.as_secs_f64().max(0.001);
         self.options.cold_from + (1.0 - self.options.cold_from) * age.min(1.0)
     }
 
+    /// Returns the load report that responses carry.
     fn report(&self) -> String {
         let busy = self.options.cores - self.cores.available_permits().min(self.options.cores);
         let util = busy as f64 / self.options.cores.max(1) as f64;
-        let qps = self.served.load(Ordering::Relaxed) as f64 / self.begun.elapsed().as_secs_f64().max(1.0);
+        let qps = self.served.load(Ordering::Relaxed) as f64 / self.started.elapsed().as_secs_f64().max(1.0);
         format!("util={util:.2},qps={qps:.1}")
     }
 }
--- a/crates/standin/src/proxy.rs
+++ b/crates/standin/src/proxy.rs
@@ -1,5 +1,5 @@
-//! A way that can be cut: it forwards connections, and on demand holds what passes, cuts all, cuts after so many
-//! bytes, or answers noise. For TCP and for Unix sockets.
+//! A fault-injecting proxy for TCP and Unix sockets. It forwards connections; on demand it holds, delays or drops data,
+//! cuts connections at once or after a number of bytes, or answers with garbage.
 
 use std::net::{IpAddr, SocketAddr};
 use std::path::{Path, PathBuf};
@@ -10,36 +10,36 @@
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
 
-/// What the way does.
+/// What the proxy does with its connections. Upstream is the direction toward the target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ProxyMode {
-    /// It forwards.
+    /// Forwards data in both directions.
     Forward,
-    /// Connections come up and stay, and nothing passes in either direction.
+    /// Accepts and keeps connections, but forwards nothing in either direction.
     Hold,
-    /// What is on its way toward the far end is held, and answers pass.
+    /// Holds data upstream, and forwards it downstream.
     HoldUpstream,
-    /// Answers are held, and what is on its way toward the far end passes.
+    /// Holds data downstream, and forwards it upstream.
     HoldDownstream,
-    /// Whatever passes takes so many ms more in each direction, a part at a time.
+    /// Delays data: waits this many ms before each read, in either direction.
     Delay(u64),
-    /// One part in so many that pass toward the far end is lost.
+    /// Drops every n-th read of upstream data.
     DropOneIn(u64),
-    /// Open connections are cut, new ones are cut at once.
+    /// Closes open connections, and new ones as soon as they are accepted.
     Cut,
-    /// It answers what comes with bytes that mean nothing.
+    /// Answers whatever it receives on new connections with meaningless bytes, and closes open ones.
     Garbage,
 }
 
 struct Shared {
-    way: watch::Sender<ProxyMode>,
-    /// Bytes toward the far end after which all is cut; below 0 is without end.
-    fuse: AtomicI64,
-    passed: AtomicU64,
-    came: AtomicU64,
+    mode: watch::Sender<ProxyMode>,
+    /// Bytes upstream that remain until all connections are cut; negative: no limit.
+    cut_after: AtomicI64,
+    forwarded: AtomicU64,
+    connections: AtomicU64,
 }
 
-/// A running gate. Ends when dropped.
+/// A running proxy. It ends, and cuts its connections, when dropped.
 pub struct Proxy {
     shared: Arc<Shared>,
     task: JoinHandle<()>,
@@ -49,39 +49,39 @@
 impl Drop for Proxy {
     fn drop(&mut self) {
         self.task.abort();
-        self.shared.way.send_replace(ProxyMode::Cut);
+        self.shared.mode.send_replace(ProxyMode::Cut);
     }
 }
 
 impl Proxy {
     fn shared() -> Arc<Shared> {
         Arc::new(Shared {
-            way: watch::Sender::new(ProxyMode::Forward),
-            fuse: AtomicI64::new(-1),
-            passed: AtomicU64::new(0),
-            came: AtomicU64::new(0),
+            mode: watch::Sender::new(ProxyMode::Forward),
+            cut_after: AtomicI64::new(-1),
+            forwarded: AtomicU64::new(0),
+            connections: AtomicU64::new(0),
         })
     }
 
-    /// Before a TCP address.
+    /// Starts a proxy in front of a TCP address, at a free port of `ip`; also returns its address.
     ///
     /// # Errors
-    /// When it can't listen.
-    pub async fn tcp(ip: IpAddr, to: SocketAddr) -> std::io::Result<(Proxy, SocketAddr)> {
+    /// When the listener cannot be bound.
+    pub async fn tcp(ip: IpAddr, target_address: SocketAddr) -> std::io::Result<(Proxy, SocketAddr)> {
         let listener = TcpListener::bind((ip, 0)).await?;
         let at = listener.local_addr()?;
         let shared = Proxy::shared();
-        let own = shared.clone();
+        let accept_shared = shared.clone();
         let task = tokio::spawn(async move {
-            while let Ok((near, _)) = listener.accept().await {
-                let _ = near.set_nodelay(true);
-                let shared = own.clone();
+            while let Ok((client, _)) = listener.accept().await {
+                let _ = client.set_nodelay(true);
+                let shared = accept_shared.clone();
                 tokio::spawn(async move {
-                    let (read, write) = near.into_split();
-                    pass(shared, read, write, || async move {
-                        let far = TcpStream::connect(to).await.ok()?;
-                        let _ = far.set_nodelay(true);
-                        Some(far.into_split())
+                    let (read, write) = client.into_split();
+                    forward(shared, read, write, || async move {
+                        let target = TcpStream::connect(target_address).await.ok()?;
+                        let _ = target.set_nodelay(true);
+                        Some(target.into_split())
                     })
                     .await;
                 });
@@ -90,21 +90,21 @@
         Ok((Proxy { shared, task, at: Some(at) }, at))
     }
 
-    /// Before a Unix socket, at another path.
+    /// Starts a proxy in front of a Unix socket, at the path `at`.
     ///
     /// # Errors
-    /// When it can't listen.
-    pub fn unix(at: &Path, to: PathBuf) -> std::io::Result<Proxy> {
+    /// When the listener cannot be bound.
+    pub fn unix(at: &Path, target_path: PathBuf) -> std::io::Result<Proxy> {
         let listener = UnixListener::bind(at)?;
         let shared = Proxy::shared();
-        let own = shared.clone();
+        let accept_shared = shared.clone();
         let task = tokio::spawn(async move {
-            while let Ok((near, _)) = listener.accept().await {
-                let (shared, to) = (own.clone(), to.clone());
+            while let Ok((client, _)) = listener.accept().await {
+                let (shared, target_path) = (accept_shared.clone(), target_path.clone());
                 tokio::spawn(async move {
-                    let (read, write) = near.into_split();
-                    pass(shared, read, write, || async move {
-                        Some(UnixStream::connect(to).await.ok()?.into_split())
+                    let (read, write) = client.into_split();
+                    forward(shared, read, write, || async move {
+                        Some(UnixStream::connect(target_path).await.ok()?.into_split())
                     })
                     .await;
                 });
@@ -113,36 +113,37 @@
         Ok(Proxy { shared, task, at: None })
     }
 
-    /// Where it listens, as text for a configuration; empty where it is a file.
+    /// Returns the address where the proxy listens, as text for a settings file; empty for a Unix socket.
     #[must_use]
     pub fn address(&self) -> String {
         self.at.map_or(String::new(), |at| at.to_string())
     }
 
-    /// Sets what it does.
-    pub fn set_mode(&self, way: ProxyMode) {
-        self.shared.way.send_replace(way);
+    /// Sets the mode for open and new connections.
+    pub fn set_mode(&self, mode: ProxyMode) {
+        self.shared.mode.send_replace(mode);
     }
 
-    /// Cuts all once so many more bytes have passed toward the far end.
+    /// Cuts all connections once this many more bytes were forwarded upstream.
     pub fn cut_after(&self, bytes: i64) {
-        self.shared.fuse.store(bytes, Ordering::SeqCst);
+        self.shared.cut_after.store(bytes, Ordering::SeqCst);
     }
 
-    /// Bytes that have passed toward the far end.
+    /// Returns the bytes forwarded upstream so far.
     #[must_use]
     pub fn forwarded_bytes(&self) -> u64 {
-        self.shared.passed.load(Ordering::SeqCst)
+        self.shared.forwarded.load(Ordering::SeqCst)
     }
 
-    /// Connections that have come.
+    /// Returns the number of connections accepted so far.
     #[must_use]
     pub fn connections(&self) -> u64 {
-        self.shared.came.load(Ordering::SeqCst)
+        self.shared.connections.load(Ordering::SeqCst)
     }
 }
 
-async fn pass<R, W, F, G, H>(shared: Arc<Shared>, mut near_read: R, mut near_write: W, connect: F)
+/// Serves one accepted connection according to the mode until either side closes or the connection is cut.
+async fn forward<R, W, F, G, H>(shared: Arc<Shared>, mut client_read: R, mut client_write: W, connect: F)
 where
     R: AsyncRead + Unpin,
     W: AsyncWrite + Unpin,
@@ -150,29 +151,29 @@
     G: Future<Output = Option<(H, <H as ReadHalf>::Write)>>,
     H: ReadHalf,
 {
-    shared.came.fetch_add(1, Ordering::SeqCst);
-    let mut way = shared.way.subscribe();
-    if *way.borrow() == ProxyMode::Garbage {
+    shared.connections.fetch_add(1, Ordering::SeqCst);
+    let mut mode = shared.mode.subscribe();
+    if *mode.borrow() == ProxyMode::Garbage {
         let mut bytes = [0; 4096];
-        while let Ok(n) = near_read.read(&mut bytes).await {
-            if n == 0 || near_write.write_all(&[0xff; 64]).await.is_err() {
+        while let Ok(n) = client_read.read(&mut bytes).await {
+            if n == 0 || client_write.write_all(&[0xff; 64]).await.is_err() {
                 return;
             }
         }
         return;
     }
-    if *way.borrow() == ProxyMode::Cut {
+    if *mode.borrow() == ProxyMode::Cut {
         return;
     }
-    let Some((mut far_read, mut far_write)) = connect().await else { return };
-    let (mut up, mut down) = ([0; 16 * 1024], [0; 16 * 1024]);
-    let mut parts = 0_u64;
+    let Some((mut target_read, mut target_write)) = connect().await else { return };
+    let (mut upstream, mut downstream) = ([0; 16 * 1024], [0; 16 * 1024]);
+    let mut reads = 0_u64;
     loop {
-        let now = *way.borrow_and_update();
-        match now {
+        let current_mode = *mode.borrow_and_update();
+        match current_mode {
             ProxyMode::Cut | ProxyMode::Garbage => return,
             ProxyMode::Hold => {
-                if way.changed().await.is_err() {
+                if mode.changed().await.is_err() {
                     return;
                 }
                 continue;
@@ -184,28 +185,28 @@
             | ProxyMode::DropOneIn(_) => {}
         }
         tokio::select! {
-            changed = way.changed() => {
+            changed = mode.changed() => {
                 if changed.is_err() {
                     return;
                 }
             }
-            n = near_read.read(&mut up), if now != ProxyMode::HoldUpstream => {
+            n = client_read.read(&mut upstream), if current_mode != ProxyMode::HoldUpstream => {
                 let Ok(n) = n else { return };
-                parts += 1;
-                if let ProxyMode::DropOneIn(one_in) = now && n > 0 && parts.is_multiple_of(one_in.max(1)) {
+                reads += 1;
+                if let ProxyMode::DropOneIn(one_in) = current_mode && n > 0 && reads.is_multiple_of(one_in.max(1)) {
                     continue;
                 }
-                let fuse = shared.fuse.load(Ordering::SeqCst);
-                let part = if fuse >= 0 { n.min(usize::try_from(fuse).unwrap_or(0)) } else { n };
-                if far_write.write_all(&up[..part]).await.is_err() {
+                let remaining = shared.cut_after.load(Ordering::SeqCst);
+                let count = if remaining >= 0 { n.min(usize::try_from(remaining).unwrap_or(0)) } else { n };
+                if target_write.write_all(&upstream[..count]).await.is_err() {
                     return;
                 }
-                shared.passed.fetch_add(part as u64, Ordering::SeqCst);
-                if fuse >= 0 {
-                    shared.fuse.store(fuse - part as i64, Ordering::SeqCst);
-                    if part < n || fuse == part as i64 {
-                        shared.fuse.store(-1, Ordering::SeqCst);
-                        shared.way.send_replace(ProxyMode::Cut);
+                shared.forwarded.fetch_add(count as u64, Ordering::SeqCst);
+                if remaining >= 0 {
+                    shared.cut_after.store(remaining - count as i64, Ordering::SeqCst);
+                    if count < n || remaining == count as i64 {
+                        shared.cut_after.store(-1, Ordering::SeqCst);
+                        shared.mode.send_replace(ProxyMode::Cut);
                         return;
                     }
                 }
@@ -213,9 +214,9 @@
                     return;
                 }
             }
-            n = far_read.read(&mut down), if now != ProxyMode::HoldDownstream => {
+            n = target_read.read(&mut downstream), if current_mode != ProxyMode::HoldDownstream => {
                 let Ok(n) = n else { return };
-                if n == 0 || near_write.write_all(&down[..n]).await.is_err() {
+                if n == 0 || client_write.write_all(&downstream[..n]).await.is_err() {
                     return;
                 }
             }
@@ -223,9 +224,9 @@
     }
 }
 
-/// The reading half of a connection, and what its writing half is.
+/// The read half of a connection, with the type of its write half.
 pub trait ReadHalf: AsyncRead + Unpin {
-    /// The writing half.
+    /// The write half.
     type Write: AsyncWrite + Unpin;
 }
 
