--- a/crates/standin/src/client.rs
+++ b/crates/standin/src/client.rs
@@ -1,4 +1,4 @@
-//! Clients: RESP2 requests through gatekeepers and rate limit calls through the agent.
+//! Clients that send RESP2 requests through gatekeepers, and rate limit calls through the agent.
 
 use crate::resp::{Answer, RespConnection, command};
 use frostvale_proto::envoy::extensions::common::ratelimit::v3::RateLimitDescriptor;
@@ -14,20 +14,20 @@
 use tokio::time::timeout;
 use tonic::transport::{Channel, Endpoint};
 
-/// What a shop asks for.
+/// A shop, as its requests describe it.
 #[derive(Debug, Clone)]
 pub struct Shop {
-    /// 16 hex digits.
+    /// Id, 16 hexadecimal digits.
     pub id: String,
-    /// Its plan.
+    /// Name of its plan.
     pub plan: String,
-    /// Its set.
+    /// Number of the first gatekeeper of its set.
     pub first: u32,
-    /// How many gatekeepers the set has.
+    /// Number of gatekeepers in the set.
     pub spread: u32,
 }
 
-/// An id that was never used before, in this process or, most likely, another.
+/// Returns a request id that is unique in this process, and most likely among processes.
 #[must_use]
 pub fn unique_id() -> String {
     static NEXT: AtomicU64 = AtomicU64::new(0);
@@ -35,10 +35,10 @@
     format!("{:016x}", base.wrapping_add(NEXT.fetch_add(1, Ordering::Relaxed)))
 }
 
-/// One request on a connection. Keyed ones carry `key`.
+/// Sends a request on a connection and reads the response. A request with a `key` is a keyed one (`Q.DO`).
 ///
 /// # Errors
-/// As the connection says.
+/// When the connection fails, or there is no valid response within 1 s after `wait`.
 pub async fn send_request(
     conn: &mut RespConnection,
     shop: &Shop,
@@ -50,10 +50,11 @@
     send_attempt(conn, shop, class, key, units, wait, false).await
 }
 
-/// One try of a request. A client's own repeat is marked as such.
+/// Sends one attempt of a request and reads the response. `repeat` marks it as the client's own retry
+/// (`r=1`).
 ///
 /// # Errors
-/// As the connection says.
+/// When the connection fails, or there is no valid response within 1 s after `wait`.
 pub async fn send_attempt(
     conn: &mut RespConnection,
     shop: &Shop,
@@ -63,10 +64,10 @@
     wait: Duration,
     repeat: bool,
 ) -> io::Result<Answer> {
-    let (id, d) = (unique_id(), wait.as_millis());
+    let (id, wait_ms) = (unique_id(), wait.as_millis());
     let key = key.map_or(String::new(), |k| format!("k={k},"));
     let fields = format!(
-        "c={class},t={},d={d},{key}units={units},spread={},first={}{}",
+        "c={class},t={},d={wait_ms},{key}units={units},spread={},first={}{}",
         shop.plan,
         shop.spread,
         shop.first,
@@ -81,16 +82,17 @@
     timeout(wait + Duration::from_secs(1), conn.read_answer()).await.map_err(|_| io::ErrorKind::TimedOut)?
 }
 
-/// A client of a rate limit service. Connects at the first call.
+/// Creates a client of a rate limit service, which connects at its first call.
 ///
 /// # Errors
-/// When the address can't be used.
+/// When the address is not valid in a URI.
 pub fn rls_client(at: SocketAddr) -> Result<RateLimitServiceClient<Channel>, String> {
     let endpoint = Endpoint::from_shared(format!("http://{at}")).map_err(|e| e.to_string())?;
     Ok(RateLimitServiceClient::new(endpoint.tcp_nodelay(true).connect_lazy()))
 }
 
-/// A call with one descriptor.
+/// Returns a rate limit call with one descriptor. With `set` the descriptor has the set of the shop (`first`,
+/// `spread`).
 #[must_use]
 pub fn rate_limit_call(shop: &Shop, set: bool, units: u32) -> RateLimitRequest {
     let entry = |key: &str, value: String| Entry { key: key.into(), value };
@@ -106,23 +108,24 @@
     }
 }
 
-/// Connections to one gatekeeper that wait for their next request.
+/// A pool of idle connections to one gatekeeper.
 pub struct ClientPool {
     at: SocketAddr,
     idle: Mutex<Vec<RespConnection>>,
 }
 
 impl ClientPool {
-    /// An empty one.
+    /// Creates an empty pool.
     #[must_use]
     pub fn new(at: SocketAddr) -> ClientPool {
         ClientPool { at, idle: Mutex::default() }
     }
 
-    /// One request, on an idle connection or a new one. An idle one that has been closed meanwhile costs nothing.
+    /// Sends a request on an idle connection or a new one. If the attempt on an idle connection fails, for
+    /// example because it was closed meanwhile, the request is sent again on a new one.
     ///
     /// # Errors
-    /// As the connection says.
+    /// When the attempt on the new connection fails.
     pub async fn send_request(
         &self,
         shop: &Shop,
@@ -134,10 +137,10 @@
         self.send_attempt(shop, class, key, units, wait, false).await
     }
 
-    /// The same, where it may be a client's own repeat.
+    /// Like `send_request`; `repeat` marks the request as the client's own retry.
     ///
     /// # Errors
-    /// As the connection says.
+    /// When the attempt on the new connection fails.
     pub async fn send_attempt(
         &self,
         shop: &Shop,
@@ -147,17 +150,17 @@
         wait: Duration,
         repeat: bool,
     ) -> io::Result<Answer> {
-        let idle = || self.idle.lock().unwrap_or_else(PoisonError::into_inner);
-        let old = idle().pop();
-        if let Some(mut conn) = old
+        let idle_connections = || self.idle.lock().unwrap_or_else(PoisonError::into_inner);
+        let pooled = idle_connections().pop();
+        if let Some(mut conn) = pooled
             && let Ok(answer) = send_attempt(&mut conn, shop, class, key, units, wait, repeat).await
         {
-            idle().push(conn);
+            idle_connections().push(conn);
             return Ok(answer);
         }
         let mut conn = RespConnection::connect(self.at).await?;
         let answer = send_attempt(&mut conn, shop, class, key, units, wait, repeat).await?;
-        idle().push(conn);
+        idle_connections().push(conn);
         Ok(answer)
     }
 }
--- a/crates/standin/src/counter.rs
+++ b/crates/standin/src/counter.rs
@@ -1,5 +1,5 @@
-//! Stand-in for the shared counter: it adds an amount to a named total with a time to live, and returns the total. On
-//! demand it rejects calls, counts without a response, or responds with garbage.
+//! Stand-in for the shared counter: it adds an amount to a named total with a time to live, and returns the
+//! total. On demand it rejects calls, counts without a response, or responds with garbage.
 
 use crate::http;
 use std::collections::HashMap;
@@ -33,7 +33,7 @@
     calls: AtomicU64,
 }
 
-/// A running counter. Ends when dropped.
+/// A running counter. It ends when dropped.
 pub struct SharedCounter {
     /// Address where it listens.
     pub at: SocketAddr,
--- a/crates/standin/src/discovery.rs
+++ b/crates/standin/src/discovery.rs
@@ -60,7 +60,7 @@
     }
 }
 
-/// A running discovery. Ends when dropped.
+/// A running discovery. It ends when dropped.
 pub struct Discovery {
     /// Address where it listens.
     pub at: SocketAddr,
--- a/crates/standin/src/fleet.rs
+++ b/crates/standin/src/fleet.rs
@@ -1,6 +1,6 @@
-//! A fleet of processes: agents in zones, each with its gatekeepers. Each connection of an agent to a voter, to the
-//! database or to a gatekeeper passes through a proxy. Faults are injected by direct calls or by a seeded schedule; the
-//! results are read from the resources themselves, such as the database.
+//! A fleet of processes: agents in zones, each with its gatekeepers. Each connection of an agent to a voter,
+//! to the database or to a gatekeeper passes through a proxy. Faults are injected by direct calls or by a
+//! seeded schedule; the results are read from the resources themselves, such as the database.
 
 pub mod check;
 pub mod faults;
@@ -389,8 +389,8 @@
         }
     }
 
-    /// Sets which traffic passes between an agent and the other agents of the group: what it sends, what it receives, both
-    /// or neither.
+    /// Sets which traffic passes between an agent and the other agents of the group: what it sends, what it
+    /// receives, both or neither.
     pub fn set_council_links(&self, agent: usize, can_send: bool, can_receive: bool) {
         for ((from, to), proxy) in &self.council_proxies {
             // Upstream carries the requests of `from`, downstream the responses of `to`.
@@ -441,8 +441,8 @@
         let Some(at) = self.db_at else { return Err("cannot start the database: the fleet has none".into()) };
         let file = self.cluster.folder.join("pg.db");
         if let Some(copy) = copy {
-            // The database file is removed as well, not overwritten: a connection of the killed server that ends late must
-            // not write into the copy.
+            // The database file is removed as well, not overwritten: a connection of the killed server that
+            // ends late must not write into the copy.
             for suffix in ["", "-wal", "-shm"] {
                 let _ = fs::remove_file(self.cluster.folder.join(format!("pg.db{suffix}")));
             }
@@ -465,7 +465,8 @@
         Ok(to)
     }
 
-    /// Runs an SQL statement directly on the record's file, past the server; returns the number of changed rows.
+    /// Runs an SQL statement directly on the record's file, past the server; returns the number of changed
+    /// rows.
     ///
     /// # Errors
     /// When the statement fails.
--- a/crates/standin/src/fleet/check.rs
+++ b/crates/standin/src/fleet/check.rs
@@ -1,10 +1,11 @@
-//! Checks of the invariants that the effects of a fleet must keep under any fault. Each check takes the effects that the
-//! record accepted, in order.
+//! Checks of the invariants that the effects of a fleet must keep under any fault. Each check takes the
+//! effects that the record accepted, in order.
 
 use super::Effect;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Checks that the epochs of each duty never decrease at the resource, and that each epoch has a single owner.
+/// Checks that the epochs of each duty never decrease at the resource, and that each epoch has a single
+/// owner.
 ///
 /// # Errors
 /// Describes the first effect that violates this.
@@ -41,7 +42,8 @@
     Ok(())
 }
 
-/// Checks that the owners of a duty do not overlap: no effect of one owner lies between two effects of another.
+/// Checks that the owners of a duty do not overlap: no effect of one owner lies between two effects of
+/// another.
 ///
 /// # Errors
 /// Describes the first effect under an epoch that had already ended.
@@ -62,7 +64,8 @@
     Ok(())
 }
 
-/// Returns the longest time between two successive effects of a duty, in ms; `until_ms` counts as the last effect.
+/// Returns the longest time between two successive effects of a duty, in ms; `until_ms` counts as the last
+/// effect.
 #[must_use]
 pub fn longest_gap(effects: &[Effect], duty: &str, until_ms: u64) -> u64 {
     let times = effects.iter().filter(|t| t.duty == duty).map(|t| t.at_ms).chain([until_ms]);
--- a/crates/standin/src/fleet/faults.rs
+++ b/crates/standin/src/fleet/faults.rs
@@ -1,6 +1,6 @@
-//! Fault injection by seed: a schedule of faults that can be printed and applied to a fleet. The same seed gives the same
-//! schedule. The fleet's reaction also depends on the speed of the machine, so checks require only what must hold at any
-//! speed.
+//! Fault injection by seed: a schedule of faults that can be printed and applied to a fleet. The same seed
+//! gives the same schedule. The fleet's reaction also depends on the speed of the machine, so checks require
+//! only what must hold at any speed.
 
 use super::Fleet;
 use crate::proxy::ProxyMode;
@@ -47,8 +47,8 @@
     }
 }
 
-/// Returns a schedule of `count` faults, each followed by a quiet time, for a fleet with this many agents and gatekeepers
-/// and this lease length.
+/// Returns a schedule of `count` faults, each followed by a quiet time, for a fleet with this many agents and
+/// gatekeepers and this lease length.
 #[must_use]
 pub fn schedule(seed: u64, count: usize, agents: usize, gatekeepers: usize, lease_ms: u64) -> Vec<Fault> {
     let mut random_state = seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1;
--- a/crates/standin/src/fleet/paced_load.rs
+++ b/crates/standin/src/fleet/paced_load.rs
@@ -1,5 +1,5 @@
-//! Open-loop load at a constant rate at every gatekeeper, independent of the responses, and the outcome of each request
-//! by gatekeeper and time.
+//! Open-loop load at a constant rate at every gatekeeper, independent of the responses, and the outcome of
+//! each request by gatekeeper and time.
 
 use crate::client::{ClientPool, Shop, unique_id};
 use crate::local_cluster::LocalCluster;
@@ -48,8 +48,8 @@
 }
 
 impl PacedLoad {
-    /// Starts the load. `rates` are requests per second by gatekeeper number, repeated if there are more gatekeepers. Every
-    /// `mix`-th request is a keyed mix; 0 means none.
+    /// Starts the load. `rates` are requests per second by gatekeeper number, repeated if there are more
+    /// gatekeepers. Every `mix`-th request is a keyed mix; 0 means none.
     #[must_use]
     pub fn start(cluster: &LocalCluster, rates: &[f64], mix: u64) -> PacedLoad {
         let started = Instant::now();
@@ -121,8 +121,8 @@
         self.results.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// Counts the requests that were sent at or after `from_ms` and before `to_ms` at the gatekeepers that `includes`
-    /// accepts. Returns the number of all and the number of served requests.
+    /// Counts the requests that were sent at or after `from_ms` and before `to_ms` at the gatekeepers that
+    /// `includes` accepts. Returns the number of all and the number of served requests.
     #[must_use]
     pub fn served(&self, from_ms: u64, to_ms: u64, includes: impl Fn(usize) -> bool) -> (usize, usize) {
         let results = self.results();
--- a/crates/standin/src/fleet/zone_faults.rs
+++ b/crates/standin/src/fleet/zone_faults.rs
@@ -1,5 +1,5 @@
-//! Fault injection by zone: the servers of a zone are killed and restarted cold, return errors or slow down, and zones are
-//! cut off from each other.
+//! Fault injection by zone: the servers of a zone are killed and restarted cold, return errors or slow down,
+//! and zones are cut off from each other.
 
 use super::Fleet;
 use crate::formula_server::FormulaServer;
@@ -43,8 +43,8 @@
         Ok(())
     }
 
-    /// Sets the mode of the paths between a zone and all other zones: `out` for the paths from its gatekeepers to servers
-    /// elsewhere, `into` for the paths from gatekeepers elsewhere to its servers.
+    /// Sets the mode of the paths between a zone and all other zones: `out` for the paths from its
+    /// gatekeepers to servers elsewhere, `into` for the paths from gatekeepers elsewhere to its servers.
     pub fn set_zone_links(&self, zone: usize, out: ProxyMode, into: ProxyMode) {
         for (from, view) in self.cluster.zone_views.iter().enumerate() {
             for to in (0..3).filter(|to| *to != from) {
@@ -57,8 +57,9 @@
         }
     }
 
-    /// Degrades the servers of a zone. `slower_milli` is the service time in thousandths of the usual one (0: unchanged);
-    /// of 1,000 commands `errors_milli` fail, and of 1,000 keyed mixes `mix_errors_milli`, if that is more.
+    /// Degrades the servers of a zone. `slower_milli` is the service time in thousandths of the usual one (0:
+    /// unchanged); of 1,000 commands `errors_milli` fail, and of 1,000 keyed mixes `mix_errors_milli`, if
+    /// that is more.
     pub fn degrade_servers(&self, zone: usize, slower_milli: u64, errors_milli: u64, mix_errors_milli: u64) {
         for k in self.servers_in(zone) {
             let faults = &self.cluster.servers[k].faults;
--- a/crates/standin/src/formula_server.rs
+++ b/crates/standin/src/formula_server.rs
@@ -1,6 +1,6 @@
-//! Stand-in for a formula server. It runs commands on a limited number of cores for a set time, records what it ran, and
-//! ignores repeats of a keyed mix. On demand it is slow, fails, hangs, resets connections, starts cold or drains, and it
-//! can be replaced by a new instance.
+//! Stand-in for a formula server. It runs commands on a limited number of cores for a set time, records what
+//! it ran, and ignores repeats of a keyed mix. On demand it is slow, fails, hangs, resets connections, starts
+//! cold or drains, and it can be replaced by a new instance.
 
 use crate::resp::RespConnection;
 use std::collections::HashMap;
@@ -29,8 +29,8 @@
     pub cold_from: f64,
     /// How long repeats of a keyed mix are ignored.
     pub window: Duration,
-    /// Whether the id and key of each command are recorded, for tests. This grows without limit, so a cluster that runs for
-    /// days leaves it off.
+    /// Whether the id and key of each command are recorded, for tests. This grows without limit, so a cluster
+    /// that runs for days leaves it off.
     pub ids: bool,
 }
 
@@ -91,7 +91,7 @@
     pub wait: Option<Duration>,
 }
 
-/// A running formula server. Ends when dropped.
+/// A running formula server. It ends when dropped.
 pub struct FormulaServer {
     /// Name in the list of discovery.
     pub uid: String,
@@ -130,8 +130,8 @@
 pub type SharedKeys = Arc<Mutex<HashMap<String, Instant>>>;
 
 impl FormulaServer {
-    /// Starts a server at a free port of `ip`. A `cold` server reports the present time as its start and begins at reduced
-    /// speed.
+    /// Starts a server at a free port of `ip`. A `cold` server reports the present time as its start and
+    /// begins at reduced speed.
     ///
     /// # Errors
     /// When the listener cannot be bound.
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,6 +1,6 @@
-//! Stand-ins for the systems around a gatekeeper, for tests and for `frostctl dev`. They are written from the public
-//! protocols alone. Each stand-in has its own file, listens on loopback, records what it receives and can inject
-//! faults on demand.
+//! Stand-ins for the systems around a gatekeeper, for tests and for `frostctl dev`. They are written from the
+//! public protocols alone. Each stand-in has its own file, listens on loopback, records what it receives and
+//! can inject faults on demand.
 
 pub mod client;
 pub mod clock;
--- a/crates/standin/src/local_cluster.rs
+++ b/crates/standin/src/local_cluster.rs
@@ -1,5 +1,5 @@
-//! A local cluster on one machine, for `frostctl dev` and for tests. Formula servers, discovery and the shared counter
-//! are stand-ins in this process; the gatekeepers and the agent run as child processes.
+//! A local cluster on one machine, for `frostctl dev` and for tests. Formula servers, discovery and the
+//! shared counter are stand-ins in this process; the gatekeepers and the agent run as child processes.
 
 pub mod zone_views;
 
@@ -30,8 +30,8 @@
 /// How long the agent has to receive and store the final usage reports before it is killed.
 const AGENT_STOP_TIMEOUT: Duration = Duration::from_secs(14);
 
-/// Returns a loopback address for one cluster, derived from the process id and a counter, so that clusters that run at
-/// the same time do not collide. Outside Linux it is always 127.0.0.1.
+/// Returns a loopback address for one cluster, derived from the process id and a counter, so that clusters
+/// that run at the same time do not collide. Outside Linux it is always 127.0.0.1.
 #[must_use]
 pub fn own_ip() -> IpAddr {
     static NEXT: AtomicU32 = AtomicU32::new(0);
@@ -44,8 +44,8 @@
 }
 
 /// Returns the parent folder for test files: `/dev/shm` if it has at least 1 GiB available, else the system's
-/// temporary folder. The consensus group syncs its file at each step and its leases last 600 ms in tests; on a disk
-/// that takes 0.1 s per sync, leases would expire in tests that do not intend it.
+/// temporary folder. The consensus group syncs its file at each step and its leases last 600 ms in tests; on
+/// a disk that takes 0.1 s per sync, leases would expire in tests that do not intend it.
 #[must_use]
 pub fn scratch_folder() -> PathBuf {
     const IN_MEMORY: &str = "/dev/shm";
@@ -55,8 +55,8 @@
     if has_space { PathBuf::from(IN_MEMORY) } else { std::env::temp_dir() }
 }
 
-/// Returns the path of a program of this workspace. It is searched for in the folder of the running executable and in
-/// that folder's parent (test executables are in `deps/`).
+/// Returns the path of a program of this workspace. It is searched for in the folder of the running
+/// executable and in that folder's parent (test executables are in `deps/`).
 ///
 /// # Errors
 /// When the program is in neither folder.
@@ -92,14 +92,15 @@
     pub views: bool,
     /// Command and arguments placed in front of each program. Empty: the program is started directly.
     pub launcher: Vec<String>,
-    /// Folder of the settings files, sockets and logs. `None` creates a new folder that is removed when the cluster is
-    /// dropped.
+    /// Folder of the settings files, sockets and logs. `None` creates a new folder that is removed when the
+    /// cluster is dropped.
     pub folder: Option<PathBuf>,
     /// Whether gatekeepers send each other peer messages (`Bounds.Peers`).
     pub notes: bool,
     /// The maximum units of one request (`Domain.Largest`).
     pub largest: u32,
-    /// How far the clock of each gatekeeper's host is ahead, in ms, by gatekeeper number. A missing entry means 0.
+    /// How far the clock of each gatekeeper's host is ahead, in ms, by gatekeeper number. A missing entry
+    /// means 0.
     pub clocks_ahead_ms: Vec<i64>,
     /// Log format of the programs: `text` or `json`.
     pub log_format: String,
@@ -158,8 +159,8 @@
 
 impl Process {
     pub(crate) async fn start(name: &str, mut command: Command, log_file: &Path) -> Result<Process, String> {
-        // The child gets a process group of its own, so that Ctrl-C, which signals the whole foreground group, does not
-        // end it: the cluster stops its processes in order.
+        // The child gets a process group of its own, so that Ctrl-C, which signals the whole foreground
+        // group, does not end it: the cluster stops its processes in order.
         command.process_group(0);
         command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::piped()).kill_on_drop(true);
         let mut child = ports::start(&mut command).map_err(|e| format!("cannot start {name}: {e}"))?;
@@ -268,8 +269,8 @@
         self.child.try_wait().ok().flatten()
     }
 
-    /// CPU time (user and system) used by the process, in ms, at 100 clock ticks per second; 0 where `/proc` does not
-    /// tell it.
+    /// CPU time (user and system) used by the process, in ms, at 100 clock ticks per second; 0 where `/proc`
+    /// does not tell it.
     #[must_use]
     pub fn cpu_ms(&self) -> u64 {
         let stat = self.pid().and_then(|pid| fs::read_to_string(format!("/proc/{pid}/stat")).ok());
@@ -515,8 +516,8 @@
         Ok(())
     }
 
-    /// Starts the agent and waits until it is linked with all gatekeepers. `sockets` gives, by gatekeeper name, the
-    /// socket that the agent connects to in place of the gatekeeper's own.
+    /// Starts the agent and waits until it is linked with all gatekeepers. `sockets` gives, by gatekeeper
+    /// name, the socket that the agent connects to in place of the gatekeeper's own.
     ///
     /// # Errors
     /// When the settings file cannot be written, the agent does not start, or a link is not made in time.
@@ -594,8 +595,8 @@
         })
     }
 
-    /// Stops all processes: first the gatekeepers, all at once and with time to drain, then the agent, which receives
-    /// their final usage reports.
+    /// Stops all processes: first the gatekeepers, all at once and with time to drain, then the agent, which
+    /// receives their final usage reports.
     pub async fn stop(&mut self) {
         for g in &self.gatekeepers {
             g.process.signal("TERM").await;
--- a/crates/standin/src/local_cluster/zone_views.rs
+++ b/crates/standin/src/local_cluster/zone_views.rs
@@ -1,5 +1,5 @@
-//! Discovery as each zone sees it. Each zone has its own proxy in front of every formula server, so that the paths
-//! from one zone to another can be cut, held or slowed separately for each direction.
+//! Discovery as each zone sees it. Each zone has its own proxy in front of every formula server, so that the
+//! paths from one zone to another can be cut, held or slowed separately for each direction.
 
 use crate::discovery::{Discovery, Target};
 use crate::formula_server::FormulaServer;
@@ -47,7 +47,8 @@
         Ok(views)
     }
 
-    /// Adds the formula server number `k` behind a new proxy, or replaces the server and proxy of that number.
+    /// Adds the formula server number `k` behind a new proxy, or replaces the server and proxy of that
+    /// number.
     ///
     /// # Errors
     /// When the proxy cannot listen.
@@ -83,8 +84,8 @@
     }
 }
 
-/// Returns the discovery address for the gatekeeper number `k`: that of its zone's view, or of `default_discovery`
-/// when there are no views.
+/// Returns the discovery address for the gatekeeper number `k`: that of its zone's view, or of
+/// `default_discovery` when there are no views.
 pub(super) fn discovery_address(views: &[ZoneView], k: usize, default_discovery: &Discovery) -> SocketAddr {
     views.get(k % 3).map_or(default_discovery.at, |v| v.discovery.at)
 }
--- a/crates/standin/src/ports.rs
+++ b/crates/standin/src/ports.rs
@@ -1,8 +1,9 @@
-//! Allocates ports for programs that start later, and starts programs so that none keeps such a port by accident.
+//! Allocates ports for programs that start later, and starts programs so that none keeps such a port by
+//! accident.
 //!
-//! A port is probed by binding it. A program that another thread starts at that moment inherits the socket until its
-//! `exec` and holds the port for some ms longer, so that the intended program cannot bind it. Therefore no program is
-//! started while a port is probed.
+//! A port is probed by binding it. A program that another thread starts at that moment inherits the socket
+//! until its `exec` and holds the port for some ms longer, so that the intended program cannot bind it.
+//! Therefore no program is started while a port is probed.
 
 use std::io;
 use std::net::{IpAddr, TcpListener, UdpSocket};
@@ -13,9 +14,9 @@
 /// Locked while a port is probed and while a program is started.
 static PROBE_OR_START: Mutex<()> = Mutex::new(());
 
-/// Returns a port of this address that is free for TCP and UDP. All such ports are below 30,000, and those that the system
-/// assigns for port 0 are above, so that the system does not assign one of them in between. Successive calls in one
-/// process return different ports, until the 20,000 candidates repeat.
+/// Returns a port of this address that is free for TCP and UDP. All such ports are below 30,000, and those
+/// that the system assigns for port 0 are above, so that the system does not assign one of them in between.
+/// Successive calls in one process return different ports, until the 20,000 candidates repeat.
 ///
 /// # Errors
 /// When 1,000 candidates in a row cannot be bound.
--- a/crates/standin/src/postgres.rs
+++ b/crates/standin/src/postgres.rs
@@ -1,9 +1,9 @@
-//! A PostgreSQL server, as far as its clients can tell: the v3 wire protocol (`pgwire`) over a store in a file that
-//! survives its own kill. Start-up with SCRAM or md5, simple and extended queries, transactions, error codes, LISTEN and
-//! NOTIFY. In front of it a way that understands messages does wrong on demand.
+//! Stand-in for a PostgreSQL server: the v3 wire protocol (`pgwire`) over a database file that survives a
+//! kill of the server. It supports login with SCRAM or md5, simple and extended queries, transactions, error
+//! codes, LISTEN and NOTIFY. A front end, which parses protocol messages, injects faults on demand.
 //!
-//! Statements are run by SQLite, so only what both databases know is understood; parameters need casts
-//! (`$1::BIGINT`, `$1::TEXT`), which tell their types here as there.
+//! SQLite runs the statements, so only SQL that both databases understand is supported. Parameters need casts
+//! (`$1::BIGINT`, `$1::TEXT`), which give their types in both.
 
 use async_trait::async_trait;
 use pgwire::api::auth::md5pass::{Md5PasswordAuthStartupHandler, hash_md5_password};
@@ -32,9 +32,10 @@
 use tokio::sync::{broadcast, watch};
 use tokio::task::JoinHandle;
 
-const ITERATIONS: usize = 4096;
+/// Iterations of the SCRAM password hash.
+const SCRAM_ITERATIONS: usize = 4096;
 
-/// How clients show who they are.
+/// Authentication method of the clients.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Login {
     /// SCRAM-SHA-256.
@@ -43,10 +44,10 @@
     Md5,
 }
 
-/// TLS with this certificate and key, both DER, for [`Postgres::start_at`].
+/// Creates a TLS acceptor for [`Postgres::start_at`] from a certificate and a PKCS #8 key, both in DER.
 ///
 /// # Errors
-/// When they can't be used.
+/// When the certificate or the key is not valid.
 pub fn tls_acceptor(cert: Vec<u8>, key: Vec<u8>) -> Result<tokio_rustls::TlsAcceptor, String> {
     use tokio_rustls::rustls::pki_types::{PrivateKeyDer, PrivatePkcs8KeyDer};
     use tokio_rustls::rustls::{ServerConfig, crypto::ring};
@@ -60,45 +61,45 @@
     Ok(tokio_rustls::TlsAcceptor::from(Arc::new(config)))
 }
 
-/// What it does wrong. All may be changed at any time.
+/// Injected faults. Each may be changed at any time.
 #[derive(Default)]
 pub struct PostgresFaults {
-    /// Every message from a client waits so many ms.
+    /// Delay of each statement of a client, in ms.
     pub slow_ms: AtomicU64,
-    /// Clients' messages are no longer taken: it hangs.
+    /// Whether the server hangs: messages of clients are no longer processed.
     pub hang: AtomicBool,
-    /// So many more messages from clients are taken, then it hangs; below 0 is without end.
+    /// Number of further client messages to process before the server hangs; negative: no limit.
     pub hang_after: AtomicI64,
-    /// So many more messages from clients are taken, then their connections are cut; below 0 is without end.
+    /// Number of further client messages to process before connections are cut; negative: no limit.
     pub cut_after: AtomicI64,
-    /// The next `COMMIT` is not run, and its connection is cut.
+    /// Whether the next `COMMIT` is not run, and its connection is cut.
     pub die_before_commit: AtomicBool,
-    /// The next `COMMIT` is run, and its connection is cut before the answer.
+    /// Whether the next `COMMIT` is run, and its connection is cut before the response.
     pub die_after_commit: AtomicBool,
-    /// So many more transactions end with 40001 when they are to be made final.
+    /// Number of further transactions whose `COMMIT` fails with 40001.
     pub serialization_failures: AtomicI64,
-    /// The next row that is answered is cut in half, with its connection.
+    /// Whether only the first half of the next result row is sent, and its connection is cut.
     pub half_a_row: AtomicBool,
-    /// New connections are refused with 57P03.
+    /// Whether new connections are refused with 57P03.
     pub refuse: AtomicBool,
-    /// NOTIFY reaches nobody.
+    /// Whether notifications are not delivered.
     pub deaf: AtomicBool,
 }
 
 struct Shared {
     file: PathBuf,
     faults: Arc<PostgresFaults>,
-    notes: broadcast::Sender<String>,
+    notifications: broadcast::Sender<String>,
     statements: AtomicU64,
     password: String,
     login: Login,
 }
 
-/// A running server. Ends when dropped; its file stays.
+/// A running server. It ends when dropped; its file stays.
 pub struct Postgres {
-    /// Where it listens.
+    /// Address where it listens.
     pub at: SocketAddr,
-    /// What it does wrong.
+    /// Injected faults.
     pub faults: Arc<PostgresFaults>,
     shared: Arc<Shared>,
     stop: watch::Sender<bool>,
@@ -117,18 +118,18 @@
 }
 
 impl Postgres {
-    /// Starts one at a free port, over a file.
+    /// Starts a server at a free port of `ip`, with the database in `file`.
     ///
     /// # Errors
-    /// When it can't listen or the file can't be opened.
+    /// When the listener cannot be bound or the file cannot be opened.
     pub async fn start(ip: IpAddr, file: &Path, password: &str, login: Login) -> Result<Postgres, String> {
         Postgres::start_at(SocketAddr::new(ip, 0), file, password, login, None).await
     }
 
-    /// The same at an address, perhaps with TLS.
+    /// Starts a server at an address, with TLS if an acceptor is given.
     ///
     /// # Errors
-    /// When it can't listen or the file can't be opened.
+    /// When the listener cannot be bound or the file cannot be opened.
     pub async fn start_at(
         at: SocketAddr,
         file: &Path,
@@ -136,15 +137,17 @@
         login: Login,
         tls: Option<tokio_rustls::TlsAcceptor>,
     ) -> Result<Postgres, String> {
-        let first = Connection::open(file).map_err(|e| format!("{}: {e}", file.display()))?;
-        first.pragma_update(None, "journal_mode", "WAL").map_err(|e| format!("{}: {e}", file.display()))?;
-        first
+        let setup_connection = Connection::open(file).map_err(|e| format!("{}: {e}", file.display()))?;
+        setup_connection
+            .pragma_update(None, "journal_mode", "WAL")
+            .map_err(|e| format!("{}: {e}", file.display()))?;
+        setup_connection
             .execute_batch(
                 "CREATE TABLE IF NOT EXISTS advisory_lock (id INTEGER PRIMARY KEY, n INTEGER); \
                  INSERT OR IGNORE INTO advisory_lock VALUES (1, 0)",
             )
             .map_err(|e| format!("{}: {e}", file.display()))?;
-        drop(first);
+        drop(setup_connection);
         let listener = TcpListener::bind(at).await.map_err(|e| format!("{at}: {e}"))?;
         let at = listener.local_addr().map_err(|e| e.to_string())?;
         let faults = Arc::new(PostgresFaults::default());
@@ -153,33 +156,33 @@
         let shared = Arc::new(Shared {
             file: file.to_path_buf(),
             faults: faults.clone(),
-            notes: broadcast::Sender::new(256),
+            notifications: broadcast::Sender::new(256),
             statements: AtomicU64::new(0),
             password: password.to_string(),
             login,
         });
         let (stop, stopped) = watch::channel(false);
-        let own = shared.clone();
+        let accept_shared = shared.clone();
         let task = tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
                 let _ = stream.set_nodelay(true);
-                let (shared, mut stopped, tls) = (own.clone(), stopped.clone(), tls.clone());
+                let (shared, mut stopped, tls) = (accept_shared.clone(), stopped.clone(), tls.clone());
                 tokio::spawn(async move {
                     let served = async {
                         match tls {
                             Some(tls) => {
                                 let mut stream = stream;
-                                // The request for TLS: a length of 8 and its code.
+                                // SSLRequest: the length 8 and the request code.
                                 let mut head = [0; 8];
                                 stream.read_exact(&mut head).await.ok()?;
                                 stream.write_all(b"S").await.ok()?;
                                 let stream = tls.accept(stream).await.ok()?;
                                 let (read, write) = tokio::io::split(stream);
-                                serve(shared, read, write).await;
+                                serve_connection(shared, read, write).await;
                             }
                             None => {
                                 let (read, write) = stream.into_split();
-                                serve(shared, read, write).await;
+                                serve_connection(shared, read, write).await;
                             }
                         }
                         Some(())
@@ -194,27 +197,29 @@
         Ok(Postgres { at, faults, shared, stop, task })
     }
 
-    /// Statements that were run.
+    /// Returns the number of statements so far.
     #[must_use]
     pub fn statements(&self) -> u64 {
         self.shared.statements.load(Ordering::SeqCst)
     }
 
-    /// Kills it: all connections break at once, and the port is free again. What was made final is in the file.
+    /// Kills the server: all connections break at once. Returns when the port is free again. Committed data
+    /// stays in the file.
     pub async fn kill(self) {
         self.stop.send_replace(true);
         self.task.abort();
-        // Until the port is free.
+        // Waits until the port is free.
         while tokio::net::TcpStream::connect(self.at).await.is_ok() {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
     }
 }
 
-// ---- the way in front, which understands messages ----
+// ---- front end: injects faults at the level of protocol messages ----
 
-/// A message: its kind, none for the first one of a connection, and all of its bytes.
-async fn message(read: &mut (impl AsyncRead + Unpin), first: bool) -> Option<(u8, Vec<u8>)> {
+/// Reads a message and returns its type byte and all its bytes. The first message of a connection has no type
+/// byte; 0 is returned for it. `None`: the connection ended, or the length is invalid.
+async fn read_message(read: &mut (impl AsyncRead + Unpin), first: bool) -> Option<(u8, Vec<u8>)> {
     let mut bytes = Vec::new();
     let kind = if first { 0 } else { read.read_u8().await.ok()? };
     if !first {
@@ -231,7 +236,8 @@
     Some((kind, bytes))
 }
 
-fn error(code: &str, text: &str) -> Vec<u8> {
+/// Returns an ErrorResponse message of severity FATAL.
+fn fatal_error(code: &str, text: &str) -> Vec<u8> {
     let mut body = Vec::new();
     for (field, value) in [(b'S', "FATAL"), (b'C', code), (b'M', text)] {
         body.push(field);
@@ -245,24 +251,26 @@
     out
 }
 
-/// Counts down; true when it comes to its end.
-fn spent(left: &AtomicI64) -> bool {
-    left.load(Ordering::SeqCst) >= 0 && left.fetch_sub(1, Ordering::SeqCst) <= 0
+/// Counts down by one and returns whether the count was used up. A negative count is no limit.
+fn count_down(remaining: &AtomicI64) -> bool {
+    remaining.load(Ordering::SeqCst) >= 0 && remaining.fetch_sub(1, Ordering::SeqCst) <= 0
 }
 
-async fn serve(
+/// Serves one connection of a client: forwards messages to a backend of its own and back, and applies the
+/// faults.
+async fn serve_connection(
     shared: Arc<Shared>,
     mut read: impl AsyncRead + Unpin + Send,
     mut write: impl AsyncWrite + Unpin + Send,
 ) {
     let faults = shared.faults.clone();
-    let Some((_, start)) = message(&mut read, true).await else { return };
-    // A request for TLS, where there is none.
+    let Some((_, start)) = read_message(&mut read, true).await else { return };
+    // Answers an SSLRequest with `N`, since this listener has no TLS.
     let start = if start.len() == 8 && start[4..] == 80_877_103u32.to_be_bytes() {
         if write.write_all(b"N").await.is_err() {
             return;
         }
-        match message(&mut read, true).await {
+        match read_message(&mut read, true).await {
             Some((_, start)) => start,
             None => return,
         }
@@ -270,55 +278,57 @@
         start
     };
     if faults.refuse.load(Ordering::SeqCst) {
-        let _ = write.write_all(&error("57P03", "the database system is starting up")).await;
+        let _ = write.write_all(&fatal_error("57P03", "the database system is starting up")).await;
         return;
     }
-    let Ok((near, far)) = UnixStream::pair() else { return };
+    let Ok((frontend_socket, backend_socket)) = UnixStream::pair() else { return };
     let session = Arc::new(Session::default());
     let handlers = Handlers::new(shared.clone(), session.clone());
     let Some(handlers) = handlers else { return };
-    let server = tokio::spawn(async move { drop(process_socket_unix(far, handlers).await) });
-    let (mut from_server, mut to_server) = near.into_split();
+    let server = tokio::spawn(async move { drop(process_socket_unix(backend_socket, handlers).await) });
+    let (mut from_server, mut to_server) = frontend_socket.into_split();
     if to_server.write_all(&start).await.is_err() {
         return;
     }
-    let mut notes = shared.notes.subscribe();
-    let idle = idle_limit(&start);
-    let up = async {
+    let mut notifications = shared.notifications.subscribe();
+    let idle_timeout = idle_in_transaction_timeout(&start);
+    let client_to_server = async {
         loop {
-            let next = message(&mut read, false);
-            let next = match idle.filter(|_| session.in_transaction.load(Ordering::SeqCst)) {
-                // As the server's setting says: what a client that went silent holds is given up.
-                Some(most) => tokio::time::timeout(most, next).await.ok().flatten(),
+            let next = read_message(&mut read, false);
+            let next = match idle_timeout.filter(|_| session.in_transaction.load(Ordering::SeqCst)) {
+                // `idle_in_transaction_session_timeout`: the transaction of a silent client is rolled back,
+                // which releases its locks.
+                Some(timeout) => tokio::time::timeout(timeout, next).await.ok().flatten(),
                 None => next.await,
             };
             let Some((kind, bytes)) = next else { return };
             let slow = faults.slow_ms.load(Ordering::SeqCst);
-            // A whole statement waits once, not each of its messages.
+            // Only Query and Execute are delayed, so that a statement waits once and not for each of its
+            // messages.
             if slow > 0 && (kind == b'Q' || kind == b'E') {
                 tokio::time::sleep(Duration::from_millis(slow)).await;
             }
-            if spent(&faults.cut_after) {
+            if count_down(&faults.cut_after) {
                 return;
             }
-            if spent(&faults.hang_after) {
+            if count_down(&faults.hang_after) {
                 faults.hang.store(true, Ordering::SeqCst);
             }
             while faults.hang.load(Ordering::SeqCst) {
                 tokio::time::sleep(Duration::from_millis(5)).await;
             }
-            if session.dead.load(Ordering::SeqCst) || to_server.write_all(&bytes).await.is_err() {
+            if session.is_broken.load(Ordering::SeqCst) || to_server.write_all(&bytes).await.is_err() {
                 return;
             }
         }
     };
-    let down = async {
+    let server_to_client = async {
         loop {
             tokio::select! {
                 biased;
-                message = message(&mut from_server, false) => {
+                message = read_message(&mut from_server, false) => {
                     let Some((kind, bytes)) = message else { return };
-                    if session.dead.load(Ordering::SeqCst) {
+                    if session.is_broken.load(Ordering::SeqCst) {
                         return;
                     }
                     if kind == b'D' && faults.half_a_row.swap(false, Ordering::SeqCst) {
@@ -329,9 +339,9 @@
                         return;
                     }
                 }
-                note = notes.recv() => {
-                    let Ok(channel) = note else { continue };
-                    if !lock(&session.listens).contains(&channel) || faults.deaf.load(Ordering::SeqCst) {
+                notification = notifications.recv() => {
+                    let Ok(channel) = notification else { continue };
+                    if !lock(&session.listened_channels).contains(&channel) || faults.deaf.load(Ordering::SeqCst) {
                         continue;
                     }
                     let mut body = 1u32.to_be_bytes().to_vec();
@@ -347,33 +357,36 @@
             }
         }
     };
-    // The message that `down` may drop half read is always whole: `near` gets them from a buffer in this process.
+    // `server_to_client` cancels a read when a notification arrives. No part of a message is lost by that:
+    // the messages arrive whole, from a buffer in this process.
     tokio::select! {
-        () = up => {}
-        () = down => {}
+        () = client_to_server => {}
+        () = server_to_client => {}
     }
     server.abort();
-    // What it had open is given up with it.
+    // Waits until the task is dropped, which rolls back its open transaction.
     let _ = server.await;
 }
 
-/// The session's `idle_in_transaction_session_timeout`, as its first message sets it.
-fn idle_limit(start: &[u8]) -> Option<Duration> {
+/// Returns the `idle_in_transaction_session_timeout` that the client's startup message sets, if it is over 0.
+fn idle_in_transaction_timeout(start: &[u8]) -> Option<Duration> {
     let text = String::from_utf8_lossy(start);
     let (_, rest) = text.split_once("idle_in_transaction_session_timeout=")?;
     let digits: String = rest.chars().take_while(char::is_ascii_digit).collect();
     digits.parse().ok().filter(|ms| *ms > 0).map(Duration::from_millis)
 }
 
-// ---- the server behind ----
+// ---- backend: runs the statements ----
 
-/// What one connection has.
+/// State of one connection, shared by its front end and its backend.
 #[derive(Default)]
 struct Session {
-    listens: Mutex<Vec<String>>,
-    /// Told when the transaction is made final.
-    notes: Mutex<Vec<String>>,
-    dead: AtomicBool,
+    /// Channels that the connection listens on.
+    listened_channels: Mutex<Vec<String>>,
+    /// Channels to notify when the transaction commits.
+    pending_notifications: Mutex<Vec<String>>,
+    /// Whether the connection is to be cut.
+    is_broken: AtomicBool,
     in_transaction: AtomicBool,
 }
 
@@ -399,12 +412,13 @@
     }
 }
 
-fn sqlite(text: &str) -> String {
+/// Translates a statement for SQLite: removes the casts and replaces `$1` by `?1`.
+fn to_sqlite(text: &str) -> String {
     text.replace("::BIGINT", "").replace("::TEXT", "").replace('$', "?")
 }
 
-/// The types of parameters, from their casts.
-fn parameters(text: &str) -> Vec<Type> {
+/// Returns the types of the parameters, from their casts.
+fn parameter_types(text: &str) -> Vec<Type> {
     let mut types = Vec::new();
     for part in text.split('$').skip(1) {
         let digits: String = part.chars().take_while(char::is_ascii_digit).collect();
@@ -422,14 +436,15 @@
     types
 }
 
-fn refusal(code: &str, text: &str) -> PgWireError {
+fn sql_error(code: &str, text: &str) -> PgWireError {
     PgWireError::UserError(Box::new(ErrorInfo::new("ERROR".into(), code.into(), text.into())))
 }
 
-fn failed(e: &rusqlite::Error) -> PgWireError {
+fn sql_error_from_sqlite(e: &rusqlite::Error) -> PgWireError {
     let code = match e {
         rusqlite::Error::SqliteFailure(f, _) => match f.code {
-            // Whoever can't have the lock in time gives way, as in a server that finds a conflict.
+            // A transaction that does not get the lock in time fails like one in which PostgreSQL finds a
+            // conflict.
             ErrorCode::DatabaseBusy | ErrorCode::DatabaseLocked => "40001",
             ErrorCode::ConstraintViolation => "23505",
             ErrorCode::DiskFull => "53100",
@@ -438,17 +453,18 @@
         },
         _ => "42601",
     };
-    refusal(code, &e.to_string())
+    sql_error(code, &e.to_string())
 }
 
 impl Backend {
+    /// Returns the columns of a statement's result; none if it returns no rows.
     fn fields(&self, text: &str, format: &Format) -> PgWireResult<Vec<FieldInfo>> {
         if let Some(name) = text.trim_start().strip_prefix("SELECT pg_advisory_xact_lock") {
             let _ = name;
             return Ok(vec![FieldInfo::new("locked".into(), None, None, Type::TEXT, format.format_for(0))]);
         }
         let conn = lock(&self.conn);
-        let statement = conn.prepare_cached(&sqlite(text)).map_err(|e| failed(&e))?;
+        let statement = conn.prepare_cached(&to_sqlite(text)).map_err(|e| sql_error_from_sqlite(&e))?;
         let field = |(k, column): (usize, rusqlite::Column<'_>)| {
             let kind = match column.decl_type() {
                 Some("TEXT") => Type::TEXT,
@@ -459,43 +475,45 @@
         Ok(statement.columns().enumerate().map(field).collect())
     }
 
-    /// Statements that only a server knows, and those on which something goes wrong.
-    fn special(&self, text: &str) -> Option<PgWireResult<Response>> {
+    /// Handles statements that SQLite does not know, and those with injected faults. `None`: the statement is
+    /// none of these.
+    fn run_special(&self, text: &str) -> Option<PgWireResult<Response>> {
         let text = text.trim().trim_end_matches(';');
         let upper = text.to_ascii_uppercase();
         let faults = &self.shared.faults;
         let run = |sql: &str| {
             let conn = lock(&self.conn);
-            let done = conn.execute_batch(sql).map_err(|e| failed(&e));
+            let result = conn.execute_batch(sql).map_err(|e| sql_error_from_sqlite(&e));
             self.session.in_transaction.store(!conn.is_autocommit(), Ordering::SeqCst);
-            done
+            result
         };
         if upper.starts_with("BEGIN") {
-            // It sees what was final when it first looked. One that writes over another's change gives way, 40001.
-            lock(&self.session.notes).clear();
+            // A transaction sees the data committed at its first read. One that would overwrite a concurrent
+            // change fails with 40001.
+            lock(&self.session.pending_notifications).clear();
             return Some(run("BEGIN").map(|()| Response::TransactionStart(Tag::new("BEGIN"))));
         }
         if upper == "COMMIT" {
             if faults.die_before_commit.swap(false, Ordering::SeqCst) {
-                self.session.dead.store(true, Ordering::SeqCst);
+                self.session.is_broken.store(true, Ordering::SeqCst);
                 let _ = run("ROLLBACK");
-                return Some(Err(refusal("57P01", "terminating connection")));
+                return Some(Err(sql_error("57P01", "terminating connection")));
             }
             if faults.serialization_failures.load(Ordering::SeqCst) > 0 {
                 faults.serialization_failures.fetch_sub(1, Ordering::SeqCst);
                 let _ = run("ROLLBACK");
-                return Some(Err(refusal("40001", "could not serialize access due to concurrent update")));
+                return Some(Err(sql_error("40001", "could not serialize access due to concurrent update")));
             }
-            let done = run("COMMIT");
-            if done.is_ok() {
-                for channel in lock(&self.session.notes).drain(..) {
-                    let _ = self.shared.notes.send(channel);
+            let result = run("COMMIT");
+            if result.is_ok() {
+                for channel in lock(&self.session.pending_notifications).drain(..) {
+                    let _ = self.shared.notifications.send(channel);
                 }
             }
             if faults.die_after_commit.swap(false, Ordering::SeqCst) {
-                self.session.dead.store(true, Ordering::SeqCst);
+                self.session.is_broken.store(true, Ordering::SeqCst);
             }
-            return Some(done.map(|()| Response::TransactionEnd(Tag::new("COMMIT"))));
+            return Some(result.map(|()| Response::TransactionEnd(Tag::new("COMMIT"))));
         }
         if upper == "ROLLBACK" {
             let conn = lock(&self.conn);
@@ -506,15 +524,15 @@
             return Some(Ok(Response::TransactionEnd(Tag::new("ROLLBACK"))));
         }
         if let Some(channel) = upper.strip_prefix("LISTEN ") {
-            lock(&self.session.listens).push(channel.to_ascii_lowercase());
+            lock(&self.session.listened_channels).push(channel.to_ascii_lowercase());
             return Some(Ok(Response::Execution(Tag::new("LISTEN"))));
         }
         if let Some(channel) = upper.strip_prefix("NOTIFY ") {
             let channel = channel.to_ascii_lowercase();
             if lock(&self.conn).is_autocommit() {
-                let _ = self.shared.notes.send(channel);
+                let _ = self.shared.notifications.send(channel);
             } else {
-                lock(&self.session.notes).push(channel);
+                lock(&self.session.pending_notifications).push(channel);
             }
             return Some(Ok(Response::Execution(Tag::new("NOTIFY"))));
         }
@@ -524,42 +542,47 @@
         None
     }
 
+    /// Runs a statement and returns its response.
     fn run(&self, text: &str, args: Vec<Value>, format: &Format) -> PgWireResult<Response> {
         self.shared.statements.fetch_add(1, Ordering::SeqCst);
-        if let Some(response) = self.special(text) {
+        if let Some(response) = self.run_special(text) {
             return response;
         }
         let fields = Arc::new(self.fields(text, format)?);
         let mut encoder = DataRowEncoder::new(fields.clone());
         if text.trim_start().starts_with("SELECT pg_advisory_xact_lock") {
-            lock(&self.conn).execute_batch("UPDATE advisory_lock SET n = n + 1").map_err(|e| failed(&e))?;
+            lock(&self.conn)
+                .execute_batch("UPDATE advisory_lock SET n = n + 1")
+                .map_err(|e| sql_error_from_sqlite(&e))?;
             encoder.encode_field(&"")?;
             let rows = vec![Ok(encoder.take_row())];
             return Ok(Response::Query(QueryResponse::new(fields, futures::stream::iter(rows))));
         }
         let conn = lock(&self.conn);
-        let mut statement = conn.prepare_cached(&sqlite(text)).map_err(|e| failed(&e))?;
+        let mut statement = conn.prepare_cached(&to_sqlite(text)).map_err(|e| sql_error_from_sqlite(&e))?;
         if fields.is_empty() {
-            let n = statement.execute(rusqlite::params_from_iter(args)).map_err(|e| failed(&e))?;
+            let n =
+                statement.execute(rusqlite::params_from_iter(args)).map_err(|e| sql_error_from_sqlite(&e))?;
             let verb = text.split_whitespace().next().unwrap_or("OK").to_ascii_uppercase();
             let tag = Tag::new(&verb);
             let tag = if verb == "INSERT" { tag.with_oid(0).with_rows(n) } else { tag.with_rows(n) };
             return Ok(Response::Execution(tag));
         }
-        let mut out = Vec::new();
-        let mut rows = statement.query(rusqlite::params_from_iter(args)).map_err(|e| failed(&e))?;
-        while let Some(row) = rows.next().map_err(|e| failed(&e))? {
+        let mut encoded_rows = Vec::new();
+        let mut rows =
+            statement.query(rusqlite::params_from_iter(args)).map_err(|e| sql_error_from_sqlite(&e))?;
+        while let Some(row) = rows.next().map_err(|e| sql_error_from_sqlite(&e))? {
             for (k, field) in fields.iter().enumerate() {
-                match row.get_ref(k).map_err(|e| failed(&e))? {
+                match row.get_ref(k).map_err(|e| sql_error_from_sqlite(&e))? {
                     ValueRef::Integer(n) if *field.datatype() == Type::INT8 => encoder.encode_field(&n)?,
                     ValueRef::Integer(n) => encoder.encode_field(&n.to_string())?,
                     ValueRef::Text(text) => encoder.encode_field(&String::from_utf8_lossy(text).as_ref())?,
                     _ => encoder.encode_field(&None::<i64>)?,
                 }
             }
-            out.push(Ok(encoder.take_row()));
+            encoded_rows.push(Ok(encoder.take_row()));
         }
-        Ok(Response::Query(QueryResponse::new(fields, futures::stream::iter(out))))
+        Ok(Response::Query(QueryResponse::new(fields, futures::stream::iter(encoded_rows))))
     }
 }
 
@@ -588,8 +611,8 @@
     {
         let text = &portal.statement.statement;
         let mut args = Vec::new();
-        for (k, kind) in parameters(text).iter().enumerate() {
-            let missing = || refusal("42P02", &format!("there is no parameter ${}", k + 1));
+        for (k, kind) in parameter_types(text).iter().enumerate() {
+            let missing = || sql_error("42P02", &format!("there is no parameter ${}", k + 1));
             args.push(match *kind {
                 Type::INT8 => Value::Integer(portal.parameter::<i64>(k, &Type::INT8)?.ok_or_else(missing)?),
                 _ => Value::Text(portal.parameter::<String>(k, &Type::TEXT)?.ok_or_else(missing)?),
@@ -607,7 +630,7 @@
         C: ClientInfo + Unpin + Send + Sync,
     {
         let text = &statement.statement;
-        Ok(DescribeStatementResponse::new(parameters(text), self.fields(text, &Format::UnifiedBinary)?))
+        Ok(DescribeStatementResponse::new(parameter_types(text), self.fields(text, &Format::UnifiedBinary)?))
     }
 
     async fn do_describe_portal<C>(
@@ -623,6 +646,7 @@
     }
 }
 
+/// The password source of the login handlers.
 struct Passwords {
     shared: Arc<Shared>,
 }
@@ -640,7 +664,7 @@
         match self.shared.login {
             Login::Scram => {
                 let salt = vec![7; 16];
-                let hash = gen_salted_password(password, &salt, ITERATIONS);
+                let hash = gen_salted_password(password, &salt, SCRAM_ITERATIONS);
                 Ok(Password::new(Some(salt), hash))
             }
             Login::Md5 => {
@@ -652,7 +676,7 @@
     }
 }
 
-/// Either way of start-up.
+/// Startup handler for either authentication method.
 enum Startup {
     Scram(SASLAuthStartupHandler<DefaultServerParameterProvider>),
     Md5(Md5PasswordAuthStartupHandler<Passwords, DefaultServerParameterProvider>),
@@ -693,7 +717,7 @@
         Arc::new(match shared.login {
             Login::Scram => {
                 let mut scram = ScramAuth::new(passwords);
-                scram.set_iterations(ITERATIONS);
+                scram.set_iterations(SCRAM_ITERATIONS);
                 Startup::Scram(SASLAuthStartupHandler::new(provider).with_scram(scram))
             }
             Login::Md5 => Startup::Md5(Md5PasswordAuthStartupHandler::new(passwords, provider)),
--- a/crates/standin/src/proxy.rs
+++ b/crates/standin/src/proxy.rs
@@ -1,5 +1,5 @@
-//! A fault-injecting proxy for TCP and Unix sockets. It forwards connections; on demand it holds, delays or drops data,
-//! cuts connections at once or after a number of bytes, or answers with garbage.
+//! A fault-injecting proxy for TCP and Unix sockets. It forwards connections; on demand it holds, delays or
+//! drops data, cuts connections at once or after a number of bytes, or answers with garbage.
 
 use std::net::{IpAddr, SocketAddr};
 use std::path::{Path, PathBuf};
--- a/crates/standin/src/resp.rs
+++ b/crates/standin/src/resp.rs
@@ -1,35 +1,35 @@
-//! RESP2 as clients and formula servers of the town need it: small, and for peers that are trusted.
+//! The subset of RESP2 that the client and formula server stand-ins need, for trusted peers.
 
 use std::io;
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, BufReader};
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::net::{TcpStream, ToSocketAddrs};
 
-/// A connection.
+/// A RESP connection.
 pub struct RespConnection {
-    /// What comes.
+    /// The buffered read half.
     pub read: BufReader<OwnedReadHalf>,
-    /// What goes.
+    /// The write half.
     pub write: OwnedWriteHalf,
 }
 
-/// An answer to a request.
+/// A response to a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Answer {
-    /// Served, with the value.
+    /// The request was served; holds the value.
     Served(Vec<u8>),
-    /// `-BUSY`, and when to come back in ms.
+    /// `-BUSY`, with the time until a retry in ms if it is given.
     Busy(Option<u64>),
-    /// Any other error line.
+    /// Any other error line, without the `-`, or a null reply.
     Failed(String),
 }
 
-fn spoilt(what: &str) -> io::Error {
+fn malformed(what: &str) -> io::Error {
     io::Error::new(io::ErrorKind::InvalidData, what.to_string())
 }
 
 impl RespConnection {
-    /// Of a stream.
+    /// Wraps a stream and sets TCP_NODELAY.
     #[must_use]
     pub fn new(stream: TcpStream) -> RespConnection {
         let _ = stream.set_nodelay(true);
@@ -37,15 +37,16 @@
         RespConnection { read: BufReader::new(read), write }
     }
 
-    /// Connects.
+    /// Connects to an address.
     ///
     /// # Errors
-    /// As the socket says.
+    /// When the connection cannot be made.
     pub async fn connect(at: impl ToSocketAddrs) -> io::Result<RespConnection> {
         Ok(RespConnection::new(TcpStream::connect(at).await?))
     }
 
-    async fn line(&mut self) -> io::Result<String> {
+    /// Reads a line without its line end.
+    async fn read_line(&mut self) -> io::Result<String> {
         let mut line = String::new();
         if self.read.read_line(&mut line).await? == 0 {
             return Err(io::ErrorKind::UnexpectedEof.into());
@@ -53,11 +54,15 @@
         Ok(line.trim_end().to_string())
     }
 
-    async fn bulk(&mut self, head: &str) -> io::Result<Option<Vec<u8>>> {
-        let len: i64 = head.get(1..).and_then(|n| n.parse().ok()).ok_or_else(|| spoilt("no length"))?;
+    /// Reads the bulk string whose header line is `head`; `None` for null.
+    async fn read_bulk(&mut self, head: &str) -> io::Result<Option<Vec<u8>>> {
+        let len: i64 = head
+            .get(1..)
+            .and_then(|n| n.parse().ok())
+            .ok_or_else(|| malformed("invalid length of a bulk string"))?;
         let Ok(len) = usize::try_from(len) else { return Ok(None) };
         if len > 1 << 20 {
-            return Err(spoilt("too long"));
+            return Err(malformed("bulk string longer than 1 MiB"));
         }
         let mut bytes = vec![0; len + 2];
         self.read.read_exact(&mut bytes).await?;
@@ -65,32 +70,34 @@
         Ok(Some(bytes))
     }
 
-    /// The next command, as its parts; none at the end.
+    /// Reads the next command and returns its parts, or `None` at the end of the connection.
     ///
     /// # Errors
-    /// When it can't be read.
+    /// When reading fails or the command is malformed.
     pub async fn read_command(&mut self) -> io::Result<Option<Vec<Vec<u8>>>> {
-        let head = match self.line().await {
+        let head = match self.read_line().await {
             Ok(head) => head,
             Err(e) if e.kind() == io::ErrorKind::UnexpectedEof => return Ok(None),
             Err(e) => return Err(e),
         };
-        let count: usize =
-            head.strip_prefix('*').and_then(|n| n.parse().ok()).ok_or_else(|| spoilt("no array"))?;
+        let count: usize = head
+            .strip_prefix('*')
+            .and_then(|n| n.parse().ok())
+            .ok_or_else(|| malformed("expected an array"))?;
         let mut parts = Vec::with_capacity(count.min(16));
         for _ in 0..count {
-            let head = self.line().await?;
-            parts.push(self.bulk(&head).await?.unwrap_or_default());
+            let head = self.read_line().await?;
+            parts.push(self.read_bulk(&head).await?.unwrap_or_default());
         }
         Ok(Some(parts))
     }
 
-    /// The answer to a request.
+    /// Reads the response to a request: an error, a simple string or a bulk string.
     ///
     /// # Errors
-    /// When it can't be read, or the connection ends.
+    /// When reading fails, the connection ends or the response is malformed.
     pub async fn read_answer(&mut self) -> io::Result<Answer> {
-        let head = self.line().await?;
+        let head = self.read_line().await?;
         if let Some(line) = head.strip_prefix('-') {
             return Ok(match line.strip_prefix("BUSY") {
                 Some(rest) => Answer::Busy(rest.trim().parse().ok()),
@@ -98,16 +105,16 @@
             });
         }
         if head.starts_with('$') {
-            return Ok(self.bulk(&head).await?.map_or(Answer::Failed("null".into()), Answer::Served));
+            return Ok(self.read_bulk(&head).await?.map_or(Answer::Failed("null".into()), Answer::Served));
         }
         if let Some(text) = head.strip_prefix('+') {
             return Ok(Answer::Served(text.as_bytes().to_vec()));
         }
-        Err(spoilt("no answer"))
+        Err(malformed("unexpected type of response"))
     }
 }
 
-/// A command.
+/// Returns the encoding of a command.
 #[must_use]
 pub fn command(parts: &[&[u8]]) -> Vec<u8> {
     let mut out = format!("*{}\r\n", parts.len()).into_bytes();
--- a/crates/standin/src/rls.rs
+++ b/crates/standin/src/rls.rs
@@ -1,5 +1,6 @@
-//! An outside rate limit service: it says OK or over the limit, hangs in the middle of a call, answers late, fails,
-//! or says something that means nothing. Put a [`Proxy`](crate::proxy::Proxy) before it for resets and noise.
+//! Stand-in for an external rate limit service. It answers OK or over the limit, hangs during a call, answers
+//! late, fails, or answers with an unknown code. For resets and garbage, place a
+//! [`Proxy`](crate::proxy::Proxy) in front of it.
 
 use frostvale_proto::envoy::service::ratelimit::v3::rate_limit_response::quota::ExpirationSpecifier;
 use frostvale_proto::envoy::service::ratelimit::v3::rate_limit_response::{Code, DescriptorStatus, Quota};
@@ -17,34 +18,34 @@
 use tonic::transport::server::TcpIncoming;
 use tonic::{Request, Response, Status};
 
-/// What it says.
+/// How the service answers.
 #[derive(Debug, Clone, PartialEq)]
 pub enum RlsBehavior {
-    /// OK.
+    /// Answers OK.
     Ok,
-    /// OK, and so many requests more for a time.
+    /// Answers OK, with a quota for this many further requests, valid for a time.
     Ahead(u32, Duration),
-    /// Over the limit, until then.
+    /// Answers over the limit, with the time until the reset.
     Over(Duration),
-    /// Nothing, ever.
+    /// Never answers.
     Hang,
-    /// OK, so much later.
+    /// Answers OK after a delay.
     Late(Duration),
-    /// A gRPC error.
+    /// Fails with a gRPC error (`INTERNAL`).
     Fail,
-    /// A code that means nothing.
+    /// Answers with the code `UNKNOWN`.
     Unknown,
-    /// Each in turn.
+    /// Uses these behaviors in turn, by the number of the call.
     Sequence(Vec<RlsBehavior>),
 }
 
-/// A running service. Ends when dropped.
+/// A running service. It ends when dropped.
 pub struct Rls {
-    /// Where it listens.
+    /// Address where it listens.
     pub at: SocketAddr,
-    say: watch::Sender<RlsBehavior>,
+    behavior: watch::Sender<RlsBehavior>,
     calls: Arc<Mutex<Vec<RateLimitRequest>>>,
-    /// Told of each call when it comes.
+    /// Receives each call when it arrives.
     pub received: mpsc::UnboundedReceiver<RateLimitRequest>,
     task: JoinHandle<()>,
 }
@@ -56,38 +57,38 @@
 }
 
 struct Service {
-    say: watch::Receiver<RlsBehavior>,
+    behavior: watch::Receiver<RlsBehavior>,
     calls: Arc<Mutex<Vec<RateLimitRequest>>>,
-    tell: mpsc::UnboundedSender<RateLimitRequest>,
+    received_sender: mpsc::UnboundedSender<RateLimitRequest>,
 }
 
 impl Rls {
-    /// Starts one at a free port.
+    /// Starts a service at a free port of `ip`, which answers OK.
     ///
     /// # Errors
-    /// When it can't listen.
+    /// When the listener cannot be bound.
     pub async fn start(ip: IpAddr) -> std::io::Result<Rls> {
         let listener = TcpListener::bind((ip, 0)).await?;
         let at = listener.local_addr()?;
-        let say = watch::Sender::new(RlsBehavior::Ok);
+        let behavior = watch::Sender::new(RlsBehavior::Ok);
         let calls: Arc<Mutex<Vec<RateLimitRequest>>> = Arc::default();
-        let (tell, received) = mpsc::unbounded_channel();
-        let service = Service { say: say.subscribe(), calls: calls.clone(), tell };
+        let (received_sender, received) = mpsc::unbounded_channel();
+        let service = Service { behavior: behavior.subscribe(), calls: calls.clone(), received_sender };
         let task = tokio::spawn(async move {
             let _ = Server::builder()
                 .add_service(RateLimitServiceServer::new(service))
                 .serve_with_incoming(TcpIncoming::from(listener).with_nodelay(Some(true)))
                 .await;
         });
-        Ok(Rls { at, say, calls, received, task })
+        Ok(Rls { at, behavior, calls, received, task })
     }
 
-    /// Sets what it says from now on.
-    pub fn set_behavior(&self, say: RlsBehavior) {
-        self.say.send_replace(say);
+    /// Sets how the following calls are answered.
+    pub fn set_behavior(&self, behavior: RlsBehavior) {
+        self.behavior.send_replace(behavior);
     }
 
-    /// Calls so far.
+    /// Returns the number of calls so far.
     #[must_use]
     pub fn calls(&self) -> usize {
         self.calls.lock().unwrap_or_else(PoisonError::into_inner).len()
@@ -100,27 +101,29 @@
         &self,
         request: Request<RateLimitRequest>,
     ) -> Result<Response<RateLimitResponse>, Status> {
-        let turn = {
+        let call_index = {
             let mut calls = self.calls.lock().unwrap_or_else(PoisonError::into_inner);
             calls.push(request.get_ref().clone());
             calls.len() - 1
         };
-        let _ = self.tell.send(request.into_inner());
-        let say = self.say.borrow().clone();
-        let say = match say {
-            RlsBehavior::Sequence(all) if !all.is_empty() => all[turn % all.len()].clone(),
-            say => say,
+        let _ = self.received_sender.send(request.into_inner());
+        let behavior = self.behavior.borrow().clone();
+        let behavior = match behavior {
+            RlsBehavior::Sequence(behaviors) if !behaviors.is_empty() => {
+                behaviors[call_index % behaviors.len()].clone()
+            }
+            behavior => behavior,
         };
-        let answer = |code: Code, status: DescriptorStatus| {
+        let respond = |code: Code, status: DescriptorStatus| {
             Ok(Response::new(RateLimitResponse {
                 overall_code: code.into(),
                 statuses: vec![DescriptorStatus { code: code.into(), ..status }],
                 ..RateLimitResponse::default()
             }))
         };
-        let plain = DescriptorStatus::default();
-        match say {
-            RlsBehavior::Ok | RlsBehavior::Sequence(_) => answer(Code::Ok, plain),
+        let default_status = DescriptorStatus::default();
+        match behavior {
+            RlsBehavior::Ok | RlsBehavior::Sequence(_) => respond(Code::Ok, default_status),
             RlsBehavior::Ahead(requests, time) => {
                 let until = std::time::SystemTime::now() + time;
                 let quota = Quota {
@@ -128,7 +131,7 @@
                     expiration_specifier: Some(ExpirationSpecifier::ValidUntil(until.into())),
                     id: String::new(),
                 };
-                let mut response = answer(Code::Ok, plain)?;
+                let mut response = respond(Code::Ok, default_status)?;
                 response.get_mut().quota = Some(quota);
                 Ok(response)
             }
@@ -137,15 +140,18 @@
                     seconds: time.as_secs() as i64,
                     nanos: time.subsec_nanos() as i32,
                 };
-                answer(Code::OverLimit, DescriptorStatus { duration_until_reset: Some(reset), ..plain })
+                respond(
+                    Code::OverLimit,
+                    DescriptorStatus { duration_until_reset: Some(reset), ..default_status },
+                )
             }
             RlsBehavior::Hang => std::future::pending().await,
             RlsBehavior::Late(time) => {
                 tokio::time::sleep(time).await;
-                answer(Code::Ok, plain)
+                respond(Code::Ok, default_status)
             }
             RlsBehavior::Fail => Err(Status::internal("as told")),
-            RlsBehavior::Unknown => answer(Code::Unknown, plain),
+            RlsBehavior::Unknown => respond(Code::Unknown, default_status),
         }
     }
 }
