--- a/crates/standin/src/local_cluster.rs
+++ b/crates/standin/src/local_cluster.rs
@@ -243,7 +243,7 @@
         self.child.id()
     }
 
-    /// Sends the process a signal by name, as `kill -NAME` does (`TERM`, `GATEKEEPER_STOP_TIMEOUT`).
+    /// Sends the process a signal by name, as `kill -NAME` does (for example `TERM` or `STOP`).
     pub async fn signal(&self, name: &str) {
         if let Some(pid) = self.pid() {
             let mut kill = Command::new("kill");
