--- a/crates/sim/src/lib.rs
+++ b/crates/sim/src/lib.rs
@@ -1,11 +1,12 @@
-//! A deterministic simulation of a fleet: many real decision modules, formula servers, the list, notes and clients in one
-//! process and one order of events, by virtual time and from one seed.
+//! A deterministic discrete-event simulation of a fleet. The real decision modules of many gatekeepers run in one
+//! process against simulated formula servers, service discovery, peer messages and clients. All events are ordered
+//! by virtual time, and all random numbers come from one seed.
 //!
 //! # Why
 //!
-//! No test on sockets shows 100 gatekeepers, and none fails the same way twice. Here a run is a function of scenario and
-//! seed: the five rules are watched at every step, the first break is told with the events before it, and a failing
-//! scenario shrinks by itself to a small one that goes into CI.
+//! Tests on sockets can't run 100 gatekeepers and don't fail reproducibly. Here a run is a function of the scenario
+//! and the seed. Five rules are checked at every step, the first violation is reported with the events before it,
+//! and a failing scenario can be shrunk automatically to a small one that goes into CI.
 //!
 //! ```
 //! use frostvale_sim::{Scenario, real, run};
--- a/crates/sim/src/world.rs
+++ b/crates/sim/src/world.rs
@@ -1,6 +1,6 @@
-//! The world of a run: gatekeepers with real decision modules, formula servers, the list, notes between gatekeepers, and
-//! clients, all in one order of events by virtual time. Nothing here reads a clock; every random number comes from the
-//! run's seed.
+//! The event loop and the state of one run: gatekeepers with real decision modules, formula servers, service
+//! discovery, peer messages between gatekeepers, and clients. Events are handled in order of virtual time. No code
+//! here reads a clock, and every random number comes from the run's seed.
 
 mod zones;
 
@@ -24,28 +24,29 @@
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
-/// The module hears of a limit so much before the client's, as the gatekeeper on sockets tells it.
-const MARGIN_MS: f64 = 6.0;
-/// A gatekeeper whose call to discovery failed calls again after this time, from and to.
-const LIST_AGAIN_MS: [f64; 2] = [100.0, 1000.0];
-/// After the last request, the run goes on for so long at the most.
-const TAIL_MS: f64 = 60_000.0;
-/// A connection that does not come up is given up after so long.
-const CONNECT_MS: f64 = 250.0;
-/// A server that is gone has this long for what it has in hand.
-const FINISH_MS: f64 = 10_000.0;
-
-/// One gatekeeper's decisions. The real ones are [`Control`]; tests put others in their place to see the oracles fail.
+/// The deadline passed to the decision module is this much before the client's, as in the gatekeeper on sockets.
+const DEADLINE_MARGIN_MS: f64 = 6.0;
+/// Range of the random delay after which a gatekeeper repeats a failed call to discovery.
+const LIST_RETRY_RANGE_MS: [f64; 2] = [100.0, 1000.0];
+/// Maximum time that a run continues after the load has ended.
+const MAX_TAIL_MS: f64 = 60_000.0;
+/// Timeout for establishing a connection.
+const CONNECT_TIMEOUT_MS: f64 = 250.0;
+/// Time that a server removed from the list has to finish its jobs before it is stopped.
+const REMOVED_SERVER_GRACE_MS: f64 = 10_000.0;
+
+/// The decision logic of one gatekeeper. The real implementation is [`Control`]; tests replace it with faulty ones
+/// to check that the oracle reports them.
 pub trait DecisionModule {
-    /// Takes an event at a time in ms, and gives what is to be done.
+    /// Handles an event at time `now` (virtual ms) and returns the actions to carry out.
     fn handle(&mut self, now: f64, event: Event) -> Vec<Action>;
 
-    /// What it saw of zones since the last look; nothing, of one that has no eyes for them.
+    /// Returns the zone observations since the last call, or `None` if the module does not observe zones.
     fn observe_zones(&mut self, _now: f64) -> Option<ZoneObservation> {
         None
     }
 
-    /// From now on it counts what it sees of zones.
+    /// Starts counting zone observations.
     fn watch_zones(&mut self) {}
 }
 
@@ -63,176 +64,202 @@
     }
 }
 
-/// Makes a gatekeeper's mind from its settings and a seed.
+/// Creates a gatekeeper's decision module from its settings and a seed.
 pub type ModuleFactory<'a> = &'a dyn Fn(Settings, u64) -> Result<Box<dyn DecisionModule>, String>;
 
-/// The real decision module.
+/// Creates the real decision module.
 ///
 /// # Errors
-/// When it refuses the settings.
+/// Returns an error if the module rejects the settings.
 pub fn control_module(settings: Settings, seed: u64) -> Result<Box<dyn DecisionModule>, String> {
     Ok(Box::new(Control::new(settings, seed).map_err(|e| e.to_string())?))
 }
 
-/// Servers as the list tells of them.
-type Lines = Rc<Vec<(u32, Server)>>;
+/// Entries of the endpoint list: the server's index in the run, and what discovery reports of it.
+type EndpointEntries = Rc<Vec<(u32, Server)>>;
 
-/// What happens.
+/// An event of the simulation.
 enum SimEvent {
-    /// The next request of any client.
-    Next,
-    /// A client tries, for the first time or again.
-    Try(u64),
-    /// An attempt's last byte comes to a server.
-    Whole {
+    /// The next new request of any client.
+    NextRequest,
+    /// A client retries the request with this id.
+    ClientRetry(u64),
+    /// An attempt's last byte arrives at its server.
+    RequestReceived {
         id: u64,
         attempt: u32,
     },
-    /// A server is done with a job.
-    Done {
+    /// A server completes a job. The event is ignored if the server has ended that incarnation (`life`) meanwhile.
+    JobDone {
         server: u32,
         life: u32,
         id: u64,
         attempt: u32,
     },
-    /// An answer comes to a gatekeeper.
+    /// An answer arrives at a gatekeeper. `holds` is the number of jobs that the server reports as in flight.
     Answer {
         id: u64,
         attempt: u32,
         outcome: AttemptOutcome,
         holds: Option<usize>,
     },
-    /// An attempt is not waited for any more.
+    /// An attempt's deadline passes.
     Deadline {
         id: u64,
         attempt: u32,
     },
-    Leave(u64),
+    /// The client's deadline for this try passes, and it disconnects.
+    ClientLeaves(u64),
     Timer {
         gatekeeper: u32,
         life: u32,
         token: u64,
     },
-    Note {
+    /// A peer message arrives.
+    PeerMessage {
         to: u32,
         from: u32,
         text: Box<str>,
     },
-    List {
+    /// An update of the endpoint list arrives at a gatekeeper.
+    EndpointUpdate {
         gatekeeper: u32,
         life: u32,
         kind: EndpointUpdateKind,
-        lines: Lines,
+        entries: EndpointEntries,
     },
+    /// Step `step` of the scenario's fault `which` begins.
     Fault {
         which: usize,
         step: u32,
     },
+    /// The scenario's fault with this index ends.
     FaultEnd(usize),
-    Start(u32),
-    /// A gatekeeper that has no list asks for it again.
-    Ask {
+    /// A killed gatekeeper starts again.
+    GatekeeperStart(u32),
+    /// A gatekeeper without a list repeats its call to discovery.
+    ListRequest {
         gatekeeper: u32,
         life: u32,
     },
-    Gone(u32),
+    /// First a draining server is removed from the list; the second event for it stops the server.
+    ServerGone(u32),
     Zones(zones::ZoneStep),
 }
 
-/// A client's request over all of its tries.
+/// A client's request, across all of its tries.
 struct ClientRequest {
     shop: Shop,
     class: usize,
     units: f64,
     work: f64,
+    /// When the client first sent it.
     at: f64,
-    left: u32,
-    /// A new one after each failure: a failure promises nothing, so a further effect is the client's own doing.
+    retries_left: u32,
+    /// Idempotency key. A client takes a new one after each failure: a failure does not say whether the request
+    /// ran, so a second effect under a new key is the client's responsibility.
     key: u64,
-    inside: bool,
-    again: bool,
+    /// Whether the shop was within its quota when the request was made.
+    is_within_quota: bool,
+    is_retry: bool,
 }
 
-/// An attempt that is out.
+/// An attempt without an outcome yet.
 struct OutstandingAttempt {
     attempt: u32,
     server: u32,
     at: f64,
-    whole: bool,
-    /// The server's life to which it holds a connection.
+    /// Whether the server has received the whole request.
+    is_received: bool,
+    /// The incarnation of the server to which it holds a connection.
     connected: Option<u32>,
 }
 
 /// One try of a client at one gatekeeper.
 struct GatekeeperTry {
-    asked: u64,
+    /// The id of the [`ClientRequest`].
+    request_id: u64,
     gatekeeper: u32,
     at: f64,
     attempts: u32,
-    charged: bool,
+    /// Whether the request's units are already charged.
+    is_charged: bool,
     out: Option<OutstandingAttempt>,
-    answered: bool,
+    is_answered: bool,
 }
 
 struct Gatekeeper {
-    mind: Option<Box<dyn DecisionModule>>,
+    /// `None` while the gatekeeper is down.
+    module: Option<Box<dyn DecisionModule>>,
+    /// Incarnation; events for an earlier one are ignored.
     life: u32,
-    /// When the last news of the list reaches it: a watch keeps its order.
-    listed: f64,
+    /// Arrival time of the last endpoint update sent to it: a watch delivers updates in order.
+    last_update_at: f64,
+    /// Token bucket of the peer message intake: time of the last refill, and tokens left.
     intake: (f64, f64),
 }
 
+/// The state of one run.
 pub(crate) struct World<'a> {
     scenario: &'a Scenario,
     make: ModuleFactory<'a>,
-    cold: SlowStart,
+    slow_start: SlowStart,
     now: f64,
     queue: EventQueue<SimEvent>,
     rng: Pcg64Mcg,
     shops: ShopPopulation,
-    conns: ConnectionPools,
+    connections: ConnectionPools,
     herds: HerdDetector,
-    /// The list as it was, for those that start with an old one.
-    history: Vec<(f64, Lines)>,
+    /// Earlier versions of the endpoint list, for gatekeepers that start with an outdated one.
+    history: Vec<(f64, EndpointEntries)>,
     gatekeepers: Vec<Gatekeeper>,
     servers: Vec<FormulaServer>,
     by_name: FxHashMap<Name, u32>,
     health: Vec<Health>,
-    asked: FxHashMap<u64, ClientRequest>,
+    requests: FxHashMap<u64, ClientRequest>,
     tries: FxHashMap<u64, GatekeeperTry>,
-    numbers: u64,
+    /// The last id given out.
+    last_id: u64,
     oracle: Oracle,
-    tally: RunStats,
-    // What is wrong just now.
+    stats: RunStats,
+    // The faults in effect.
+    /// Factor on the request rate.
     surge: f64,
-    split: bool,
-    list_silent: u32,
-    /// Discovery answers this part of the calls, and so many ms late.
-    list_part: f64,
-    list_late: f64,
-    note_loss: f64,
-    note_delay: f64,
-    note_double: f64,
-    sick: BTreeSet<u32>,
+    /// Whether the two halves of the gatekeepers are cut off from each other.
+    is_partitioned: bool,
+    /// Number of discovery outages in effect.
+    discovery_outages: u32,
+    /// Share of the calls that discovery answers.
+    list_answer_share: f64,
+    /// Extra delay of discovery's answers.
+    list_delay_ms: f64,
+    /// Probability that a peer message is lost.
+    message_loss: f64,
+    /// Extra delay of peer messages in ms.
+    message_delay_ms: f64,
+    /// Probability that a peer message arrives twice.
+    message_duplication: f64,
+    faulty_servers: BTreeSet<u32>,
+    /// The servers hit by each fault of the scenario.
     hit: Vec<Vec<u32>>,
-    zoned: zones::ZoneSimulation,
+    zone_simulation: zones::ZoneSimulation,
 }
 
-/// Runs a scenario with this seed, and gives what it came to.
+/// Runs a scenario with this seed and returns its report.
 ///
 /// # Errors
-/// When the scenario can't be run at all.
+/// Returns an error if the scenario is invalid or a decision module rejects its settings.
 pub fn run(scenario: &Scenario, seed: u64, make: ModuleFactory<'_>) -> Result<Report, String> {
     scenario.check()?;
     let mut world = World::new(scenario, seed, make)?;
-    let end = scenario.seconds * 1000.0 + TAIL_MS;
+    let end = scenario.seconds * 1000.0 + MAX_TAIL_MS;
     while let Some((at, event)) = world.queue.pop() {
         if at > end || world.oracle.broken.is_some() {
             break;
         }
         world.now = at;
-        world.happens(event)?;
-        if at > scenario.seconds * 1000.0 && world.asked.is_empty() {
+        world.handle_event(event)?;
+        if at > scenario.seconds * 1000.0 && world.requests.is_empty() {
             break;
         }
     }
@@ -246,33 +273,33 @@
         let s = &scenario.servers;
         let mut world = World {
             make,
-            cold: SlowStart { from: s.cold_from, warm_ms: s.warm_s * 1000.0, times: s.cold_times },
+            slow_start: SlowStart { from: s.cold_from, warm_ms: s.warm_s * 1000.0, times: s.cold_times },
             now: 0.0,
             queue: EventQueue::default(),
             oracle: Oracle::new(scenario, shops.count()),
-            tally: RunStats::new(scenario, shops.count())?,
+            stats: RunStats::new(scenario, shops.count())?,
             shops,
-            conns: ConnectionPools::new(s.connections, s.idle_ms),
+            connections: ConnectionPools::new(s.connections, s.idle_ms),
             herds: HerdDetector::default(),
             history: Vec::new(),
             gatekeepers: Vec::new(),
             servers: Vec::new(),
             by_name: FxHashMap::default(),
             health: Vec::new(),
-            asked: FxHashMap::default(),
+            requests: FxHashMap::default(),
             tries: FxHashMap::default(),
-            numbers: 0,
+            last_id: 0,
             surge: 1.0,
-            split: false,
-            list_silent: 0,
-            list_part: 1.0,
-            list_late: 0.0,
-            note_loss: scenario.network.note_loss,
-            note_delay: 0.0,
-            note_double: 0.0,
-            sick: BTreeSet::new(),
+            is_partitioned: false,
+            discovery_outages: 0,
+            list_answer_share: 1.0,
+            list_delay_ms: 0.0,
+            message_loss: scenario.network.note_loss,
+            message_delay_ms: 0.0,
+            message_duplication: 0.0,
+            faulty_servers: BTreeSet::new(),
             hit: vec![Vec::new(); scenario.faults.len()],
-            zoned: zones::ZoneSimulation::new(
+            zone_simulation: zones::ZoneSimulation::new(
                 scenario.zones.as_ref().map_or_else(Default::default, |z| z.judge),
                 scenario.gatekeepers.count,
             ),
@@ -282,12 +309,12 @@
         for _ in 0..s.count {
             world.add_server(0.0);
         }
-        world.remember();
+        world.record_list_history();
         for k in 0..scenario.gatekeepers.count {
             world.gatekeepers.push(Gatekeeper {
-                mind: None,
+                module: None,
                 life: 0,
-                listed: 0.0,
+                last_update_at: 0.0,
                 intake: (0.0, scenario.gatekeepers.note_intake),
             });
             world.start(k)?;
@@ -298,29 +325,29 @@
                 world.queue.push((fault.at_s + fault.for_s) * 1000.0, SimEvent::FaultEnd(which));
             }
         }
-        world.queue.push(0.0, SimEvent::Next);
+        world.queue.push(0.0, SimEvent::NextRequest);
         world.begin_zones();
         Ok(world)
     }
 
-    fn number(&mut self) -> u64 {
-        self.numbers += 1;
-        self.numbers
+    fn new_id(&mut self) -> u64 {
+        self.last_id += 1;
+        self.last_id
     }
 
-    fn between(&mut self, [a, b]: [f64; 2]) -> f64 {
+    fn uniform(&mut self, [a, b]: [f64; 2]) -> f64 {
         a + (b - a) * self.rng.random::<f64>()
     }
 
     fn hop(&mut self) -> f64 {
-        self.between(self.scenario.network.hop_ms)
+        self.uniform(self.scenario.network.hop_ms)
     }
 
     fn trace(&mut self, gatekeeper: u32, what: &'static str, id: u64, server: Option<u32>) {
         self.oracle.trace(Trace { at: self.now, gatekeeper, what, id, server });
     }
 
-    /// A new server: machines of a kind are shared out evenly.
+    /// Adds a server. Kinds are spread evenly over the servers by a golden-ratio sequence.
     fn add_server(&mut self, since: f64) -> u32 {
         let number = self.servers.len() as u32;
         let s = &self.scenario.servers;
@@ -331,7 +358,7 @@
             lot -= s.kinds[kind].share;
             kind += 1;
         }
-        // A rack is in one zone.
+        // Each rack lies in a single zone.
         let (zone, cell) = if s.zone_shares.is_empty() {
             (number % s.cells % s.zones, number % s.cells)
         } else {
@@ -339,7 +366,7 @@
             (zone, zone + s.zones * (number % (s.cells / s.zones).max(1)))
         };
         let (cores, speed, queue) = (s.kinds[kind].cores, s.kinds[kind].speed, s.queue as usize);
-        let speed = self.between(speed);
+        let speed = self.uniform(speed);
         let name: Name = format!("s-{number}").as_str().into();
         let mut server = FormulaServer::new(name.clone(), (zone, cell), kind as u32, cores, speed, queue);
         server.since = since;
@@ -349,7 +376,7 @@
         number
     }
 
-    fn line(&self, number: u32) -> (u32, Server) {
+    fn endpoint_entry(&self, number: u32) -> (u32, Server) {
         let s = &self.servers[number as usize];
         let line = Server {
             name: s.name.clone(),
@@ -382,111 +409,113 @@
             cold_overload_factor: s.servers.cold_times,
         };
         let seed = self.rng.next_u64();
-        let mut mind = (self.make)(settings, seed)?;
+        let mut module = (self.make)(settings, seed)?;
         if s.zones.is_some() {
-            mind.watch_zones();
+            module.watch_zones();
         }
-        self.gatekeepers[k as usize].mind = Some(mind);
+        self.gatekeepers[k as usize].module = Some(module);
         self.oracle.gatekeeper_started(k);
         if let Some(old) = s.discovery.known_s {
             let then = self.now - 1000.0 * old;
             let known = self.history.iter().rev().find(|(at, _)| *at <= then).or(self.history.first());
-            if let Some(lines) = known.map(|(_, lines)| lines.clone()) {
-                self.tell_list(k, 0.0, EndpointUpdateKind::Complete, lines);
+            if let Some(entries) = known.map(|(_, entries)| entries.clone()) {
+                self.send_list(k, 0.0, EndpointUpdateKind::Complete, entries);
             }
         }
-        self.ask_list(k);
+        self.request_list(k);
         Ok(())
     }
 
-    /// A gatekeeper asks for the whole list, as at its start; again in a while where it gets none.
-    fn ask_list(&mut self, k: u32) {
-        self.tally.record_list(self.now);
+    /// Requests the complete list for a gatekeeper, as at its start. A failed call is repeated after a delay.
+    fn request_list(&mut self, k: u32) {
+        self.stats.record_list(self.now);
         self.herds.record(self.now, HerdAction::List, k, 0);
-        if self.list_silent == 0 && self.list_answers() {
-            return self.tell_all(k, self.list_late);
+        if self.discovery_outages == 0 && self.list_answers() {
+            return self.send_complete_list(k, self.list_delay_ms);
         }
-        // What is silent tells all of them by itself at its end.
-        if self.list_silent == 0 {
-            let pause = self.between(LIST_AGAIN_MS);
+        // No retry during an outage: at its end discovery sends the list to all gatekeepers.
+        if self.discovery_outages == 0 {
+            let pause = self.uniform(LIST_RETRY_RANGE_MS);
             let life = self.gatekeepers[k as usize].life;
-            self.queue.push(self.now + pause, SimEvent::Ask { gatekeeper: k, life });
+            self.queue.push(self.now + pause, SimEvent::ListRequest { gatekeeper: k, life });
         }
     }
 
     fn list_answers(&mut self) -> bool {
-        self.list_part >= 1.0 || self.rng.random::<f64>() < self.list_part
+        self.list_answer_share >= 1.0 || self.rng.random::<f64>() < self.list_answer_share
     }
 
-    /// Keeps the list as it is now.
-    fn remember(&mut self) {
+    /// Appends the present list to the history, if the scenario uses outdated lists.
+    fn record_list_history(&mut self) {
         if self.scenario.discovery.known_s.is_some() {
-            self.history.push((self.now, self.whole_list()));
+            self.history.push((self.now, self.complete_list()));
         }
     }
 
-    fn whole_list(&self) -> Lines {
+    fn complete_list(&self) -> EndpointEntries {
         let count = self.servers.len() as u32;
-        let lines = (0..count).filter(|n| self.health[*n as usize] != Health::Gone).map(|n| self.line(n));
-        Rc::new(lines.collect())
+        let entries =
+            (0..count).filter(|n| self.health[*n as usize] != Health::Gone).map(|n| self.endpoint_entry(n));
+        Rc::new(entries.collect())
     }
 
-    /// Tells a gatekeeper the whole list.
-    fn tell_all(&mut self, k: u32, lag: f64) {
-        let lines = self.whole_list();
-        self.tell_list(k, lag, EndpointUpdateKind::Complete, lines);
+    /// Sends a gatekeeper the complete list.
+    fn send_complete_list(&mut self, k: u32, lag: f64) {
+        let entries = self.complete_list();
+        self.send_list(k, lag, EndpointUpdateKind::Complete, entries);
     }
 
-    fn tell_list(&mut self, k: u32, lag: f64, kind: EndpointUpdateKind, lines: Lines) {
+    fn send_list(&mut self, k: u32, lag: f64, kind: EndpointUpdateKind, entries: EndpointEntries) {
         let g = &mut self.gatekeepers[k as usize];
-        g.listed = g.listed.max(self.now + lag);
-        self.queue.push(g.listed, SimEvent::List { gatekeeper: k, life: g.life, kind, lines });
+        g.last_update_at = g.last_update_at.max(self.now + lag);
+        self.queue
+            .push(g.last_update_at, SimEvent::EndpointUpdate { gatekeeper: k, life: g.life, kind, entries });
     }
 
-    /// The entries of these servers have changed.
-    fn list_changes(&mut self, servers: &[u32]) {
-        self.remember();
-        if self.list_silent > 0 || servers.is_empty() {
+    /// Sends the changed entries of these servers to all gatekeepers.
+    fn send_list_changes(&mut self, servers: &[u32]) {
+        self.record_list_history();
+        if self.discovery_outages > 0 || servers.is_empty() {
             return;
         }
-        let lines = Rc::new(servers.iter().map(|n| self.line(*n)).collect::<Vec<_>>());
+        let entries = Rc::new(servers.iter().map(|n| self.endpoint_entry(*n)).collect::<Vec<_>>());
         for k in 0..self.gatekeepers.len() as u32 {
-            let lag = self.between(self.scenario.discovery.lag_ms) + self.list_late;
-            // Who gets no answer now is told the whole list when discovery is well again.
+            let lag = self.uniform(self.scenario.discovery.lag_ms) + self.list_delay_ms;
+            // A gatekeeper that misses this update is sent the complete list when the discovery fault ends.
             if self.list_answers() {
-                self.tell_list(k, lag, EndpointUpdateKind::Changes, lines.clone());
+                self.send_list(k, lag, EndpointUpdateKind::Changes, entries.clone());
             }
         }
     }
 
     fn kill(&mut self, k: u32) {
         let g = &mut self.gatekeepers[k as usize];
-        if g.mind.take().is_none() {
+        if g.module.take().is_none() {
             return;
         }
         g.life += 1;
-        g.listed = self.now;
+        g.last_update_at = self.now;
         self.trace(k, "is killed", 0, None);
-        self.conns.gatekeeper_ended(k);
+        self.connections.gatekeeper_ended(k);
         let mut had: Vec<u64> =
             self.tries.iter().filter(|(_, t)| t.gatekeeper == k).map(|(id, _)| *id).collect();
         had.sort_unstable();
         for id in had {
             self.oracle.request_orphaned(id);
             if let Some(tried) = self.tries.remove(&id)
-                && !tried.answered
+                && !tried.is_answered
             {
-                self.client_again(tried.asked, None, true);
+                self.retry_or_drop(tried.request_id, None, true);
             }
         }
-        self.queue.push(self.now + 1000.0 * self.scenario.gatekeepers.down_s, SimEvent::Start(k));
+        self.queue.push(self.now + 1000.0 * self.scenario.gatekeepers.down_s, SimEvent::GatekeeperStart(k));
     }
 
-    fn tell_mind(&mut self, k: u32, event: Event) {
+    fn dispatch_event(&mut self, k: u32, event: Event) {
         let now = self.now;
-        self.tally.events += 1;
-        let Some(mind) = self.gatekeepers[k as usize].mind.as_mut() else { return };
-        let actions = mind.handle(now, event);
+        self.stats.events += 1;
+        let Some(module) = self.gatekeepers[k as usize].module.as_mut() else { return };
+        let actions = module.handle(now, event);
         for action in actions {
             self.act(k, action);
         }
@@ -500,14 +529,14 @@
             }
             Action::Fail { id } => self.answer(k, id, FinalAnswer::Failed, 0.0),
             Action::Cancel { id, attempt } => {
-                if self.attempt_out(id, attempt).is_some() {
-                    self.ended(id, AttemptOutcome::Cancelled, None);
+                if self.outstanding_attempt(id, attempt).is_some() {
+                    self.attempt_ended(id, AttemptOutcome::Cancelled, None);
                 }
             }
-            Action::SendPeerMessage { to, text } => self.note(k, to, &text),
+            Action::SendPeerMessage { to, text } => self.send_peer_message(k, to, &text),
             Action::BroadcastPeerMessage { text } => {
                 for to in (0..self.scenario.gatekeepers.count).filter(|to| *to != k) {
-                    self.note(k, to, &text);
+                    self.send_peer_message(k, to, &text);
                 }
             }
             Action::SetTimer { token, after } => {
@@ -523,7 +552,7 @@
         let s = &self.servers[number as usize];
         let place = (s.zone, s.cell);
         let from = self.gatekeeper_zone(k);
-        self.tally.record_zone_path(self.now, from, place.0);
+        self.stats.record_zone_path(self.now, from, place.0);
         let cut = self.cut_between(from, place.0);
         self.trace(k, "is sent on", id, Some(number));
         self.oracle.attempt_sent(self.now, k, id, number, place);
@@ -532,13 +561,19 @@
         let Some(t) = self.tries.get_mut(&id) else { return };
         let attempt = t.attempts;
         t.attempts += 1;
-        t.out = Some(OutstandingAttempt { attempt, server: number, at: now, whole: false, connected: None });
+        t.out = Some(OutstandingAttempt {
+            attempt,
+            server: number,
+            at: now,
+            is_received: false,
+            connected: None,
+        });
         self.herds.record(now, HerdAction::Attempt, k, number);
-        self.tally.attempts += 1;
-        self.tally.second_mut(now).attempts += 1;
-        if !self.sick.is_empty() {
-            self.tally.sick_of += 1;
-            self.tally.sick += u64::from(self.sick.contains(&number));
+        self.stats.attempts += 1;
+        self.stats.second_mut(now).attempts += 1;
+        if !self.faulty_servers.is_empty() {
+            self.stats.sick_of += 1;
+            self.stats.sick += u64::from(self.faulty_servers.contains(&number));
         }
         if deadline <= now {
             self.queue
@@ -546,15 +581,15 @@
             return;
         }
         if cut {
-            // Nothing comes up: that shows when the connection has taken too long.
-            let at = (now + CONNECT_MS).min(deadline);
+            // The connection is never established; the gatekeeper notices when the connect timeout passes.
+            let at = (now + CONNECT_TIMEOUT_MS).min(deadline);
             self.queue.push(
                 at,
                 SimEvent::Answer { id, attempt, outcome: AttemptOutcome::Unreachable, holds: None },
             );
             return;
         }
-        // A dead server takes no connection: that shows when the attempt comes there.
+        // A dead server accepts no connection; that is detected when the attempt arrives there.
         let way = if self.servers[number as usize].is_up() {
             self.connect(id, k, number)
         } else {
@@ -569,16 +604,16 @@
             return;
         }
         let comes_up = if way == ConnectionUse::New { self.scenario.servers.handshake_ms } else { 0.0 };
-        self.queue.push(now + comes_up + hop, SimEvent::Whole { id, attempt });
+        self.queue.push(now + comes_up + hop, SimEvent::RequestReceived { id, attempt });
         self.queue.push(deadline, SimEvent::Deadline { id, attempt });
     }
 
-    /// An attempt needs a connection to a server that is up.
+    /// Acquires a connection for an attempt to a server that is up.
     fn connect(&mut self, id: u64, k: u32, server: u32) -> ConnectionUse {
-        let (way, life) = self.conns.acquire(self.now, k, server);
+        let (way, life) = self.connections.acquire(self.now, k, server);
         if way != ConnectionUse::Reused {
             self.herds.record(self.now, HerdAction::Handshake, k, server);
-            self.tally.record_handshake(self.now, way == ConnectionUse::Rejected);
+            self.stats.record_handshake(self.now, way == ConnectionUse::Rejected);
         }
         if way != ConnectionUse::Rejected
             && let Some(out) = self.tries.get_mut(&id).and_then(|t| t.out.as_mut())
@@ -588,20 +623,20 @@
         way
     }
 
-    fn attempt_out(&self, id: u64, attempt: u32) -> Option<&OutstandingAttempt> {
+    fn outstanding_attempt(&self, id: u64, attempt: u32) -> Option<&OutstandingAttempt> {
         self.tries.get(&id)?.out.as_ref().filter(|o| o.attempt == attempt)
     }
 
-    /// An attempt has ended, as its gatekeeper sees it.
-    fn ended(&mut self, id: u64, outcome: AttemptOutcome, holds: Option<usize>) {
+    /// Ends an attempt with the outcome that its gatekeeper observes, and passes it to the decision module.
+    fn attempt_ended(&mut self, id: u64, outcome: AttemptOutcome, holds: Option<usize>) {
         let now = self.now;
         let Some(t) = self.tries.get_mut(&id) else { return };
         let Some(out) = t.out.take() else { return };
-        let (k, answered) = (t.gatekeeper, t.answered);
+        let (k, answered) = (t.gatekeeper, t.is_answered);
         if let Some(life) = out.connected {
             let answered =
                 matches!(outcome, AttemptOutcome::Ok | AttemptOutcome::Error | AttemptOutcome::Full);
-            self.conns.release(now, k, (out.server, life), answered);
+            self.connections.release(now, k, (out.server, life), answered);
         }
         self.oracle.attempt_ended(id, outcome);
         let result = AttemptResult {
@@ -633,31 +668,33 @@
         if outcome == AttemptOutcome::Ok && !answered {
             self.answer(k, id, FinalAnswer::Served, 0.0);
         }
-        self.tell_mind(k, Event::AttemptEnded(result));
+        self.dispatch_event(k, Event::AttemptEnded(result));
         if answered || outcome == AttemptOutcome::Ok {
             self.tries.remove(&id);
         }
     }
 
-    fn note(&mut self, from: u32, to: u32, text: &str) {
-        self.tally.record_message(self.now, to, text.len());
+    fn send_peer_message(&mut self, from: u32, to: u32, text: &str) {
+        self.stats.record_message(self.now, to, text.len());
         self.herds.record(self.now, HerdAction::Note, from, to);
         let half = self.scenario.gatekeepers.count / 2;
-        let cut = self.split && (from < half) != (to < half)
+        let cut = self.is_partitioned && (from < half) != (to < half)
             || self.cut_between(self.gatekeeper_zone(from), self.gatekeeper_zone(to));
-        if cut || self.rng.random::<f64>() < self.note_loss {
-            self.tally.notes_lost += 1;
+        if cut || self.rng.random::<f64>() < self.message_loss {
+            self.stats.notes_lost += 1;
             return;
         }
-        let times = 1 + u32::from(self.note_double > 0.0 && self.rng.random::<f64>() < self.note_double);
+        let times = 1 + u32::from(
+            self.message_duplication > 0.0 && self.rng.random::<f64>() < self.message_duplication,
+        );
         for _ in 0..times {
-            let after = self.between(self.scenario.network.note_ms) + self.note_delay;
-            self.queue.push(self.now + after, SimEvent::Note { to, from, text: text.into() });
+            let after = self.uniform(self.scenario.network.note_ms) + self.message_delay_ms;
+            self.queue.push(self.now + after, SimEvent::PeerMessage { to, from, text: text.into() });
         }
     }
 
-    /// Whether a gatekeeper can take in one more note now.
-    fn takes_in(&mut self, k: u32) -> bool {
+    /// Takes a token from the gatekeeper's intake bucket; returns whether one more peer message can be accepted.
+    fn try_accept_peer_message(&mut self, k: u32) -> bool {
         let rate = self.scenario.gatekeepers.note_intake;
         let (at, left) = &mut self.gatekeepers[k as usize].intake;
         *left = (*left + rate * (self.now - *at) / 1000.0).min(rate);
@@ -674,7 +711,7 @@
         let rate = self.scenario.load.rate * self.surge;
         let next = self.now + 1000.0 * pause / rate;
         if next <= self.scenario.seconds * 1000.0 {
-            self.queue.push(next, SimEvent::Next);
+            self.queue.push(next, SimEvent::NextRequest);
         }
         let shop = self.shops.sample(&mut self.rng);
         let all: f64 = self.scenario.classes.iter().map(|c| c.share).sum();
@@ -686,50 +723,60 @@
         }
         let c = &self.scenario.classes[class];
         let units = f64::from(self.rng.random_range(c.units[0]..=c.units[1]));
-        let work = self.between(self.scenario.classes[class].work_ms);
-        let inside = self.tally.record_request(self.now, shop.number, shop.plan, class, units);
-        let (id, key) = (self.number(), self.number());
-        let left = self.scenario.load.retries;
-        let asked = ClientRequest { shop, class, units, work, at: self.now, left, key, inside, again: false };
-        self.asked.insert(id, asked);
-        self.try_now(id);
+        let work = self.uniform(self.scenario.classes[class].work_ms);
+        let is_within_quota = self.stats.record_request(self.now, shop.number, shop.plan, class, units);
+        let (id, key) = (self.new_id(), self.new_id());
+        let retries_left = self.scenario.load.retries;
+        let request = ClientRequest {
+            shop,
+            class,
+            units,
+            work,
+            at: self.now,
+            retries_left,
+            key,
+            is_within_quota,
+            is_retry: false,
+        };
+        self.requests.insert(id, request);
+        self.try_request(id);
     }
 
-    fn try_now(&mut self, asked: u64) {
-        let Some(a) = self.asked.get(&asked) else { return };
+    fn try_request(&mut self, request_id: u64) {
+        let Some(a) = self.requests.get(&request_id) else { return };
         let mut k = self.shops.pick_gatekeeper(&a.shop, self.now, &mut self.rng);
-        // The front knows who is down, and goes round the set.
+        // The load balancer in front skips gatekeepers that are down, going round the set.
         for _ in 0..a.shop.spread {
-            if self.gatekeepers[k as usize].mind.is_some() {
+            if self.gatekeepers[k as usize].module.is_some() {
                 break;
             }
             let next =
                 (k + self.scenario.gatekeepers.count - a.shop.first) % self.scenario.gatekeepers.count + 1;
             k = (a.shop.first + next % a.shop.spread) % self.scenario.gatekeepers.count;
         }
-        let (class, units, key, shop, again) = (a.class, a.units, a.key, a.shop.clone(), a.again);
-        let second = self.tally.second_mut(self.now);
+        let (class, units, key, shop, again) = (a.class, a.units, a.key, a.shop.clone(), a.is_retry);
+        let second = self.stats.second_mut(self.now);
         second.tries += 1;
         second.retries += u64::from(again);
-        self.tally.plans[shop.plan].tries += 1;
-        if self.gatekeepers[k as usize].mind.is_none() {
-            return self.client_again(asked, None, false);
+        self.stats.plans[shop.plan].tries += 1;
+        if self.gatekeepers[k as usize].module.is_none() {
+            return self.retry_or_drop(request_id, None, false);
         }
         let wait = self.scenario.classes[class].deadline_ms * (0.5 + 0.5 * self.rng.random::<f64>());
-        let id = self.number();
+        let id = self.new_id();
         let tried = GatekeeperTry {
-            asked,
+            request_id,
             gatekeeper: k,
             at: self.now,
             attempts: 0,
-            charged: false,
+            is_charged: false,
             out: None,
-            answered: false,
+            is_answered: false,
         };
         self.tries.insert(id, tried);
         self.trace(k, "takes", id, None);
         self.oracle.request_accepted(id, k, class, key);
-        self.queue.push(self.now + wait, SimEvent::Leave(id));
+        self.queue.push(self.now + wait, SimEvent::ClientLeaves(id));
         let request = Request {
             id,
             customer: shop.name,
@@ -738,13 +785,13 @@
             units,
             first: shop.first,
             spread: shop.spread,
-            deadline: self.now + wait - MARGIN_MS,
+            deadline: self.now + wait - DEADLINE_MARGIN_MS,
             is_retry: again && self.scenario.load.marked,
         };
-        self.tell_mind(k, Event::Request(request));
+        self.dispatch_event(k, Event::Request(request));
     }
 
-    /// A final answer to a client.
+    /// Delivers a final answer to a client.
     fn answer(&mut self, k: u32, id: u64, answer: FinalAnswer, pause: f64) {
         let what = match answer {
             FinalAnswer::Served => "serves",
@@ -754,75 +801,76 @@
         self.trace(k, what, id, None);
         self.oracle.request_answered(self.now, id, answer);
         let Some(t) = self.tries.get_mut(&id) else { return };
-        if std::mem::replace(&mut t.answered, true) {
+        if std::mem::replace(&mut t.is_answered, true) {
             return;
         }
-        let (asked, out, at) = (t.asked, t.out.is_some(), t.at);
+        let (request_id, out, at) = (t.request_id, t.out.is_some(), t.at);
         if !out {
             self.tries.remove(&id);
         }
-        let Some(a) = self.asked.get(&asked) else { return };
+        let Some(a) = self.requests.get(&request_id) else { return };
         let (plan, class, units) = (a.shop.plan, a.class, a.units);
-        let inside = a.inside.then_some(a.at);
-        let second = self.tally.second_mut(self.now);
+        let within_quota_at = a.is_within_quota.then_some(a.at);
+        let second = self.stats.second_mut(self.now);
         match answer {
             FinalAnswer::Served => {
                 second.served += 1;
                 let aim = self.scenario.classes[class].aim_ms;
-                self.tally.record_served(plan, class, units, inside, self.now - at, aim);
-                self.asked.remove(&asked);
+                self.stats.record_served(plan, class, units, within_quota_at, self.now - at, aim);
+                self.requests.remove(&request_id);
             }
             FinalAnswer::Refused => {
                 second.refused += 1;
-                self.tally.plans[plan].refusals += 1;
-                self.client_again(asked, Some(pause), false);
+                self.stats.plans[plan].refusals += 1;
+                self.retry_or_drop(request_id, Some(pause), false);
             }
             FinalAnswer::Failed => {
                 second.failed += 1;
-                self.tally.plans[plan].failures += 1;
-                self.client_again(asked, None, true);
+                self.stats.plans[plan].failures += 1;
+                self.retry_or_drop(request_id, None, true);
             }
         }
     }
 
-    /// A client tries again, or gives its request up. `pause`: as it was told; `fresh`: its former try may have run.
-    fn client_again(&mut self, asked: u64, pause: Option<f64>, fresh: bool) {
-        let wait = self.between(self.scenario.load.retry_ms) + pause.unwrap_or(0.0);
-        let key = self.number();
-        let Some(a) = self.asked.get_mut(&asked) else { return };
-        if a.left == 0 {
+    /// Schedules a client's retry, or drops the request if no retries are left. `pause` is the retry-after time of
+    /// the refusal, in ms; with `use_new_key` (the earlier try may have run) the retry gets a new idempotency key.
+    fn retry_or_drop(&mut self, request_id: u64, pause: Option<f64>, use_new_key: bool) {
+        let wait = self.uniform(self.scenario.load.retry_ms) + pause.unwrap_or(0.0);
+        let key = self.new_id();
+        let Some(a) = self.requests.get_mut(&request_id) else { return };
+        if a.retries_left == 0 {
             let plan = a.shop.plan;
-            self.tally.plans[plan].unserved += 1;
-            self.asked.remove(&asked);
+            self.stats.plans[plan].unserved += 1;
+            self.requests.remove(&request_id);
             return;
         }
-        a.left -= 1;
-        a.again = true;
-        if fresh {
+        a.retries_left -= 1;
+        a.is_retry = true;
+        if use_new_key {
             a.key = key;
         }
-        self.queue.push(self.now + wait, SimEvent::Try(asked));
+        self.queue.push(self.now + wait, SimEvent::ClientRetry(request_id));
     }
 
-    fn leave(&mut self, id: u64) {
+    fn client_leaves(&mut self, id: u64) {
         self.oracle.client_left(self.now, id);
         let Some(t) = self.tries.get_mut(&id) else { return };
-        if std::mem::replace(&mut t.answered, true) {
+        if std::mem::replace(&mut t.is_answered, true) {
             return;
         }
-        let (k, asked, out) = (t.gatekeeper, t.asked, t.out.is_some());
+        let (k, request_id, out) = (t.gatekeeper, t.request_id, t.out.is_some());
         self.trace(k, "is left by", id, None);
         if !out {
             self.tries.remove(&id);
         }
-        self.tell_mind(k, Event::ClientDisconnected { id });
-        self.client_again(asked, None, true);
+        self.dispatch_event(k, Event::ClientDisconnected { id });
+        self.retry_or_drop(request_id, None, true);
     }
 
     // ---- servers ----
 
-    fn whole(&mut self, id: u64, attempt: u32) {
-        let Some(server) = self.attempt_out(id, attempt).map(|o| o.server) else { return };
+    fn request_received(&mut self, id: u64, attempt: u32) {
+        let Some(server) = self.outstanding_attempt(id, attempt).map(|o| o.server) else { return };
         let (now, hop) = (self.now, self.hop());
         let s = &self.servers[server as usize];
         if !s.is_up() {
@@ -834,37 +882,37 @@
         }
         let place = (s.zone, s.cell);
         let Some(t) = self.tries.get_mut(&id) else { return };
-        let first = !std::mem::replace(&mut t.charged, true);
+        let first = !std::mem::replace(&mut t.is_charged, true);
         if let Some(out) = t.out.as_mut() {
-            out.whole = true;
+            out.is_received = true;
         }
-        let (k, asked) = (t.gatekeeper, t.asked);
-        // The client may have left meanwhile: what it asked is known to nobody else.
+        let (k, request_id) = (t.gatekeeper, t.request_id);
+        // The client may have dropped its request meanwhile, and only it has the request's details.
         let (shop, units, work) = self
-            .asked
-            .get(&asked)
+            .requests
+            .get(&request_id)
             .map_or(((u64::MAX, 0), 0.0, 50.0), |a| ((a.shop.number, a.shop.plan), a.units, a.work));
         if first {
-            self.tally.record_passed(now, shop.0, shop.1, units);
+            self.stats.record_passed(now, shop.0, shop.1, units);
             self.oracle.record_charge(now, id, shop, units);
         }
         let again = self.oracle.is_duplicate_dropped(now, id, place);
         let job = Job { id, attempt, work };
-        let cold = self.cold;
+        let cold = self.slow_start;
         let s = &mut self.servers[server as usize];
         let (taken, over) = s.accept(job, again, now, &cold);
         let (life, holds, cold_load) = (s.life, s.in_flight(), s.cold_load);
         if cold_load > 0.0 {
-            self.tally.record_cold_load(now, cold_load);
+            self.stats.record_cold_load(now, cold_load);
         }
         let holds = self.scenario.servers.report.then_some(holds);
-        // An error may have run; so may what a silent one has.
+        // A request answered with an error may have run, and so may one on a server that does not answer.
         if !again && taken != JobAdmission::Answered(AttemptOutcome::Full, ERROR_MS) && !over {
             self.oracle.record_effect(now, id, place);
         }
         match taken {
             JobAdmission::Begun(ms) => {
-                self.queue.push(now + ms, SimEvent::Done { server, life, id, attempt })
+                self.queue.push(now + ms, SimEvent::JobDone { server, life, id, attempt })
             }
             JobAdmission::Answered(outcome, ms) => {
                 self.queue.push(now + ms + hop, SimEvent::Answer { id, attempt, outcome, holds });
@@ -874,19 +922,19 @@
         if over {
             let since = self.servers[server as usize].since;
             self.oracle.check_overload(now, k, server, id, since);
-            self.lose(server);
+            self.stop_server(server);
         }
     }
 
-    fn done(&mut self, server: u32, life: u32, id: u64, attempt: u32) {
-        let cold = self.cold;
+    fn job_done(&mut self, server: u32, life: u32, id: u64, attempt: u32) {
+        let cold = self.slow_start;
         let (now, hop) = (self.now, self.hop());
         let s = &mut self.servers[server as usize];
         if s.life != life {
             return;
         }
         if let Some((next, ms)) = s.complete(id, attempt, now, &cold) {
-            self.queue.push(now + ms, SimEvent::Done { server, life, id: next.id, attempt: next.attempt });
+            self.queue.push(now + ms, SimEvent::JobDone { server, life, id: next.id, attempt: next.attempt });
         }
         let s = &self.servers[server as usize];
         if s.sick != ServerFault::Silent {
@@ -895,10 +943,10 @@
         }
     }
 
-    /// A server's life ends with all that it has in hand.
-    fn lose(&mut self, server: u32) {
+    /// Ends a server's incarnation; all of its jobs are reset.
+    fn stop_server(&mut self, server: u32) {
         let had = self.servers[server as usize].stop();
-        self.conns.server_ended(server);
+        self.connections.server_ended(server);
         for job in had {
             let hop = self.hop();
             let lost = SimEvent::Answer {
@@ -911,20 +959,24 @@
         }
     }
 
-    fn answer_came(&mut self, id: u64, attempt: u32, outcome: AttemptOutcome, holds: Option<usize>) {
-        if self.attempt_out(id, attempt).is_some() {
-            self.ended(id, outcome, holds);
+    fn answer_received(&mut self, id: u64, attempt: u32, outcome: AttemptOutcome, holds: Option<usize>) {
+        if self.outstanding_attempt(id, attempt).is_some() {
+            self.attempt_ended(id, outcome, holds);
         }
     }
 
     fn deadline(&mut self, id: u64, attempt: u32) {
-        let Some(whole) = self.attempt_out(id, attempt).map(|o| o.whole) else { return };
-        self.ended(id, if whole { AttemptOutcome::Timeout } else { AttemptOutcome::Unreachable }, None);
+        let Some(is_received) = self.outstanding_attempt(id, attempt).map(|o| o.is_received) else { return };
+        self.attempt_ended(
+            id,
+            if is_received { AttemptOutcome::Timeout } else { AttemptOutcome::Unreachable },
+            None,
+        );
     }
 
-    // ---- what goes wrong ----
+    // ---- faults ----
 
-    fn some_servers(&mut self, part: f64) -> Vec<u32> {
+    fn sample_up_servers(&mut self, part: f64) -> Vec<u32> {
         let up: Vec<u32> = (0..self.servers.len() as u32)
             .filter(|n| self.health[*n as usize] == Health::Up && self.servers[*n as usize].is_up())
             .collect();
@@ -937,11 +989,11 @@
     fn fault(&mut self, which: usize, step: u32) {
         let fault = self.scenario.faults[which].clone();
         let sicken = |world: &mut Self, sick: ServerFault| {
-            let some = world.some_servers(fault.part);
+            let some = world.sample_up_servers(fault.part);
             for n in &some {
                 world.servers[*n as usize].sick = sick;
             }
-            world.sick.extend(&some);
+            world.faulty_servers.extend(&some);
             world.hit[which] = some;
         };
         match fault.kind {
@@ -949,26 +1001,27 @@
             FaultKind::Errors => sicken(self, ServerFault::Errors),
             FaultKind::Silent => sicken(self, ServerFault::Silent),
             FaultKind::ZoneLost | FaultKind::ZoneCut | FaultKind::ZoneSlow | FaultKind::ZoneErrors => {
-                self.place_fault(&fault, which);
+                self.begin_zone_fault(&fault, which);
             }
             FaultKind::Crash => {
                 sicken(self, ServerFault::Dead);
                 for n in self.hit[which].clone() {
-                    self.lose(n);
+                    self.stop_server(n);
                     self.health[n as usize] = Health::Gone;
                 }
                 let some = self.hit[which].clone();
-                self.list_changes(&some);
+                self.send_list_changes(&some);
             }
             FaultKind::Replace => {
                 if step == 0 {
-                    self.hit[which] = self.some_servers(fault.part);
+                    self.hit[which] = self.sample_up_servers(fault.part);
                 }
                 let Some(old) = self.hit[which].get(step as usize).copied() else { return };
                 let new = self.add_server(self.now);
                 self.health[old as usize] = Health::Draining;
-                self.list_changes(&[old, new]);
-                self.queue.push(self.now + self.scenario.discovery.drain_s * 1000.0, SimEvent::Gone(old));
+                self.send_list_changes(&[old, new]);
+                self.queue
+                    .push(self.now + self.scenario.discovery.drain_s * 1000.0, SimEvent::ServerGone(old));
                 let gap = fault.for_s * 1000.0 / self.hit[which].len() as f64;
                 self.queue.push(self.now + gap, SimEvent::Fault { which, step: step + 1 });
             }
@@ -978,14 +1031,16 @@
                 for s in &mut self.servers {
                     s.zone = (s.zone + 1) % zones;
                 }
-                self.list_changes(&all);
+                self.send_list_changes(&all);
             }
-            FaultKind::DiscoverySilent => self.list_silent += 1,
-            FaultKind::DiscoverySlow => (self.list_part, self.list_late) = (fault.part, fault.times),
-            FaultKind::Partition => self.split = true,
-            FaultKind::NoteLoss => self.note_loss = fault.part,
-            FaultKind::NoteDelay => self.note_delay = fault.times,
-            FaultKind::NoteDouble => self.note_double = fault.part,
+            FaultKind::DiscoverySilent => self.discovery_outages += 1,
+            FaultKind::DiscoverySlow => {
+                (self.list_answer_share, self.list_delay_ms) = (fault.part, fault.times)
+            }
+            FaultKind::Partition => self.is_partitioned = true,
+            FaultKind::NoteLoss => self.message_loss = fault.part,
+            FaultKind::NoteDelay => self.message_delay_ms = fault.times,
+            FaultKind::NoteDouble => self.message_duplication = fault.part,
             FaultKind::Surge => self.surge = fault.times,
             FaultKind::KillKeeper | FaultKind::KillAny => {
                 let count = self.scenario.gatekeepers.count;
@@ -997,7 +1052,8 @@
                 self.kill(k);
                 if step + 1 < fault.count {
                     let gap = fault.for_s * 1000.0 / f64::from(fault.count);
-                    // The same keeper is up again before it dies again; a herd dies all at once.
+                    // The same quota owner has to be up before it is killed again; kills of any gatekeeper may
+                    // come together.
                     let least = if fault.kind == FaultKind::KillKeeper {
                         1000.0 * self.scenario.gatekeepers.down_s + 1.0
                     } else {
@@ -1014,7 +1070,7 @@
         let kind = fault.kind;
         let hit = std::mem::take(&mut self.hit[which]);
         for n in &hit {
-            self.sick.remove(n);
+            self.faulty_servers.remove(n);
             let s = &mut self.servers[*n as usize];
             s.sick = ServerFault::No;
             if kind == FaultKind::Crash {
@@ -1022,84 +1078,86 @@
                 self.health[*n as usize] = Health::Up;
             }
         }
-        self.place_fault_end(&fault, &hit);
+        self.end_zone_fault(&fault, &hit);
         match kind {
-            FaultKind::Crash => self.list_changes(&hit),
+            FaultKind::Crash => self.send_list_changes(&hit),
             FaultKind::DiscoverySilent | FaultKind::DiscoverySlow => {
                 if kind == FaultKind::DiscoverySilent {
-                    self.list_silent -= 1;
+                    self.discovery_outages -= 1;
                 } else {
-                    (self.list_part, self.list_late) = (1.0, 0.0);
+                    (self.list_answer_share, self.list_delay_ms) = (1.0, 0.0);
                 }
                 for k in 0..self.gatekeepers.len() as u32 {
-                    let lag = self.between(self.scenario.discovery.lag_ms);
-                    self.tell_all(k, lag);
+                    let lag = self.uniform(self.scenario.discovery.lag_ms);
+                    self.send_complete_list(k, lag);
                 }
             }
-            FaultKind::Partition => self.split = false,
-            FaultKind::NoteLoss => self.note_loss = self.scenario.network.note_loss,
-            FaultKind::NoteDelay => self.note_delay = 0.0,
-            FaultKind::NoteDouble => self.note_double = 0.0,
+            FaultKind::Partition => self.is_partitioned = false,
+            FaultKind::NoteLoss => self.message_loss = self.scenario.network.note_loss,
+            FaultKind::NoteDelay => self.message_delay_ms = 0.0,
+            FaultKind::NoteDouble => self.message_duplication = 0.0,
             FaultKind::Surge => self.surge = 1.0,
             _ => {}
         }
     }
 
-    // ---- time ----
+    // ---- events ----
 
-    fn happens(&mut self, event: SimEvent) -> Result<(), String> {
+    fn handle_event(&mut self, event: SimEvent) -> Result<(), String> {
         match event {
-            SimEvent::Next => self.next_request(),
-            SimEvent::Try(asked) => self.try_now(asked),
-            SimEvent::Whole { id, attempt } => self.whole(id, attempt),
-            SimEvent::Done { server, life, id, attempt } => self.done(server, life, id, attempt),
-            SimEvent::Answer { id, attempt, outcome, holds } => self.answer_came(id, attempt, outcome, holds),
+            SimEvent::NextRequest => self.next_request(),
+            SimEvent::ClientRetry(request_id) => self.try_request(request_id),
+            SimEvent::RequestReceived { id, attempt } => self.request_received(id, attempt),
+            SimEvent::JobDone { server, life, id, attempt } => self.job_done(server, life, id, attempt),
+            SimEvent::Answer { id, attempt, outcome, holds } => {
+                self.answer_received(id, attempt, outcome, holds)
+            }
             SimEvent::Deadline { id, attempt } => self.deadline(id, attempt),
-            SimEvent::Leave(id) => self.leave(id),
+            SimEvent::ClientLeaves(id) => self.client_leaves(id),
             SimEvent::Timer { gatekeeper, life, token } => {
                 if self.gatekeepers[gatekeeper as usize].life == life {
-                    self.tell_mind(gatekeeper, Event::Timer { token });
+                    self.dispatch_event(gatekeeper, Event::Timer { token });
                 }
             }
-            SimEvent::Note { to, from, text } => {
-                let up = self.gatekeepers.get(to as usize).is_some_and(|g| g.mind.is_some());
-                if up && self.takes_in(to) {
-                    self.tell_mind(to, Event::PeerMessage { from, text: text.into() });
+            SimEvent::PeerMessage { to, from, text } => {
+                let up = self.gatekeepers.get(to as usize).is_some_and(|g| g.module.is_some());
+                if up && self.try_accept_peer_message(to) {
+                    self.dispatch_event(to, Event::PeerMessage { from, text: text.into() });
                 } else {
-                    self.tally.notes_lost += 1;
+                    self.stats.notes_lost += 1;
                 }
             }
-            SimEvent::List { gatekeeper, life, kind, lines } => {
+            SimEvent::EndpointUpdate { gatekeeper, life, kind, entries } => {
                 if self.gatekeepers[gatekeeper as usize].life == life {
-                    self.list_came(gatekeeper, kind, &lines);
+                    self.list_received(gatekeeper, kind, &entries);
                 }
             }
             SimEvent::Zones(step) => self.zone_step(step),
             SimEvent::Fault { which, step } => self.fault(which, step),
             SimEvent::FaultEnd(which) => self.fault_end(which),
-            SimEvent::Start(k) => self.start(k)?,
-            SimEvent::Ask { gatekeeper, life } => {
+            SimEvent::GatekeeperStart(k) => self.start(k)?,
+            SimEvent::ListRequest { gatekeeper, life } => {
                 if self.gatekeepers[gatekeeper as usize].life == life {
-                    self.ask_list(gatekeeper);
+                    self.request_list(gatekeeper);
                 }
             }
-            SimEvent::Gone(server) => {
+            SimEvent::ServerGone(server) => {
                 if self.health[server as usize] == Health::Draining {
                     self.health[server as usize] = Health::Gone;
-                    self.list_changes(&[server]);
-                    self.queue.push(self.now + FINISH_MS, SimEvent::Gone(server));
+                    self.send_list_changes(&[server]);
+                    self.queue.push(self.now + REMOVED_SERVER_GRACE_MS, SimEvent::ServerGone(server));
                 } else {
                     self.servers[server as usize].sick = ServerFault::Dead;
-                    self.lose(server);
+                    self.stop_server(server);
                 }
             }
         }
         Ok(())
     }
 
-    fn list_came(&mut self, k: u32, kind: EndpointUpdateKind, lines: &[(u32, Server)]) {
+    fn list_received(&mut self, k: u32, kind: EndpointUpdateKind, entries: &[(u32, Server)]) {
         let mut named = BTreeSet::new();
-        for (number, line) in lines {
+        for (number, line) in entries {
             named.insert(*number);
             self.oracle.server_listed(self.now, k, *number, line.health == Health::Up, line.started_at);
         }
@@ -1108,8 +1166,8 @@
                 self.oracle.server_listed(self.now, k, number, false, 0.0);
             }
         }
-        let servers = lines.iter().map(|(_, line)| line.clone()).collect();
-        self.tell_mind(k, Event::EndpointUpdate { kind, servers });
+        let servers = entries.iter().map(|(_, line)| line.clone()).collect();
+        self.dispatch_event(k, Event::EndpointUpdate { kind, servers });
     }
 
     fn finish(mut self, seed: u64) -> Report {
@@ -1126,8 +1184,8 @@
             cold_load: s.cold_most,
         });
         let servers = servers.collect();
-        let (agreed_ms, decisions) = (self.agreed_ms(), std::mem::take(&mut self.zoned.told));
-        let mut report = self.tally.into_report(self.scenario, seed);
+        let (agreed_ms, decisions) = (self.agreed_ms(), std::mem::take(&mut self.zone_simulation.decisions));
+        let mut report = self.stats.into_report(self.scenario, seed);
         report.servers = servers;
         (report.agreed_ms, report.decisions) = (agreed_ms, decisions);
         report.herds = self.herds.into_herds();
