--- a/crates/sim/src/event_queue.rs
+++ b/crates/sim/src/event_queue.rs
@@ -1,12 +1,13 @@
-//! What is to happen, in order of time; at the same time, in the order in which it was said.
+//! A queue of events in order of time; events of the same time keep the order of insertion.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
 struct Entry<T> {
+    /// In microseconds.
     at: u64,
     seq: u64,
-    what: T,
+    event: T,
 }
 
 impl<T> PartialEq for Entry<T> {
@@ -29,7 +30,7 @@
     }
 }
 
-/// The queue. Times are ms, kept to the microsecond.
+/// The event queue. Times are in ms, rounded up to the microsecond.
 pub(crate) struct EventQueue<T> {
     heap: BinaryHeap<Reverse<Entry<T>>>,
     seq: u64,
@@ -42,13 +43,15 @@
 }
 
 impl<T> EventQueue<T> {
-    pub fn push(&mut self, at: f64, what: T) {
+    /// Schedules an event at a time in ms.
+    pub fn push(&mut self, at: f64, event: T) {
         self.seq += 1;
-        self.heap.push(Reverse(Entry { at: (at * 1000.0).ceil().max(0.0) as u64, seq: self.seq, what }));
+        self.heap.push(Reverse(Entry { at: (at * 1000.0).ceil().max(0.0) as u64, seq: self.seq, event }));
     }
 
+    /// Removes the earliest event and returns it with its time in ms.
     pub fn pop(&mut self) -> Option<(f64, T)> {
-        self.heap.pop().map(|Reverse(e)| (e.at as f64 / 1000.0, e.what))
+        self.heap.pop().map(|Reverse(e)| (e.at as f64 / 1000.0, e.event))
     }
 }
 
@@ -57,7 +60,7 @@
     use super::*;
 
     #[test]
-    fn by_time_then_as_said() {
+    fn pop_orders_by_time_then_by_insertion() {
         let mut queue = EventQueue::default();
         for (at, what) in [(2.0, 'c'), (1.0, 'a'), (1.0, 'b'), (2.0, 'd')] {
             queue.push(at, what);
--- a/crates/sim/src/expectations.rs
+++ b/crates/sim/src/expectations.rs
@@ -1,12 +1,13 @@
-//! What a scenario expects beside the rules, held against a run.
+//! Compares a run with the expectations that its scenario states in addition to the rules.
 
 use crate::scenario::Expect;
 use crate::stats::Report;
 
-/// A second with fewer requests inside quotas says too little.
-const SECOND_LEAST: u64 = 20;
+/// Seconds with fewer requests within quotas are too small a sample for `second_least`.
+const MIN_REQUESTS_PER_SECOND: u64 = 20;
 
-/// What did not hold, a sentence each.
+/// The expectations that the run did not meet, one sentence each, beginning with the key. A run that violates a rule
+/// is not compared.
 pub(crate) fn missed(expect: &Expect, r: &Report) -> Vec<String> {
     let mut missed = Vec::new();
     if r.broken.is_some() {
@@ -59,8 +60,9 @@
     if let Some(least) = expect.second_least {
         let seconds = r.seconds.iter().enumerate().skip(expect.after_s.max(0.0) as usize);
         let part = |s: &crate::stats::Second| s.inside_in_time as f64 / s.inside as f64;
-        let worst =
-            seconds.filter(|(_, s)| s.inside >= SECOND_LEAST).min_by(|a, b| part(a.1).total_cmp(&part(b.1)));
+        let worst = seconds
+            .filter(|(_, s)| s.inside >= MIN_REQUESTS_PER_SECOND)
+            .min_by(|a, b| part(a.1).total_cmp(&part(b.1)));
         if let Some((at, s)) = worst.filter(|(_, s)| part(s) < least) {
             missed.push(format!("second_least: {:.3} served in second {at}, {least} expected", part(s)));
         }
--- a/crates/sim/src/herd_detection.rs
+++ b/crates/sim/src/herd_detection.rs
@@ -1,15 +1,15 @@
-//! Who did the same thing to the same target in the same 100 ms, over all gatekeepers: a herd is found by looking.
+//! Detects herds: several gatekeepers that do the same thing to the same target within the same slot of 100 ms.
 
 use rustc_hash::FxHashMap;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What is done at once lies within so many ms.
+/// Length of a slot in ms; actions in the same slot count as simultaneous.
 pub const SLOT_MS: f64 = 100.0;
-/// The most targets that are told of for each act.
-const TOLD_MOST: usize = 5;
+/// Maximum number of targets reported for each action.
+const MAX_TARGETS_PER_ACTION: usize = 5;
 
-/// What many may do at once.
+/// An action that many gatekeepers may do at once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum HerdAction {
@@ -17,14 +17,14 @@
     Attempt,
     /// A connection is opened to a server.
     Handshake,
-    /// A note is sent to a gatekeeper.
+    /// A peer message is sent to a gatekeeper.
     Note,
-    /// A whole server list is fetched.
+    /// A complete server list is fetched.
     List,
 }
 
 impl HerdAction {
-    /// As it is told.
+    /// The action as the text of a report names it.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -36,44 +36,46 @@
     }
 }
 
-/// Many that did one thing at once.
+/// Several gatekeepers that did the same thing at once.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Herd {
-    /// What they did.
+    /// The action.
     pub act: HerdAction,
-    /// To which server or gatekeeper.
+    /// Index of the server or gatekeeper it was done to; 0 for discovery.
     pub target: u32,
-    /// In the 100 ms from this time on, in ms.
+    /// Start of the slot in ms.
     pub at_ms: u64,
-    /// How many different gatekeepers.
+    /// Number of different gatekeepers.
     pub gatekeepers: u32,
-    /// How often in all.
+    /// Number of actions in total.
     pub times: u32,
 }
 
-/// The worst slot of each target, and the counts of the slot that runs.
+/// The worst slot of each action and target, and the counts of the current slot.
 #[derive(Default)]
 pub(crate) struct HerdDetector {
     slot: u64,
-    now: FxHashMap<(HerdAction, u32), (BTreeSet<u32>, u32)>,
+    current: FxHashMap<(HerdAction, u32), (BTreeSet<u32>, u32)>,
     worst: BTreeMap<(HerdAction, u32), (u32, u32, u64)>,
 }
 
 impl HerdDetector {
+    /// Counts an action; times may not decrease.
     pub fn record(&mut self, at: f64, act: HerdAction, gatekeeper: u32, target: u32) {
         let slot = (at / SLOT_MS).max(0.0) as u64;
         if slot != self.slot {
-            self.close();
+            self.close_slot();
             self.slot = slot;
         }
-        let (who, times) = self.now.entry((act, target)).or_default();
+        let (who, times) = self.current.entry((act, target)).or_default();
         who.insert(gatekeeper);
         *times += 1;
     }
 
-    fn close(&mut self) {
+    /// Ends the current slot and updates the worst slots.
+    fn close_slot(&mut self) {
         let slot = self.slot;
-        for (key, (who, times)) in self.now.drain() {
+        for (key, (who, times)) in self.current.drain() {
             let many = who.len() as u32;
             let worst = self.worst.entry(key).or_default();
             if (many, times) > (worst.0, worst.1) {
@@ -82,9 +84,9 @@
         }
     }
 
-    /// The largest of each act, the largest first; one gatekeeper alone is no herd.
+    /// The largest herds of each action, in descending order of size. A single gatekeeper is not a herd.
     pub fn into_herds(mut self) -> Vec<Herd> {
-        self.close();
+        self.close_slot();
         let mut all: Vec<Herd> = self
             .worst
             .into_iter()
@@ -100,7 +102,7 @@
         all.retain(|h| {
             of_act = if last == Some(h.act) { of_act + 1 } else { 1 };
             last = Some(h.act);
-            of_act <= TOLD_MOST
+            of_act <= MAX_TARGETS_PER_ACTION
         });
         all
     }
@@ -111,7 +113,7 @@
     use super::*;
 
     #[test]
-    fn the_worst_slot_of_each_target_is_told_and_one_alone_is_no_herd() {
+    fn reports_the_worst_slot_of_each_target_and_no_single_gatekeeper() {
         let mut herds = HerdDetector::default();
         for (at, who) in [(10.0, 1), (20.0, 1), (99.0, 2), (100.0, 3), (110.0, 4), (120.0, 5), (450.0, 1)] {
             herds.record(at, HerdAction::Handshake, who, 7);
@@ -124,7 +126,7 @@
     }
 
     #[test]
-    fn of_each_act_the_largest_few_are_told_in_order() {
+    fn reports_the_largest_herds_of_each_action_in_order() {
         let mut herds = HerdDetector::default();
         for target in 0..20u32 {
             for who in 0..=target {
@@ -133,8 +135,8 @@
         }
         herds.record(2.0, HerdAction::List, 1, 0);
         herds.record(3.0, HerdAction::List, 2, 0);
-        let told = herds.into_herds();
-        let targets: Vec<_> = told.iter().map(|h| (h.act, h.target, h.gatekeepers)).collect();
+        let reported = herds.into_herds();
+        let targets: Vec<_> = reported.iter().map(|h| (h.act, h.target, h.gatekeepers)).collect();
         let attempts = (15..20).rev().map(|t| (HerdAction::Attempt, t, t + 1));
         assert_eq!(targets, attempts.chain([(HerdAction::List, 0, 2)]).collect::<Vec<_>>());
     }
--- a/crates/sim/src/scenario.rs
+++ b/crates/sim/src/scenario.rs
@@ -1,32 +1,32 @@
-//! Scenarios: what is simulated, as a TOML file with comments. Every figure is checked when the file is read, so that no
-//! bad state can be held; keys that are not known are errors.
+//! Scenarios: the description of a simulation, read from a TOML file. Every value is checked against its range when the
+//! file is read; unknown keys are errors.
 
 use frostvale::{Class, Effect, Group, Plan};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::path::Path;
 
-/// The longest simulated time, in seconds.
+/// Maximum simulated time in seconds.
 pub const MAX_SECONDS: f64 = 3600.0;
-/// The most gatekeepers, servers and shops.
+/// Maximum number of gatekeepers.
 pub const MAX_GATEKEEPERS: u32 = 4000;
-/// See [`MAX_GATEKEEPERS`].
+/// Maximum number of servers, without those that replace others.
 pub const MAX_SERVERS: u32 = 20_000;
-/// See [`MAX_GATEKEEPERS`].
+/// Maximum number of shops.
 pub const MAX_SHOPS: u32 = 4_000_000;
-/// The most requests a second.
+/// Maximum request rate per second.
 pub const MAX_RATE: f64 = 500_000.0;
 
-/// A scenario.
+/// A simulation's load, fleet, faults and expectations.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
     /// Its name.
     pub name: String,
-    /// What it shows.
+    /// What it demonstrates.
     #[serde(default)]
     pub why: String,
-    /// Simulated seconds in which requests come in; those in hand then run to their end.
+    /// Simulated seconds in which requests arrive; requests in flight then run to their end.
     pub seconds: f64,
     /// The gatekeepers.
     #[serde(default)]
@@ -40,22 +40,22 @@
     /// The plans.
     #[serde(default = "plans", rename = "plan")]
     pub plans: Vec<PlanOf>,
-    /// Who asks, and how often.
+    /// The load of the clients.
     #[serde(default)]
     pub load: Load,
-    /// Ways between all of them.
+    /// Latency and loss of the network.
     #[serde(default)]
     pub network: Network,
-    /// The server list.
+    /// Service discovery.
     #[serde(default)]
     pub discovery: Discovery,
-    /// Zones, decided on in common; without it each gatekeeper acts by itself.
+    /// Common decisions on zones; without them each gatekeeper decides by itself.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub zones: Option<Zones>,
-    /// What goes wrong.
+    /// The faults.
     #[serde(default, rename = "fault", skip_serializing_if = "Vec::is_empty")]
     pub faults: Vec<Fault>,
-    /// What has to hold beside the rules.
+    /// Expectations in addition to the rules.
     #[serde(default)]
     pub expect: Expect,
 }
@@ -64,19 +64,19 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Gatekeepers {
-    /// How many.
+    /// Number of gatekeepers.
     pub count: u32,
-    /// A shop's set has from so many to so many of them.
+    /// Minimum and maximum number of gatekeepers in a shop's set.
     pub spread: [u32; 2],
-    /// Whether they send each other notes.
+    /// Whether they send each other peer messages.
     pub notes: bool,
-    /// How many notes a second one takes in; what comes beyond is lost.
+    /// Peer messages per second that a gatekeeper accepts; the excess is lost.
     pub note_intake: f64,
-    /// The most attempts for a request; 0 means no limit.
+    /// Maximum number of attempts per request; 0 means no limit.
     pub max_attempts: u32,
-    /// A killed one is back after so many seconds.
+    /// Seconds until a killed gatekeeper starts again.
     pub down_s: f64,
-    /// How many stand in each zone, as shares; by turns, if not given.
+    /// Share of the gatekeepers in each zone; round robin if empty.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub zone_shares: Vec<f64>,
 }
@@ -99,32 +99,32 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Servers {
-    /// How many.
+    /// Number of servers.
     pub count: u32,
-    /// Zones they stand in, by turns.
+    /// Number of zones; servers are assigned round robin.
     pub zones: u32,
-    /// How many stand in each, as shares instead of by turns.
+    /// Share of the servers in each zone, instead of round robin.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub zone_shares: Vec<f64>,
-    /// Racks whose servers drop each other's repeats; a rack is in one zone.
+    /// Number of racks. The servers of a rack deduplicate together; each rack lies in a single zone.
     pub cells: u32,
-    /// Requests that wait at one at the most, beside those it works on.
+    /// Maximum queue length of a server, without the requests that it works on.
     pub queue: u32,
-    /// The part of its capacity with which one starts.
+    /// Share of its capacity with which a server starts.
     pub cold_from: f64,
-    /// It is warm so long after its start, in seconds.
+    /// Seconds from a server's start to its full capacity.
     pub warm_s: f64,
-    /// More than so many times what it can do, for a second, and a cold one falls over.
+    /// A server in slow start fails if it is sent more than this multiple of its present capacity within a second.
     pub cold_times: f64,
-    /// Its answers say how many requests it holds.
+    /// Whether answers report the server's number of requests in flight.
     pub report: bool,
-    /// Connections that it holds at the most; new ones past that are turned away. 0 for any number.
+    /// Maximum number of connections of a server; further ones are rejected. 0 means no limit.
     pub connections: u32,
-    /// A connection that has rested for so long is closed.
+    /// Idle time in ms after which a connection is closed.
     pub idle_ms: f64,
-    /// A new connection takes so long to come up.
+    /// Time in ms to establish a connection.
     pub handshake_ms: f64,
-    /// Kinds of machine.
+    /// Kinds of machines.
     #[serde(rename = "kind")]
     pub kinds: Vec<KindOf>,
 }
@@ -158,9 +158,9 @@
     pub name: String,
     /// Its share of the servers.
     pub share: f64,
-    /// Requests that it works on at once.
+    /// Number of requests that it works on concurrently.
     pub cores: u32,
-    /// The speed of a core, from and to.
+    /// Minimum and maximum speed of a core.
     pub speed: [f64; 2],
 }
 
@@ -168,15 +168,15 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Repeat {
-    /// At will.
+    /// Repeats are always allowed.
     Safe,
-    /// Servers of one rack drop repeats.
+    /// The servers of one rack drop repeats.
     Cell,
-    /// Servers of one zone do.
+    /// The servers of one zone drop repeats.
     Zone,
-    /// All servers do.
+    /// All servers drop repeats.
     All,
-    /// Never once it may have run.
+    /// No repeat once the request may have run.
     Once,
 }
 
@@ -188,20 +188,20 @@
     pub name: String,
     /// Its share of the requests.
     pub share: f64,
-    /// Its work on a core of speed 1, in ms, from and to.
+    /// Minimum and maximum work in ms on a core of speed 1.
     pub work_ms: [f64; 2],
-    /// An answer within this time is wanted.
+    /// Target latency in ms.
     pub aim_ms: f64,
-    /// Clients wait half of this to all of it.
+    /// Maximum time in ms that clients wait; the minimum is half of it.
     pub deadline_ms: f64,
-    /// What an answer in time is worth.
+    /// The worth of a unit that is served in time.
     pub worth: f64,
     /// Whether it may be repeated.
     pub repeat: Repeat,
-    /// How long servers remember a key.
+    /// Deduplication window in ms: how long servers keep an idempotency key.
     #[serde(default)]
     pub window_ms: f64,
-    /// The units it takes, from and to.
+    /// Minimum and maximum units of a request.
     #[serde(default = "one_unit")]
     pub units: [u32; 2],
 }
@@ -212,49 +212,49 @@
 pub struct PlanOf {
     /// Its name.
     pub name: String,
-    /// Its share of the shops. Those that ask most are on the plans with the highest rates.
+    /// Its share of the shops. The busiest shops are on the plans with the highest rates.
     pub share: f64,
-    /// Units a second for each shop; 0 for no such quota.
+    /// Quota of each shop in units per second; 0 means no quota.
     pub rate: f64,
-    /// The most units that may be used at once.
+    /// Burst size of the quota in units.
     pub burst: f64,
-    /// A factor on the worth.
+    /// Factor on the worth.
     pub price: f64,
-    /// Attempts out at once; 0 for any number.
+    /// Maximum number of concurrent attempts of a shop; 0 means no limit.
     #[serde(default)]
     pub open: u32,
-    /// The ceiling's rate; 0 for none.
+    /// The ceiling's rate in units per second; 0 means no ceiling.
     #[serde(default)]
     pub ceiling_rate: f64,
-    /// The most units the ceiling's store holds.
+    /// The ceiling's burst size in units.
     #[serde(default)]
     pub ceiling_burst: f64,
-    /// The ceiling's slack.
+    /// The units by which the ceiling may be exceeded.
     #[serde(default)]
     pub ceiling_slack: f64,
 }
 
-/// Who asks, and how often.
+/// The load of the clients.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Load {
-    /// Shops.
+    /// Number of shops that send requests repeatedly.
     pub shops: u32,
-    /// Requests a second, without retries.
+    /// Requests per second, without retries.
     pub rate: f64,
-    /// How busy shops are against each other: the k-th asks 1 / k^S of what the first does.
+    /// Zipf exponent S: the k-th shop sends 1 / k^S as many requests as the first.
     pub zipf: f64,
-    /// This part of all requests comes from one shop more.
+    /// Share of the requests that come from one additional shop.
     pub top: f64,
-    /// This part of all requests comes from shops that come once.
+    /// Share of the requests that come from shops with a single request.
     pub once: f64,
-    /// How often a client tries again.
+    /// Maximum number of a client's retries per request.
     pub retries: u32,
-    /// How long it waits before that, from and to.
+    /// Minimum and maximum delay before a retry, in ms.
     pub retry_ms: [f64; 2],
-    /// Whether it marks retries.
+    /// Whether clients mark retries as such.
     pub marked: bool,
-    /// This part of a shop's requests goes to the gatekeeper of its set that is busiest for it now.
+    /// Share of a shop's requests that go to one gatekeeper of its set, which changes from time to time.
     pub uneven: f64,
 }
 
@@ -274,15 +274,15 @@
     }
 }
 
-/// Ways between all of them.
+/// Latency and loss of the network.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Network {
-    /// One way between any two machines, in ms, from and to.
+    /// Minimum and maximum one-way latency between two machines, in ms.
     pub hop_ms: [f64; 2],
-    /// One way for a note.
+    /// Minimum and maximum one-way latency of a peer message, in ms.
     pub note_ms: [f64; 2],
-    /// The part of notes that is lost in any case.
+    /// Share of the peer messages that are lost without any fault.
     pub note_loss: f64,
 }
 
@@ -292,17 +292,17 @@
     }
 }
 
-/// The server list.
+/// Service discovery.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Discovery {
-    /// A change is told to a gatekeeper after this time, from and to.
+    /// Minimum and maximum delay in ms until a gatekeeper is notified of a change.
     pub lag_ms: [f64; 2],
-    /// A server that drains is listed as draining so long before it is gone, in seconds.
+    /// Seconds for which a server is listed as draining before it is removed.
     pub drain_s: f64,
-    /// Nothing new may go to a draining server later than this after a gatekeeper was told.
+    /// Time in ms after the notification from which a gatekeeper may send no new attempt to a draining server.
     pub grace_ms: f64,
-    /// A gatekeeper starts with a list that is so many seconds old; without one it starts with none.
+    /// Age in seconds of the list with which a gatekeeper starts; without it, it starts with no list.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub known_s: Option<f64>,
 }
@@ -313,21 +313,22 @@
     }
 }
 
-/// Zones, decided on in common: one agent in each reports, one of them owns the duty.
+/// Common decisions on zones: one agent in each zone reports, and one of them runs the failover controller.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Zones {
-    /// An agent reports this often.
+    /// Interval of the agents' reports in ms.
     pub report_ms: f64,
-    /// From a decision until an agent pushes it, from and to: the council's entry, and its way.
+    /// Minimum and maximum time in ms from a decision until an agent pushes it: the commit in the consensus group, and
+    /// the network.
     pub enter_ms: [f64; 2],
-    /// For how long it holds without being renewed, and then how long it takes to fade.
+    /// Time in ms for which a decision holds without renewal.
     pub hold_ms: f64,
-    /// See `hold_ms`.
+    /// Time in ms in which its effect then fades out.
     pub fade_ms: f64,
-    /// How long an owner that is gone is missed.
+    /// Time in ms until a lost owner is replaced.
     pub takeover_ms: f64,
-    /// How zones are judged. A server of size 1 has one core here.
+    /// Settings of the failover controller. A server of size 1 has one core here.
     pub judge: frostvale_zones::Settings,
 }
 
@@ -345,113 +346,113 @@
     }
 }
 
-/// What goes wrong.
+/// The kinds of faults.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum FaultKind {
-    /// A zone is lost: its servers die, and come back cold at the end; so do its agent and this part of its gatekeepers, if
-    /// any.
+    /// A zone is lost: its servers die, and come back cold at the end of the fault. If `part` is above 0, its agent and
+    /// this share of its gatekeepers are lost too.
     ZoneLost,
-    /// A zone is cut off from all others, its own clients reach it.
+    /// A zone is cut off from all others; its own clients still reach it.
     ZoneCut,
-    /// A zone's servers are so many times slower.
+    /// A zone's servers are slower by the factor `times`.
     ZoneSlow,
-    /// A zone's servers answer errors in no time.
+    /// A zone's servers answer with errors immediately.
     ZoneErrors,
-    /// A part of the servers is so many times slower.
+    /// A share of the servers is slower by the factor `times`.
     Slow,
-    /// A part of the servers answers errors in no time.
+    /// A share of the servers answers with errors immediately.
     Errors,
-    /// A part of the servers dies, and returns as a new life at the end.
+    /// A share of the servers dies, and starts again at the end of the fault.
     Crash,
-    /// A part of the servers takes requests and says nothing.
+    /// A share of the servers accepts requests but does not answer.
     Silent,
-    /// A part of the servers is drained and replaced by new ones, spread evenly over the time.
+    /// A share of the servers is drained and replaced by new ones, spread evenly over the fault's time.
     Replace,
-    /// Entries of all servers change at once.
+    /// The list entries of all servers change at once.
     Relist,
-    /// The list is silent; then it is told whole.
+    /// Discovery does not answer; at the end of the fault it sends the complete list.
     DiscoverySilent,
-    /// Discovery answers this part of the calls, `times` ms late; then it tells the list whole.
+    /// Discovery answers the share `part` of the calls, `times` ms late; at the end of the fault it sends the complete list.
     DiscoverySlow,
-    /// Gatekeepers fall into two halves that hear nothing of each other.
+    /// The gatekeepers are partitioned into two halves that can't reach each other.
     Partition,
-    /// This part of the notes is lost.
+    /// The share `part` of the peer messages is lost.
     NoteLoss,
-    /// Notes take so many ms more.
+    /// Peer messages take `times` ms longer.
     NoteDelay,
-    /// This part of the notes comes twice.
+    /// The share `part` of the peer messages arrives twice.
     NoteDouble,
-    /// The gatekeeper that keeps the busiest shop is killed, so often, and starts again empty after a second.
+    /// The quota owner of the busiest shop is killed `count` times, and starts again without state after `down_s`.
     KillKeeper,
-    /// A gatekeeper by lot is.
+    /// A gatekeeper chosen at random is killed, `count` times.
     KillAny,
-    /// All ask so many times as much.
+    /// The request rate is multiplied by `times`.
     Surge,
 }
 
-/// One thing that goes wrong.
+/// A fault of a scenario.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
-    /// What.
+    /// The kind of the fault.
     pub kind: FaultKind,
-    /// From when, in seconds.
+    /// Start in seconds.
     pub at_s: f64,
-    /// For how long.
+    /// Duration in seconds.
     #[serde(default)]
     pub for_s: f64,
-    /// How much of it, 0 to 1.
+    /// The share that is affected, from 0 to 1.
     #[serde(default = "one")]
     pub part: f64,
-    /// So many times, or ms.
+    /// A factor, or a time in ms; see the kinds.
     #[serde(default = "one")]
     pub times: f64,
-    /// How often.
+    /// Number of kills.
     #[serde(default = "once")]
     pub count: u32,
-    /// Which zone, by its number from 0.
+    /// Index of the zone, from 0.
     #[serde(default)]
     pub zone: u32,
 }
 
-/// What has to hold beside the rules, as parts from 0 to 1. Not said: not looked at.
+/// Expectations in addition to the rules; shares are from 0 to 1. An expectation that is not given is not checked.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Expect {
-    /// Of the worth asked inside quotas, this part is served in time at the least.
+    /// Minimum share of the worth requested within quotas that is served in time.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub served_least: Option<f64>,
-    /// Of the units passed, this part is beyond quotas at the most, by plan.
+    /// By plan, maximum share of the passed units that exceeds quotas.
     #[serde(skip_serializing_if = "BTreeMap::is_empty")]
     pub over_most: BTreeMap<String, f64>,
-    /// Notes for a request at the most.
+    /// Maximum number of peer messages per request.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub notes_most: Option<f64>,
-    /// From `after_s` on, this part of requests inside quotas is served in time in each second at the least.
+    /// Minimum share of the requests within quotas that is served in time, in each second from `after_s` on.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub second_least: Option<f64>,
-    /// See `second_least`.
+    /// First second that `second_least` applies to.
     pub after_s: f64,
-    /// Handshakes for a request at the most.
+    /// Maximum number of handshakes per request.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub handshakes_most: Option<f64>,
-    /// Connections that servers turned away, for a request, at the most.
+    /// Maximum number of rejected connections per request.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub turned_away_most: Option<f64>,
-    /// So many seconds after the first fault it is as before it again, at the latest.
+    /// Maximum time in seconds from the first fault to recovery.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub back_most_s: Option<f64>,
-    /// This part of all attempts leaves its gatekeeper's zone at the most.
+    /// Maximum share of the attempts that leave their gatekeeper's zone.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub far_most: Option<f64>,
-    /// So many decisions on zones at the most.
+    /// Maximum number of decisions on zones.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub decisions_most: Option<f64>,
-    /// All that can be reached act on a decision so long after the first fault by place, in ms, at the latest.
+    /// Maximum time in ms from the first zone fault until all reachable gatekeepers apply a decision.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub agreed_most_ms: Option<f64>,
-    /// Servers of the parts that a fault hit take this part of all attempts at the most, while it lasts.
+    /// Maximum share of the attempts that go to servers hit by a fault, while it lasts.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub sick_most: Option<f64>,
 }
@@ -468,7 +469,7 @@
     [1, 1]
 }
 
-/// The two classes of the brief.
+/// The two default classes.
 fn classes() -> Vec<ClassOf> {
     vec![
         ClassOf {
@@ -496,7 +497,7 @@
     ]
 }
 
-/// The four plans of the brief, in the middle of their ranges.
+/// The four default plans, with values in the middle of their ranges.
 fn plans() -> Vec<PlanOf> {
     let plan = |name: &str, share, rate: f64, burst_s: f64, price| PlanOf {
         name: name.into(),
@@ -523,7 +524,7 @@
 }
 
 impl Default for Scenario {
-    /// The brief's town on a quiet day.
+    /// The default fleet without faults.
     fn default() -> Self {
         Scenario {
             name: "quiet".into(),
@@ -543,118 +544,119 @@
     }
 }
 
-/// What is wrong with a figure: the field, what it is and what it may be.
-fn within(field: &str, x: f64, from: f64, to: f64) -> Result<(), String> {
+/// Checks that a field's value is in its range; the error names the field, the value and the range.
+fn check_range(field: &str, x: f64, from: f64, to: f64) -> Result<(), String> {
     if x.is_finite() && (from..=to).contains(&x) {
         return Ok(());
     }
     Err(format!("{field} is {x}, it may be {from} to {to}"))
 }
 
-fn span(field: &str, [a, b]: [f64; 2], from: f64, to: f64) -> Result<(), String> {
-    within(&format!("{field}[0]"), a, from, to)?;
-    within(&format!("{field}[1]"), b, a, to)
+/// Checks both ends of a range, and their order.
+fn check_range_pair(field: &str, [a, b]: [f64; 2], from: f64, to: f64) -> Result<(), String> {
+    check_range(&format!("{field}[0]"), a, from, to)?;
+    check_range(&format!("{field}[1]"), b, a, to)
 }
 
 impl Scenario {
-    /// Reads a scenario.
+    /// Parses and checks a scenario.
     ///
     /// # Errors
-    /// With the line or the field that is wrong, and what it may be.
+    /// Returns the line or the field that is invalid, and the valid range.
     pub fn parse(text: &str) -> Result<Scenario, String> {
         let scenario: Scenario = toml::from_str(text).map_err(|e| e.to_string().trim().replace('\n', " "))?;
         scenario.check()?;
         Ok(scenario)
     }
 
-    /// Reads a scenario's file.
+    /// Reads a scenario from a file.
     ///
     /// # Errors
-    /// As [`Scenario::parse`], with the file's name before it.
+    /// As [`Scenario::parse`], preceded by the path; also if the file can't be read.
     pub fn read(path: &Path) -> Result<Scenario, String> {
         let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
         Scenario::parse(&text).map_err(|e| format!("{}: {e}", path.display()))
     }
 
-    /// The scenario as a file.
+    /// Formats the scenario as TOML.
     ///
     /// # Errors
-    /// When it holds what TOML can't, which a checked one does not.
+    /// Returns an error for a value that TOML can't represent; a checked scenario has none.
     pub fn write(&self) -> Result<String, String> {
         toml::to_string(self).map_err(|e| e.to_string())
     }
 
-    /// Whether every figure can be acted on.
+    /// Checks that every value is in its range.
     ///
     /// # Errors
-    /// With the first field that is wrong, and what it may be.
+    /// Returns the first field that is invalid, and the valid range.
     pub fn check(&self) -> Result<(), String> {
-        within("seconds", self.seconds, 0.1, MAX_SECONDS)?;
+        check_range("seconds", self.seconds, 0.1, MAX_SECONDS)?;
         let g = &self.gatekeepers;
-        within("gatekeepers.count", g.count.into(), 1.0, MAX_GATEKEEPERS.into())?;
-        span("gatekeepers.spread", g.spread.map(f64::from), 1.0, g.count.into())?;
-        within("gatekeepers.note_intake", g.note_intake, 1.0, 1e6)?;
-        within("gatekeepers.max_attempts", g.max_attempts.into(), 0.0, 100.0)?;
-        within("gatekeepers.down_s", g.down_s, 0.001, MAX_SECONDS)?;
+        check_range("gatekeepers.count", g.count.into(), 1.0, MAX_GATEKEEPERS.into())?;
+        check_range_pair("gatekeepers.spread", g.spread.map(f64::from), 1.0, g.count.into())?;
+        check_range("gatekeepers.note_intake", g.note_intake, 1.0, 1e6)?;
+        check_range("gatekeepers.max_attempts", g.max_attempts.into(), 0.0, 100.0)?;
+        check_range("gatekeepers.down_s", g.down_s, 0.001, MAX_SECONDS)?;
         let s = &self.servers;
-        within("servers.count", s.count.into(), 1.0, MAX_SERVERS.into())?;
-        within("servers.zones", s.zones.into(), 1.0, 1000.0)?;
-        within("servers.cells", s.cells.into(), s.zones.into(), 10_000.0)?;
-        within("servers.queue", s.queue.into(), 0.0, 1e5)?;
-        within("servers.cold_from", s.cold_from, 0.01, 1.0)?;
-        within("servers.warm_s", s.warm_s, 0.0, 600.0)?;
-        within("servers.cold_times", s.cold_times, 1.0, 100.0)?;
-        within("servers.connections", s.connections.into(), 0.0, 1e6)?;
-        within("servers.idle_ms", s.idle_ms, 1.0, 600_000.0)?;
-        within("servers.handshake_ms", s.handshake_ms, 0.0, 10_000.0)?;
+        check_range("servers.count", s.count.into(), 1.0, MAX_SERVERS.into())?;
+        check_range("servers.zones", s.zones.into(), 1.0, 1000.0)?;
+        check_range("servers.cells", s.cells.into(), s.zones.into(), 10_000.0)?;
+        check_range("servers.queue", s.queue.into(), 0.0, 1e5)?;
+        check_range("servers.cold_from", s.cold_from, 0.01, 1.0)?;
+        check_range("servers.warm_s", s.warm_s, 0.0, 600.0)?;
+        check_range("servers.cold_times", s.cold_times, 1.0, 100.0)?;
+        check_range("servers.connections", s.connections.into(), 0.0, 1e6)?;
+        check_range("servers.idle_ms", s.idle_ms, 1.0, 600_000.0)?;
+        check_range("servers.handshake_ms", s.handshake_ms, 0.0, 10_000.0)?;
         if s.kinds.is_empty() || self.classes.is_empty() || self.plans.is_empty() {
-            return Err("servers.kind, class and plan need one entry each at the least".into());
+            return Err("servers.kind, class and plan need at least one entry each".into());
         }
         for k in &s.kinds {
-            within("servers.kind.share", k.share, 0.0, 1.0)?;
-            within("servers.kind.cores", k.cores.into(), 1.0, 1024.0)?;
-            span("servers.kind.speed", k.speed, 0.001, 1000.0)?;
+            check_range("servers.kind.share", k.share, 0.0, 1.0)?;
+            check_range("servers.kind.cores", k.cores.into(), 1.0, 1024.0)?;
+            check_range_pair("servers.kind.speed", k.speed, 0.001, 1000.0)?;
         }
         for c in &self.classes {
-            within("class.share", c.share, 0.0, 1.0)?;
-            span("class.work_ms", c.work_ms, 0.01, 60_000.0)?;
-            within("class.aim_ms", c.aim_ms, 1.0, 600_000.0)?;
-            within("class.deadline_ms", c.deadline_ms, 50.0, 600_000.0)?;
-            within("class.worth", c.worth, 0.0, 1e6)?;
+            check_range("class.share", c.share, 0.0, 1.0)?;
+            check_range_pair("class.work_ms", c.work_ms, 0.01, 60_000.0)?;
+            check_range("class.aim_ms", c.aim_ms, 1.0, 600_000.0)?;
+            check_range("class.deadline_ms", c.deadline_ms, 50.0, 600_000.0)?;
+            check_range("class.worth", c.worth, 0.0, 1e6)?;
             let keyed = !matches!(c.repeat, Repeat::Safe | Repeat::Once);
-            within("class.window_ms", c.window_ms, if keyed { 1.0 } else { 0.0 }, 600_000.0)?;
-            span("class.units", c.units.map(f64::from), 1.0, 1e6)?;
+            check_range("class.window_ms", c.window_ms, if keyed { 1.0 } else { 0.0 }, 600_000.0)?;
+            check_range_pair("class.units", c.units.map(f64::from), 1.0, 1e6)?;
         }
         for p in &self.plans {
-            within("plan.share", p.share, 0.0, 1.0)?;
-            within("plan.rate", p.rate, 0.0, 1e9)?;
-            within("plan.burst", p.burst, if p.rate > 0.0 { 1.0 } else { 0.0 }, 1e9)?;
-            within("plan.price", p.price, 0.0, 1e6)?;
-            within("plan.open", p.open.into(), 0.0, 1e6)?;
-            within("plan.ceiling_rate", p.ceiling_rate, 0.0, 1e9)?;
-            within("plan.ceiling_burst", p.ceiling_burst, 0.0, 1e9)?;
-            within("plan.ceiling_slack", p.ceiling_slack, 0.0, 1e9)?;
+            check_range("plan.share", p.share, 0.0, 1.0)?;
+            check_range("plan.rate", p.rate, 0.0, 1e9)?;
+            check_range("plan.burst", p.burst, if p.rate > 0.0 { 1.0 } else { 0.0 }, 1e9)?;
+            check_range("plan.price", p.price, 0.0, 1e6)?;
+            check_range("plan.open", p.open.into(), 0.0, 1e6)?;
+            check_range("plan.ceiling_rate", p.ceiling_rate, 0.0, 1e9)?;
+            check_range("plan.ceiling_burst", p.ceiling_burst, 0.0, 1e9)?;
+            check_range("plan.ceiling_slack", p.ceiling_slack, 0.0, 1e9)?;
         }
-        let shares = |all: f64, what: &str| within(&format!("the sum of {what}"), all, 0.001, 1e6);
+        let shares = |all: f64, what: &str| check_range(&format!("the sum of {what}"), all, 0.001, 1e6);
         shares(s.kinds.iter().map(|k| k.share).sum(), "servers.kind.share")?;
         shares(self.classes.iter().map(|c| c.share).sum(), "class.share")?;
         shares(self.plans.iter().map(|p| p.share).sum(), "plan.share")?;
         let l = &self.load;
-        within("load.shops", l.shops.into(), 1.0, MAX_SHOPS.into())?;
-        within("load.rate", l.rate, 0.001, MAX_RATE)?;
-        within("load.zipf", l.zipf, 0.0, 4.0)?;
-        within("load.top", l.top, 0.0, 1.0)?;
-        within("load.once", l.once, 0.0, 1.0 - l.top)?;
-        within("load.retries", l.retries.into(), 0.0, 100.0)?;
-        within("load.uneven", l.uneven, 0.0, 1.0)?;
-        span("load.retry_ms", l.retry_ms, 0.0, 600_000.0)?;
-        span("network.hop_ms", self.network.hop_ms, 0.001, 10_000.0)?;
-        span("network.note_ms", self.network.note_ms, 0.001, 10_000.0)?;
-        within("network.note_loss", self.network.note_loss, 0.0, 1.0)?;
-        span("discovery.lag_ms", self.discovery.lag_ms, 0.0, 600_000.0)?;
-        within("discovery.drain_s", self.discovery.drain_s, 0.0, 600.0)?;
-        within("discovery.grace_ms", self.discovery.grace_ms, 0.0, 600_000.0)?;
-        within("discovery.known_s", self.discovery.known_s.unwrap_or(0.0), 0.0, MAX_SECONDS)?;
+        check_range("load.shops", l.shops.into(), 1.0, MAX_SHOPS.into())?;
+        check_range("load.rate", l.rate, 0.001, MAX_RATE)?;
+        check_range("load.zipf", l.zipf, 0.0, 4.0)?;
+        check_range("load.top", l.top, 0.0, 1.0)?;
+        check_range("load.once", l.once, 0.0, 1.0 - l.top)?;
+        check_range("load.retries", l.retries.into(), 0.0, 100.0)?;
+        check_range("load.uneven", l.uneven, 0.0, 1.0)?;
+        check_range_pair("load.retry_ms", l.retry_ms, 0.0, 600_000.0)?;
+        check_range_pair("network.hop_ms", self.network.hop_ms, 0.001, 10_000.0)?;
+        check_range_pair("network.note_ms", self.network.note_ms, 0.001, 10_000.0)?;
+        check_range("network.note_loss", self.network.note_loss, 0.0, 1.0)?;
+        check_range_pair("discovery.lag_ms", self.discovery.lag_ms, 0.0, 600_000.0)?;
+        check_range("discovery.drain_s", self.discovery.drain_s, 0.0, 600.0)?;
+        check_range("discovery.grace_ms", self.discovery.grace_ms, 0.0, 600_000.0)?;
+        check_range("discovery.known_s", self.discovery.known_s.unwrap_or(0.0), 0.0, MAX_SECONDS)?;
         for (field, all) in
             [("gatekeepers.zone_shares", &g.zone_shares), ("servers.zone_shares", &s.zone_shares)]
         {
@@ -666,30 +668,30 @@
                 ));
             }
             for share in all {
-                within(field, *share, 0.0, 1e6)?;
+                check_range(field, *share, 0.0, 1e6)?;
             }
             if !all.is_empty() {
-                within(&format!("the sum of {field}"), all.iter().sum(), 0.001, 1e6)?;
+                check_range(&format!("the sum of {field}"), all.iter().sum(), 0.001, 1e6)?;
             }
         }
         if let Some(z) = &self.zones {
-            within("zones.report_ms", z.report_ms, 20.0, 10_000.0)?;
-            span("zones.enter_ms", z.enter_ms, 0.0, 60_000.0)?;
-            within("zones.hold_ms", z.hold_ms, 1.0, 3.6e6)?;
-            within("zones.fade_ms", z.fade_ms, 0.0, 3.6e6)?;
-            within("zones.takeover_ms", z.takeover_ms, 0.0, 600_000.0)?;
+            check_range("zones.report_ms", z.report_ms, 20.0, 10_000.0)?;
+            check_range_pair("zones.enter_ms", z.enter_ms, 0.0, 60_000.0)?;
+            check_range("zones.hold_ms", z.hold_ms, 1.0, 3.6e6)?;
+            check_range("zones.fade_ms", z.fade_ms, 0.0, 3.6e6)?;
+            check_range("zones.takeover_ms", z.takeover_ms, 0.0, 600_000.0)?;
             z.judge.check().map_err(|e| format!("zones.judge.{e}"))?;
-            within("servers.zones", s.zones.into(), 1.0, frostvale_zones::MAX_ZONES as f64)?;
+            check_range("servers.zones", s.zones.into(), 1.0, frostvale_zones::MAX_ZONES as f64)?;
         }
         for f in &self.faults {
-            within("fault.zone", f.zone.into(), 0.0, f64::from(s.zones) - 1.0)?;
-            within("fault.at_s", f.at_s, 0.0, MAX_SECONDS)?;
-            within("fault.for_s", f.for_s, 0.0, MAX_SECONDS)?;
-            within("fault.part", f.part, 0.0, 1.0)?;
-            within("fault.times", f.times, 0.0, 1e6)?;
-            within("fault.count", f.count.into(), 1.0, 1000.0)?;
+            check_range("fault.zone", f.zone.into(), 0.0, f64::from(s.zones) - 1.0)?;
+            check_range("fault.at_s", f.at_s, 0.0, MAX_SECONDS)?;
+            check_range("fault.for_s", f.for_s, 0.0, MAX_SECONDS)?;
+            check_range("fault.part", f.part, 0.0, 1.0)?;
+            check_range("fault.times", f.times, 0.0, 1e6)?;
+            check_range("fault.count", f.count.into(), 1.0, 1000.0)?;
             if f.kind == FaultKind::Slow {
-                within("fault.times", f.times, 0.001, 1e6)?;
+                check_range("fault.times", f.times, 0.001, 1e6)?;
             }
         }
         let e = &self.expect;
@@ -701,17 +703,17 @@
             ("far_most", e.far_most),
         ];
         for (name, part) in parts {
-            within(&format!("expect.{name}"), part.unwrap_or(0.0), 0.0, 1.0)?;
+            check_range(&format!("expect.{name}"), part.unwrap_or(0.0), 0.0, 1.0)?;
         }
         for (name, most) in [("notes_most", e.notes_most), ("handshakes_most", e.handshakes_most)] {
-            within(&format!("expect.{name}"), most.unwrap_or(0.0), 0.0, 1e6)?;
+            check_range(&format!("expect.{name}"), most.unwrap_or(0.0), 0.0, 1e6)?;
         }
-        within("expect.decisions_most", e.decisions_most.unwrap_or(0.0), 0.0, 1e6)?;
-        within("expect.agreed_most_ms", e.agreed_most_ms.unwrap_or(0.0), 0.0, 3.6e6)?;
-        within("expect.after_s", e.after_s, 0.0, MAX_SECONDS)?;
-        within("expect.back_most_s", e.back_most_s.unwrap_or(0.0), 0.0, MAX_SECONDS)?;
+        check_range("expect.decisions_most", e.decisions_most.unwrap_or(0.0), 0.0, 1e6)?;
+        check_range("expect.agreed_most_ms", e.agreed_most_ms.unwrap_or(0.0), 0.0, 3.6e6)?;
+        check_range("expect.after_s", e.after_s, 0.0, MAX_SECONDS)?;
+        check_range("expect.back_most_s", e.back_most_s.unwrap_or(0.0), 0.0, MAX_SECONDS)?;
         for (name, most) in &self.expect.over_most {
-            within(&format!("expect.over_most.{name}"), *most, 0.0, 1.0)?;
+            check_range(&format!("expect.over_most.{name}"), *most, 0.0, 1.0)?;
             if !self.plans.iter().any(|p| p.name == *name) {
                 return Err(format!("expect.over_most.{name}: no plan has this name"));
             }
@@ -719,7 +721,7 @@
         Ok(())
     }
 
-    /// The classes as the decision module takes them.
+    /// The classes as settings of the decision module.
     #[must_use]
     pub fn module_classes(&self) -> Vec<Class> {
         let class = |c: &ClassOf| Class {
@@ -738,7 +740,7 @@
         self.classes.iter().map(class).collect()
     }
 
-    /// The plans as the decision module takes them.
+    /// The plans as settings of the decision module.
     #[must_use]
     pub fn module_plans(&self) -> Vec<Plan> {
         let plan = |p: &PlanOf| Plan {
@@ -760,7 +762,7 @@
     use super::*;
 
     #[test]
-    fn what_is_wrong_is_named_with_what_it_may_be() {
+    fn invalid_values_are_reported_with_field_and_range() {
         for (text, wanted) in [
             ("name = \"x\"\nseconds = 0", "seconds is 0, it may be 0.1 to 3600"),
             ("name = \"x\"\nseconds = nan", "seconds is NaN"),
@@ -792,13 +794,13 @@
             ),
             ("name = \"x\"\nseconds = 1\n[expect.over_most]\nnobody = 0.1", "no plan has this name"),
         ] {
-            let said = Scenario::parse(text).expect_err(text);
-            assert!(said.contains(wanted) && !said.contains('\n'), "{said}");
+            let error = Scenario::parse(text).expect_err(text);
+            assert!(error.contains(wanted) && !error.contains('\n'), "{error}");
         }
     }
 
     #[test]
-    fn a_scenario_that_is_written_reads_the_same() {
+    fn written_scenario_parses_to_the_same_scenario() {
         let mut one = Scenario::default();
         one.faults.push(Fault {
             kind: FaultKind::KillKeeper,
