--- a/crates/sim/src/formula_server.rs
+++ b/crates/sim/src/formula_server.rs
@@ -1,23 +1,23 @@
-//! A formula server: cores that work on requests in the order they came, a queue, a cold start, and the ways it is sick.
+//! A simulated formula server: cores that work on requests in order of arrival, a queue, slow start, and faults.
 
 use frostvale::{AttemptOutcome, Name};
 use std::collections::VecDeque;
 
-/// What is wrong with a server.
+/// The fault of a server.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) enum ServerFault {
     No,
-    /// So many times slower.
+    /// Slower by this factor.
     Slow(f64),
-    /// Errors, in no time.
+    /// Answers with errors immediately.
     Errors,
-    /// Takes requests and says nothing.
+    /// Accepts requests but does not answer.
     Silent,
-    /// Connections are refused.
+    /// Refuses connections.
     Dead,
 }
 
-/// A request at a server.
+/// An attempt at a server.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Job {
     pub id: u64,
@@ -26,22 +26,23 @@
     pub work: f64,
 }
 
-/// What becomes of a request that has come whole to a server.
+/// What a server does with a request that it has received.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) enum JobAdmission {
-    /// It is begun, and done after so many ms.
+    /// A core starts it, and completes it after this time in ms.
     Begun(f64),
-    /// It waits.
+    /// It waits in the queue.
     Waits,
-    /// It is answered so after so many ms.
+    /// It is answered with this outcome after this time in ms.
     Answered(AttemptOutcome, f64),
-    /// Nothing comes of it.
+    /// It is never answered.
     Nothing,
 }
 
-/// An answer without work takes so many ms.
+/// Time in ms of an answer without work.
 pub(crate) const ERROR_MS: f64 = 0.3;
 
+/// The state of one formula server.
 pub(crate) struct FormulaServer {
     pub name: Name,
     pub zone: u32,
@@ -49,34 +50,37 @@
     pub kind: u32,
     pub cores: u32,
     pub speed: f64,
-    /// When it started; 0 is long ago.
+    /// Start of its process in ms; 0 means long before the run.
     pub since: f64,
-    pub sick: ServerFault,
-    /// Whether it has fallen over.
+    pub fault: ServerFault,
+    /// Whether it failed because of overload in slow start.
     pub fallen: bool,
-    /// Its life: what a former one had is gone.
+    /// Incarnation; the jobs of an earlier one are lost.
     pub life: u32,
-    pub queue_most: usize,
+    pub max_queue: usize,
     pub working: Vec<Job>,
     pub waiting: VecDeque<Job>,
-    /// Work that came within the last second while it was cold: when, and how much.
+    /// Work received within the last second of slow start: time of arrival and ms of work.
     recent: VecDeque<(f64, f64)>,
     recent_work: f64,
-    /// What came within a second as a part of what pushes it over, with the last request and at the most; 0 while warm.
+    /// Work received within the last second as a share of the overload limit, at the last request; 0 after slow start.
     pub cold_load: f64,
-    /// See `cold_load`.
-    pub cold_most: f64,
-    /// Attempts it was sent, and the ms its cores worked.
+    /// The maximum of `cold_load`.
+    pub max_cold_load: f64,
+    /// Number of attempts it received.
     pub attempts: u64,
+    /// Sum of its cores' work in ms.
     pub worked: f64,
 }
 
-/// How a cold start goes.
+/// Settings of the slow start.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct SlowStart {
+    /// Share of the capacity at the start.
     pub from: f64,
+    /// Time in ms to full capacity.
     pub warm_ms: f64,
-    /// More than so many times what it can do, within a second, and it falls over.
+    /// A server that receives more than this multiple of its present capacity within a second fails.
     pub times: f64,
 }
 
@@ -87,7 +91,7 @@
         kind: u32,
         cores: u32,
         speed: f64,
-        queue_most: usize,
+        max_queue: usize,
     ) -> FormulaServer {
         FormulaServer {
             name,
@@ -97,50 +101,58 @@
             cores,
             speed,
             since: 0.0,
-            sick: ServerFault::No,
+            fault: ServerFault::No,
             fallen: false,
             life: 0,
-            queue_most,
+            max_queue,
             working: Vec::new(),
             waiting: VecDeque::new(),
             recent: VecDeque::new(),
             recent_work: 0.0,
             cold_load: 0.0,
-            cold_most: 0.0,
+            max_cold_load: 0.0,
             attempts: 0,
             worked: 0.0,
         }
     }
 
-    /// The part of its capacity that it has by now.
-    pub fn warmth(&self, now: f64, cold: &SlowStart) -> f64 {
-        if self.since <= 0.0 || cold.warm_ms <= 0.0 {
+    /// The share of its capacity that it has at this time.
+    pub fn warmth(&self, now: f64, slow_start: &SlowStart) -> f64 {
+        if self.since <= 0.0 || slow_start.warm_ms <= 0.0 {
             return 1.0;
         }
-        cold.from + (1.0 - cold.from) * ((now - self.since) / cold.warm_ms).clamp(0.0, 1.0)
+        slow_start.from + (1.0 - slow_start.from) * ((now - self.since) / slow_start.warm_ms).clamp(0.0, 1.0)
     }
 
     pub fn is_up(&self) -> bool {
-        !self.fallen && self.sick != ServerFault::Dead
+        !self.fallen && self.fault != ServerFault::Dead
     }
 
+    /// Number of jobs in work and in the queue.
     pub fn in_flight(&self) -> usize {
         self.working.len() + self.waiting.len()
     }
 
-    fn time(&self, work: f64, now: f64, cold: &SlowStart) -> f64 {
-        let slower = if let ServerFault::Slow(times) = self.sick { times } else { 1.0 };
-        work * slower / (self.speed * self.warmth(now, cold))
+    /// Time in ms that a core takes for this work now.
+    fn service_time(&self, work: f64, now: f64, slow_start: &SlowStart) -> f64 {
+        let slower = if let ServerFault::Slow(times) = self.fault { times } else { 1.0 };
+        work * slower / (self.speed * self.warmth(now, slow_start))
     }
 
-    /// A request's last byte has come. `again`: its key is remembered, so it is answered and not done. Gives what
-    /// becomes of it, and whether the server was pushed over by it.
-    pub fn accept(&mut self, job: Job, again: bool, now: f64, cold: &SlowStart) -> (JobAdmission, bool) {
+    /// Accepts a request that is received whole. With `is_duplicate`, its key is known, so it is answered and not run.
+    /// Returns what the server does with it, and whether it overloaded the server.
+    pub fn accept(
+        &mut self,
+        job: Job,
+        is_duplicate: bool,
+        now: f64,
+        slow_start: &SlowStart,
+    ) -> (JobAdmission, bool) {
         self.attempts += 1;
-        let warmth = self.warmth(now, cold);
+        let warmth = self.warmth(now, slow_start);
         self.cold_load = 0.0;
         if warmth < 1.0 {
-            // What was sent counts, whatever comes of it.
+            // All received work counts, whatever the server does with it.
             self.recent.push_back((now, job.work));
             self.recent_work += job.work;
             while self.recent.front().is_some_and(|(at, _)| now - at > 1000.0) {
@@ -148,21 +160,23 @@
             }
             let can = 1000.0 * f64::from(self.cores) * self.speed * warmth;
             if self.recent.len() > 1 {
-                self.cold_load = (self.recent_work - job.work) / (cold.times * can);
-                self.cold_most = self.cold_most.max(self.cold_load);
+                self.cold_load = (self.recent_work - job.work) / (slow_start.times * can);
+                self.max_cold_load = self.max_cold_load.max(self.cold_load);
             }
-            // One request that is already more than that by itself is nobody's fault.
-            if self.recent.len() > 1 && self.recent_work - job.work > cold.times * can {
+            // A single request that exceeds the limit by itself does not count as overload.
+            if self.recent.len() > 1 && self.recent_work - job.work > slow_start.times * can {
                 self.fallen = true;
                 return (JobAdmission::Nothing, true);
             }
         }
-        let taken = match self.sick {
+        let taken = match self.fault {
             ServerFault::Silent | ServerFault::Dead => JobAdmission::Nothing,
             ServerFault::Errors => JobAdmission::Answered(AttemptOutcome::Error, ERROR_MS),
-            _ if again => JobAdmission::Answered(AttemptOutcome::Ok, ERROR_MS),
-            _ if self.working.len() < self.cores as usize => JobAdmission::Begun(self.begin(job, now, cold)),
-            _ if self.waiting.len() < self.queue_most => {
+            _ if is_duplicate => JobAdmission::Answered(AttemptOutcome::Ok, ERROR_MS),
+            _ if self.working.len() < self.cores as usize => {
+                JobAdmission::Begun(self.begin(job, now, slow_start))
+            }
+            _ if self.waiting.len() < self.max_queue => {
                 self.waiting.push_back(job);
                 JobAdmission::Waits
             }
@@ -171,24 +185,31 @@
         (taken, false)
     }
 
-    fn begin(&mut self, job: Job, now: f64, cold: &SlowStart) -> f64 {
-        let ms = self.time(job.work, now, cold);
+    /// Starts a job on a core; returns the ms that it takes.
+    fn begin(&mut self, job: Job, now: f64, slow_start: &SlowStart) -> f64 {
+        let ms = self.service_time(job.work, now, slow_start);
         self.worked += ms;
         self.working.push(job);
         ms
     }
 
-    /// A request is done; gives the next one and how long it takes.
-    pub fn complete(&mut self, id: u64, attempt: u32, now: f64, cold: &SlowStart) -> Option<(Job, f64)> {
+    /// Completes a job. Returns the next one from the queue and the ms that it takes.
+    pub fn complete(
+        &mut self,
+        id: u64,
+        attempt: u32,
+        now: f64,
+        slow_start: &SlowStart,
+    ) -> Option<(Job, f64)> {
         if let Some(at) = self.working.iter().position(|j| (j.id, j.attempt) == (id, attempt)) {
             self.working.swap_remove(at);
         }
         let next = self.waiting.pop_front()?;
-        let ms = self.begin(next, now, cold);
+        let ms = self.begin(next, now, slow_start);
         Some((next, ms))
     }
 
-    /// This life ends; gives what it had in hand.
+    /// Ends this incarnation and returns its unfinished jobs.
     pub fn stop(&mut self) -> Vec<Job> {
         self.life += 1;
         self.recent.clear();
@@ -212,7 +233,7 @@
     }
 
     #[test]
-    fn cores_then_the_queue_then_full_and_the_next_begins_when_one_is_done() {
+    fn accept_fills_cores_then_queue_then_answers_full_and_complete_starts_the_next() {
         let mut s = server();
         let mut take = |id| s.accept(job(id), false, 0.0, &COLD).0;
         assert_eq!(
@@ -230,11 +251,11 @@
     }
 
     #[test]
-    fn a_cold_one_is_slow_and_falls_over_past_twice_what_it_can_do() {
+    fn server_in_slow_start_is_slow_and_fails_past_twice_its_capacity() {
         let mut s = server();
         s.since = 1.0;
         assert_eq!(s.accept(job(0), false, 1.0, &COLD).0, JobAdmission::Begun(400.0));
-        // 500 ms of work a second is all it can do; it bears 1,000 and the one that passes them.
+        // Its capacity is 500 ms of work per second; it tolerates 1,000 and the request that exceeds them.
         let over = (1..20).find(|k| s.accept(job(*k), false, 1.0, &COLD).1);
         assert_eq!(over, Some(11));
         assert!(!s.is_up());
--- a/crates/sim/src/report_page.rs
+++ b/crates/sim/src/report_page.rs
@@ -1,11 +1,11 @@
-//! Reports on runs: text for a terminal, and one HTML page with plots.
+//! Formats reports of runs: text for a terminal, and an HTML page with plots.
 
 use crate::herd_detection::{Herd, HerdAction};
 use crate::stats::{Report, Second};
 use frostvale_charts::{self as charts, AMBER, BLUE, GREEN, PURPLE, RED};
 use std::fmt::Write;
 
-/// One line on a run.
+/// Formats a run as one line.
 #[must_use]
 pub fn line(r: &Report) -> String {
     let verdict = match (&r.broken, r.missed.first()) {
@@ -19,14 +19,14 @@
     )
 }
 
-/// A herd as a line.
+/// Formats a herd as one line.
 fn herd(h: &Herd) -> String {
     let target = if h.act == HerdAction::List { String::new() } else { format!(" {}", h.target) };
     let (at, many) = (h.at_ms as f64 / 1000.0, h.gatekeepers);
     format!("{many} gatekeepers {}{target} ({} times) in the 100 ms from {at:.1} s", h.act.name(), h.times)
 }
 
-/// A run as text.
+/// Formats a run as text of several lines.
 #[must_use]
 pub fn text(r: &Report) -> String {
     let mut out = line(r);
@@ -106,10 +106,10 @@
     out
 }
 
-/// A page on runs of any number of scenarios and seeds: all as text, the first of each scenario with plots.
+/// Formats runs of any scenarios and seeds as an HTML page: all as text, and the first of each scenario with plots.
 ///
 /// # Errors
-/// When a plot can't be drawn.
+/// Returns an error if a plot can't be drawn.
 pub fn html(reports: &[Report]) -> Result<String, String> {
     let mut body = String::new();
     let mut seen: Vec<&str> = Vec::new();
@@ -130,6 +130,7 @@
     Ok(charts::page("frostvale: simulated days", &text, &body, &json))
 }
 
+/// The plots of a run, as SVG.
 fn plots(r: &Report) -> Result<String, String> {
     let of = |value: &dyn Fn(&Second) -> f64| charts::seconds(r.seconds.iter().map(value));
     let part = |a: f64, b: f64| if b > 0.0 { a / b } else { 0.0 };
@@ -186,7 +187,7 @@
     Ok(svg)
 }
 
-/// Traffic by zone, from and to, with the decisions as steps.
+/// Plots of the attempts by zone, local and from other zones, and of the decisions as steps; empty without other zones.
 fn zones(r: &Report) -> Result<String, String> {
     let mut pairs: Vec<(u32, u32)> = r.ways.iter().flatten().map(|(f, t, _)| (*f, *t)).collect();
     pairs.sort_unstable();
@@ -224,9 +225,9 @@
         };
         let steps = charts::seconds((0..r.seconds.len()).map(version));
         svg += &charts::plot("decisions on zones", ("seconds", "version"), &[("version", PURPLE, steps)])?;
-        let told: Vec<String> =
+        let decisions: Vec<String> =
             r.decisions.iter().map(|(at, what)| format!("{:.1} s: {what}", at / 1000.0)).collect();
-        svg += &format!("<pre>{}</pre>\n", charts::escape(&told.join("\n")));
+        svg += &format!("<pre>{}</pre>\n", charts::escape(&decisions.join("\n")));
     }
     Ok(svg)
 }
--- a/crates/sim/src/shop_population.rs
+++ b/crates/sim/src/shop_population.rs
@@ -1,4 +1,5 @@
-//! Shops: who asks, on which plan, by which gatekeepers. The k-th shop asks 1 / k^S of what the first does.
+//! The population of shops: their plans, their sets of gatekeepers, and the choice of the shop for each request. The k-th
+//! shop sends 1 / k^S as many requests as the first (a Zipf distribution).
 
 use crate::scenario::{Load, Scenario};
 use frostvale::{Name, quota_owner_of};
@@ -6,13 +7,13 @@
 use rand_distr::{Distribution, Zipf};
 use rand_pcg::Pcg64Mcg;
 
-/// The busiest gatekeeper of a shop changes so often, in ms.
-const BUSY_MS: f64 = 15_000.0;
+/// Interval in ms at which a shop's preferred gatekeeper changes.
+const PREFERENCE_INTERVAL_MS: f64 = 15_000.0;
 
-/// A shop, as one of its requests needs it.
+/// The properties of a shop that a request needs.
 #[derive(Debug, Clone)]
 pub(crate) struct Shop {
-    /// Its number; those that come once have numbers past all others.
+    /// Index of the shop; shops with a single request have indices above all others.
     pub number: u64,
     pub name: Name,
     pub plan: usize,
@@ -20,20 +21,22 @@
     pub spread: u32,
 }
 
+/// All shops of a run.
 pub(crate) struct ShopPopulation {
     load: Load,
     gatekeepers: u32,
     spread: [u32; 2],
     zipf: Option<Zipf<f64>>,
     names: Vec<Option<Name>>,
-    /// Up to which rank shops have a plan.
+    /// The plans as pairs of the last rank and the index of the plan, in ascending order of rank.
     plans: Vec<(u32, usize)>,
+    /// Number of shops with a single request so far.
     singles: u64,
     seed: u64,
 }
 
-/// A number that depends on a shop alone (SplitMix64's finish).
-fn mixed(seed: u64, x: u64) -> u64 {
+/// Hash of a seed and a number (the finalizer of SplitMix64).
+fn hash(seed: u64, x: u64) -> u64 {
     let mut z = seed ^ x.wrapping_mul(0x9e37_79b9_7f4a_7c15);
     z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     z = (z ^ (z >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
@@ -70,35 +73,35 @@
         }
     }
 
-    /// Shops with a number of their own: those that come again.
+    /// Number of shops that send requests repeatedly, with the additional shop.
     pub fn count(&self) -> usize {
         self.names.len()
     }
 
-    /// Whose the next request is.
+    /// Chooses the shop of the next request.
     pub fn sample(&mut self, rng: &mut Pcg64Mcg) -> Shop {
-        let lot = rng.random::<f64>();
-        if lot < self.load.once {
+        let draw = rng.random::<f64>();
+        if draw < self.load.once {
             self.singles += 1;
             return self.shop(self.names.len() as u64 + self.singles);
         }
-        if lot > 1.0 - self.load.top {
+        if draw > 1.0 - self.load.top {
             return self.busiest();
         }
         let rank = self.zipf.as_ref().map_or(1.0, |z| z.sample(rng));
         self.shop(rank as u64)
     }
 
-    /// The one that asks most.
+    /// The shop with the most requests.
     pub fn busiest(&mut self) -> Shop {
         self.shop(u64::from(self.load.top <= 0.0))
     }
 
-    /// Ranks begin with 1; 0 is the one shop more.
+    /// The shop with this index. Ranks begin with 1; 0 is the additional shop of `load.top`.
     fn shop(&mut self, number: u64) -> Shop {
         let known = self.names.get(number as usize).cloned().flatten();
         let name = known.unwrap_or_else(|| {
-            let name: Name = format!("{:016x}", mixed(self.seed, number) & 0x1_ffff_ffff).as_str().into();
+            let name: Name = format!("{:016x}", hash(self.seed, number) & 0x1_ffff_ffff).as_str().into();
             if let Some(place) = self.names.get_mut(number as usize) {
                 *place = Some(name.clone());
             }
@@ -106,30 +109,30 @@
         });
         let rank = if number < self.names.len() as u64 { number as u32 } else { u32::MAX };
         let plan = self.plans.iter().find(|(upto, _)| rank <= *upto).or(self.plans.last());
-        let lots = mixed(self.seed.rotate_left(17), number);
-        let [least, most] = self.spread;
+        let bits = hash(self.seed.rotate_left(17), number);
+        let [min_spread, max_spread] = self.spread;
         Shop {
             number,
             name,
             plan: plan.map_or(0, |p| p.1),
-            first: (lots % u64::from(self.gatekeepers)) as u32,
-            spread: least + ((lots >> 32) % u64::from(most - least + 1)) as u32,
+            first: (bits % u64::from(self.gatekeepers)) as u32,
+            spread: min_spread + ((bits >> 32) % u64::from(max_spread - min_spread + 1)) as u32,
         }
     }
 
-    /// The gatekeeper that the front deals a request to.
+    /// Chooses the gatekeeper that the load balancer sends a request to.
     pub fn pick_gatekeeper(&self, shop: &Shop, now: f64, rng: &mut Pcg64Mcg) -> u32 {
-        let busy = mixed(shop.number, (now / BUSY_MS) as u64) % u64::from(shop.spread);
+        let preferred = hash(shop.number, (now / PREFERENCE_INTERVAL_MS) as u64) % u64::from(shop.spread);
         let which = if rng.random::<f64>() < self.load.uneven {
-            busy as u32
+            preferred as u32
         } else {
             rng.random_range(0..shop.spread)
         };
         (shop.first + which) % self.gatekeepers
     }
 
-    /// The gatekeeper that keeps the busiest shop's store.
-    pub fn keeper_of_busiest(&mut self) -> u32 {
+    /// The quota owner of the busiest shop.
+    pub fn quota_owner_of_busiest(&mut self) -> u32 {
         let shop = self.busiest();
         quota_owner_of(&shop.name, shop.first, shop.spread, self.gatekeepers)
     }
@@ -142,7 +145,7 @@
     use std::collections::BTreeMap;
 
     #[test]
-    fn shops_are_as_busy_as_said_and_the_busiest_are_on_the_largest_plans() {
+    fn request_shares_follow_the_load_and_the_busiest_shops_have_the_largest_plans() {
         let mut scenario = Scenario::default();
         (scenario.load.zipf, scenario.load.top, scenario.load.once) = (1.0, 0.3, 0.1);
         let mut shops = ShopPopulation::new(&scenario, 5);
--- a/crates/sim/src/shrink.rs
+++ b/crates/sim/src/shrink.rs
@@ -1,59 +1,59 @@
-//! Makes a scenario that fails as small as it will get while it still fails in the same way: shorter, with fewer faults,
-//! shops, servers and gatekeepers, on any of a few seeds.
+//! Shrinks a failing scenario while it still fails in the same way with one of a few seeds: a shorter time, and fewer
+//! faults, shops, servers and gatekeepers.
 
 use crate::scenario::Scenario;
 use crate::stats::Report;
 use crate::world::{ModuleFactory, run};
 
-/// So many runs at the most.
+/// Maximum number of runs.
 pub const MAX_RUNS: usize = 400;
-/// Each candidate is tried on so many seeds from the failing one on.
-const SEEDS: u64 = 3;
+/// Number of seeds tried for each candidate, from the failing one on.
+const SEEDS_PER_CANDIDATE: u64 = 3;
 
-/// How a run failed: a rule's name, or the name of what was expected.
+/// How a run failed: the name of the violated rule, or the key of the missed expectation; `None` if it did not fail.
 #[must_use]
 pub fn failure(report: &Report) -> Option<String> {
     let missed = || report.missed.first().and_then(|m| m.split(':').next()).map(String::from);
     report.broken.as_ref().map(|b| b.rule.clone()).or_else(missed)
 }
 
-/// A smaller scenario and the seed with which it fails, and how many runs that took.
+/// The result of shrinking.
 #[derive(Debug, Clone)]
 pub struct Shrunk {
-    /// The scenario.
+    /// The smaller scenario.
     pub scenario: Scenario,
-    /// The seed.
+    /// The seed with which it fails.
     pub seed: u64,
-    /// What fails.
+    /// The rule or expectation that fails; see [`failure`].
     pub failure: String,
-    /// Runs that were made.
+    /// Number of runs made.
     pub runs: usize,
 }
 
 /// Shrinks a scenario that fails with this seed.
 ///
 /// # Errors
-/// When it does not fail with it, or can't be run.
+/// Returns an error if the scenario does not fail with the seed, or can't be run.
 pub fn shrink(scenario: &Scenario, seed: u64, make: ModuleFactory<'_>) -> Result<Shrunk, String> {
     let first = run(scenario, seed, make)?;
     let failure_ = failure(&first).ok_or_else(|| format!("nothing fails with seed {seed}"))?;
     let mut best = Shrunk { scenario: scenario.clone(), seed, failure: failure_, runs: 1 };
     if let Some(broken) = &first.broken {
-        // What comes after the break can't matter; a simpler day may break a little later.
+        // What follows the violation has no influence; a simpler scenario may fail a little later.
         let end = 1.5 * broken.at / 1000.0 + 2.0;
         best.scenario.seconds = best.scenario.seconds.min(end);
     }
-    let mut again = true;
-    while again && best.runs < MAX_RUNS {
-        again = false;
-        // Each step that works is taken again before the next kind is tried.
+    let mut has_progress = true;
+    while has_progress && best.runs < MAX_RUNS {
+        has_progress = false;
+        // A reduction that succeeds is repeated before the next one is tried.
         let mut which = 0;
         while let Some(candidate) = candidates(&best.scenario).into_iter().nth(which) {
             if best.runs >= MAX_RUNS {
                 break;
             }
             match fails(&candidate, &mut best, make) {
-                Some(seed) => (best.scenario, best.seed, again) = (candidate, seed, true),
+                Some(seed) => (best.scenario, best.seed, has_progress) = (candidate, seed, true),
                 None => which += 1,
             }
         }
@@ -61,12 +61,12 @@
     Ok(best)
 }
 
-/// The seed with which a candidate fails in the same way.
+/// The seed with which a candidate fails in the same way, if there is one.
 fn fails(candidate: &Scenario, best: &mut Shrunk, make: ModuleFactory<'_>) -> Option<u64> {
     if candidate.check().is_err() || *candidate == best.scenario {
         return None;
     }
-    for seed in best.seed..best.seed + SEEDS {
+    for seed in best.seed..best.seed + SEEDS_PER_CANDIDATE {
         best.runs += 1;
         let same = run(candidate, seed, make).is_ok_and(|r| failure(&r).as_ref() == Some(&best.failure));
         if same {
@@ -76,13 +76,14 @@
     None
 }
 
+/// A copy of a scenario with a change.
 fn changed(scenario: &Scenario, change: impl FnOnce(&mut Scenario)) -> Scenario {
     let mut s = scenario.clone();
     change(&mut s);
     s
 }
 
-/// Simpler scenarios, the largest steps first.
+/// Simpler scenarios, in descending order of the reduction.
 fn candidates(s: &Scenario) -> Vec<Scenario> {
     let mut all = Vec::new();
     for k in 0..s.faults.len() {
@@ -90,7 +91,7 @@
             s.faults.remove(k);
         }));
     }
-    // A quarter may fail by none of the seeds where fewer still do, or half.
+    // A quarter of the shops may fail with none of the seeds where a half, or still fewer shops, do.
     for shops in [s.load.shops / 4, s.load.shops / 2, 4.min(s.load.shops), s.load.shops.saturating_sub(1)] {
         all.push(changed(s, |s| s.load.shops = shops.max(1)));
     }
@@ -99,7 +100,7 @@
         s.gatekeepers.count = (s.gatekeepers.count / 2).max(1);
         s.gatekeepers.spread = s.gatekeepers.spread.map(|n| n.min(s.gatekeepers.count));
     }));
-    // Less time or load leaves a failure fewer chances: what is large goes first.
+    // Less time or load makes a failure less likely, so the large parts are reduced first.
     all.push(changed(s, |s| s.seconds = (s.seconds / 2.0).max(0.1)));
     all.push(changed(s, |s| s.load.rate /= 2.0));
     all.push(changed(s, |s| (s.load.once, s.load.top) = (0.0, 0.0)));
--- a/crates/sim/src/stats.rs
+++ b/crates/sim/src/stats.rs
@@ -1,4 +1,4 @@
-//! What a run comes to: by plan, by second, by server.
+//! Statistics of a run: totals, and sums by plan, by second and by server.
 
 use crate::herd_detection::Herd;
 use crate::oracle::Violation;
@@ -6,36 +6,36 @@
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
 
-/// What came of a plan's requests. Client's tries of one request are counted once, but for `tries`.
+/// The results of a plan's requests. All tries of a request count once, except in `tries`.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct PlanSums {
-    /// The plan.
+    /// The plan's name.
     pub name: String,
-    /// Requests, and those inside the quota when they were asked.
+    /// Number of requests.
     pub asked: u64,
-    /// See `asked`.
+    /// Number of requests within the quota when they were made.
     pub inside: u64,
-    /// Tries, with the clients' own retries.
+    /// Number of tries, including the clients' retries.
     pub tries: u64,
-    /// Requests served within their aim, and those of them that were inside.
+    /// Number of requests served within their target latency.
     pub in_time: u64,
-    /// See `in_time`.
+    /// Number of them within the quota.
     pub inside_in_time: u64,
-    /// Requests served later, and those never served.
+    /// Number of requests served later.
     pub late: u64,
-    /// See `late`.
+    /// Number of requests never served.
     pub unserved: u64,
-    /// Answers "come again" and "failed".
+    /// Number of refusals.
     pub refusals: u64,
-    /// See `refusals`.
+    /// Number of failures.
     pub failures: u64,
-    /// Units passed, and those of them beyond the quota over all gatekeepers together.
+    /// Units passed.
     pub units: f64,
-    /// See `units`.
+    /// Units passed beyond the quota, over all gatekeepers together.
     pub over: f64,
-    /// The most that one shop passed beyond its quota, as a part of what it passed.
+    /// Maximum over the shops of the share of units passed beyond the quota, for shops with more than 20 units.
     pub worst_shop: f64,
-    /// The most units that one shop passed beyond its quota.
+    /// Maximum over the shops of the units passed beyond the quota.
     pub worst_over: f64,
     #[serde(skip)]
     worth: f64,
@@ -43,160 +43,162 @@
     worth_in_time: f64,
 }
 
-/// One second.
+/// The results of one second.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct Second {
-    /// Tries that came in, and those of them that are a client's own retry.
+    /// Number of tries that arrived.
     pub tries: u64,
-    /// See `tries`.
+    /// Number of them that are a client's retry.
     pub retries: u64,
-    /// Final answers.
+    /// Number of requests served.
     pub served: u64,
-    /// Final answers.
+    /// Number of refusals.
     pub refused: u64,
-    /// Final answers.
+    /// Number of failures.
     pub failed: u64,
-    /// Requests asked inside quotas, and those of them served in time, whenever that was.
+    /// Number of requests made within quotas.
     pub inside: u64,
-    /// See `inside`.
+    /// Number of them served in time, in this second or later.
     pub inside_in_time: u64,
-    /// Units passed, and beyond quotas.
+    /// Units passed.
     pub units: f64,
-    /// See `units`.
+    /// Units passed beyond quotas.
     pub over: f64,
-    /// Notes sent.
+    /// Number of peer messages sent.
     pub notes: u64,
-    /// Attempts sent to servers.
+    /// Number of attempts sent to servers.
     pub attempts: u64,
-    /// Connections that came up.
+    /// Number of connections opened.
     #[serde(default)]
     pub handshakes: u64,
-    /// Connections that servers turned away at their caps.
+    /// Number of connections rejected by servers at their limits.
     #[serde(default)]
     pub turned_away: u64,
-    /// Whole lists asked for.
+    /// Number of requests for the complete list.
     #[serde(default)]
     pub lists: u64,
-    /// The most that was sent to a cold server within a second, as a part of what pushes it over.
+    /// Maximum load of a server in slow start within a second, as a share of its overload limit.
     #[serde(default)]
     pub cold: f64,
 }
 
-/// A server at the end.
+/// The results of a server.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ServerSums {
-    /// Attempts it was sent.
+    /// Number of attempts it received.
     pub attempts: u64,
-    /// The part of its cores' time that they worked.
+    /// Share of its cores' time spent working.
     pub busy: f64,
-    /// Whether it fell over.
+    /// Whether it failed because of overload in slow start.
     pub fallen: bool,
-    /// The most that it was sent within a second while it was cold, as a part of what pushes it over.
+    /// Maximum load within a second of slow start, as a share of its overload limit.
     #[serde(default)]
     pub cold_load: f64,
 }
 
-/// What a run came to. The same scenario and seed give the same bytes.
+/// The report of a run. The same scenario and seed give the same bytes.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Report {
     /// The scenario's name.
     pub scenario: String,
     /// The seed.
     pub seed: u64,
-    /// The first rule that was broken, if any was.
+    /// The first violation of a rule, if there was one.
     pub broken: Option<Violation>,
-    /// What was expected beside the rules and did not hold.
+    /// The expectations that were not met.
     pub missed: Vec<String>,
-    /// Of the worth that was asked inside quotas, the part that was served in time.
+    /// Share of the worth requested within quotas that was served in time.
     pub served: f64,
-    /// Units beyond quotas as a part of units passed.
+    /// Share of the passed units that exceeds quotas.
     pub over: f64,
-    /// The most that any ceiling's slack was used: 1 is the limit.
+    /// The largest share of its slack that any ceiling used; 1 is the limit.
     pub ceiling_used: f64,
-    /// Notes sent for a request, bytes in one on average, and the part that was lost by any cause.
+    /// Peer messages per try.
     pub notes: f64,
-    /// See `notes`.
+    /// Mean size of a peer message in bytes.
     pub note_bytes: f64,
-    /// See `notes`.
+    /// Share of the peer messages that was lost, for any cause.
     pub notes_lost: f64,
-    /// The most notes that one gatekeeper was sent in one second.
+    /// Maximum number of peer messages sent to one gatekeeper in one second.
     pub notes_peak: u64,
-    /// Attempts for a request.
+    /// Attempts per try.
     pub attempts: f64,
-    /// Connections that came up, and those turned away at a server's cap, for a request.
+    /// Connections opened, per try.
     #[serde(default)]
     pub handshakes: f64,
-    /// See `handshakes`.
+    /// Connections rejected by servers at their limits, per try.
     #[serde(default)]
     pub turned_away: f64,
-    /// Whole lists asked for, for a request.
+    /// Requests for the complete list, per try.
     #[serde(default)]
     pub lists: f64,
-    /// From the first fault on until three seconds on end are served as 95% of the seconds before it were, in seconds.
+    /// Seconds from the first fault to recovery: three consecutive seconds with at least 95% of the earlier share served
+    /// in time.
     #[serde(default)]
     pub back_s: Option<f64>,
-    /// Who did the same thing in the same 100 ms, the largest of each kind.
+    /// Gatekeepers that did the same thing in the same 100 ms, the largest groups of each kind.
     #[serde(default)]
     pub herds: Vec<Herd>,
-    /// The part of attempts that went to servers a fault had hit, while it lasted.
+    /// Share of the attempts that went to servers hit by a fault, while it lasted.
     pub sick: f64,
-    /// Served answers' time, in ms.
+    /// Latency of served tries in ms.
     pub ms: Percentiles,
-    /// The part of attempts that left their gatekeeper's zone, over all and by second and pair of zones: from, to and how
-    /// many.
+    /// Share of the attempts that left their gatekeeper's zone.
     #[serde(default)]
     pub far: f64,
-    /// See `far`.
+    /// By second, the attempts of each pair of zones: from, to and count.
     #[serde(default)]
     pub ways: Vec<Vec<(u32, u32, u64)>>,
-    /// Decisions on zones: when, in ms, and what.
+    /// Decisions on zones: time in ms, and a summary.
     #[serde(default)]
     pub decisions: Vec<(f64, String)>,
-    /// From the first fault by place until all that could be reached acted on a decision made after it, in ms.
+    /// Time in ms from the first zone fault until all reachable gatekeepers applied a decision made after it.
     #[serde(default)]
     pub agreed_ms: Option<f64>,
-    /// Events that the decision modules handled.
+    /// Number of events that the decision modules handled.
     pub events: u64,
-    /// By plan.
+    /// Results by plan.
     pub plans: Vec<PlanSums>,
-    /// By second.
+    /// Results by second.
     pub seconds: Vec<Second>,
-    /// By server, in the order in which they came.
+    /// Results by server, in the order of their creation.
     pub servers: Vec<ServerSums>,
 }
 
-/// Times, in ms.
+/// Percentiles of latency in ms.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct Percentiles {
-    /// Half are below.
+    /// Median.
     pub p50: f64,
-    /// 99 in 100 are.
+    /// 99th percentile.
     pub p99: f64,
-    /// The longest.
+    /// Maximum.
     pub max: f64,
 }
 
 impl Report {
-    /// Whether all that was looked at held.
+    /// Whether all rules were kept and all expectations met.
     #[must_use]
     pub fn held(&self) -> bool {
         self.broken.is_none() && self.missed.is_empty()
     }
 }
 
+/// A shop's exact quota, over all gatekeepers.
 #[derive(Clone, Copy, Default)]
 struct Quota {
     at: f64,
-    /// What the shop might still pass, and what it might still ask for.
+    /// Units that the shop may still pass.
     passed: f64,
+    /// Units that the shop may still request.
     asked: f64,
-    seen: bool,
+    is_seen: bool,
     plan: usize,
     units: f64,
     over: f64,
 }
 
-/// The counts as a run goes on.
+/// The counters of a run in progress.
 pub(crate) struct RunStats {
     pub plans: Vec<PlanSums>,
     pub seconds: Vec<Second>,
@@ -207,13 +209,16 @@
     pub notes: u64,
     pub note_bytes: u64,
     pub notes_lost: u64,
-    pub notes_in: Vec<(u64, u64)>,
+    /// For each gatekeeper, the last second with a peer message and their number in it.
+    pub notes_by_receiver: Vec<(u64, u64)>,
     pub notes_peak: u64,
     pub attempts: u64,
-    pub sick: u64,
-    pub sick_of: u64,
+    /// Attempts sent to servers hit by a fault.
+    pub attempts_to_faulty: u64,
+    /// Attempts sent while any server is hit by a fault.
+    pub attempts_during_faults: u64,
     pub events: u64,
-    ways: Vec<std::collections::BTreeMap<(u32, u32), u64>>,
+    zone_paths: Vec<std::collections::BTreeMap<(u32, u32), u64>>,
 }
 
 impl RunStats {
@@ -230,16 +235,17 @@
             notes: 0,
             note_bytes: 0,
             notes_lost: 0,
-            notes_in: vec![(0, 0); scenario.gatekeepers.count as usize],
+            notes_by_receiver: vec![(0, 0); scenario.gatekeepers.count as usize],
             notes_peak: 0,
             attempts: 0,
-            sick: 0,
-            sick_of: 0,
+            attempts_to_faulty: 0,
+            attempts_during_faults: 0,
             events: 0,
-            ways: Vec::new(),
+            zone_paths: Vec::new(),
         })
     }
 
+    /// The results of the second that holds this time in ms.
     pub fn second_mut(&mut self, at: f64) -> &mut Second {
         let k = (at / 1000.0).max(0.0) as usize;
         if self.seconds.len() <= k {
@@ -248,12 +254,13 @@
         &mut self.seconds[k]
     }
 
-    /// Brings a shop's quota up to now. One that comes once is never beyond it.
+    /// Refills a shop's quota up to this time. `None` for plans without a quota and for shops with a single request, which
+    /// never exceed it.
     fn quota(&mut self, at: f64, shop: u64, plan: usize) -> Option<&mut Quota> {
         let (rate, burst) = self.rates[plan];
         let q = self.quotas.get_mut(shop as usize).filter(|_| rate > 0.0)?;
-        if !q.seen {
-            *q = Quota { at, passed: burst, asked: burst, seen: true, plan, ..*q };
+        if !q.is_seen {
+            *q = Quota { at, passed: burst, asked: burst, is_seen: true, plan, ..*q };
         }
         let fill = rate * (at - q.at).max(0.0) / 1000.0;
         (q.passed, q.asked) = ((q.passed + fill).min(burst), (q.asked + fill).min(burst));
@@ -261,7 +268,7 @@
         Some(q)
     }
 
-    /// A request is asked; gives whether it is inside its quota.
+    /// Counts a new request; returns whether it is within its shop's quota.
     pub fn record_request(&mut self, at: f64, shop: u64, plan: usize, class: usize, units: f64) -> bool {
         let inside = self.quota(at, shop, plan).is_none_or(|q| {
             let inside = q.asked >= units;
@@ -279,7 +286,7 @@
         inside
     }
 
-    /// A try's units were passed.
+    /// Counts the units of a try that passed.
     pub fn record_passed(&mut self, at: f64, shop: u64, plan: usize, units: f64) {
         let over = self.quota(at, shop, plan).map_or(0.0, |q| {
             let over = (units - q.passed).clamp(0.0, units);
@@ -296,13 +303,14 @@
         second.over += over;
     }
 
-    /// A request is served to its client.
+    /// Counts a served request. `within_quota_at` is the time of the request if it was within its quota; `ms` is its
+    /// latency and `aim` the target latency.
     pub fn record_served(
         &mut self,
         plan: usize,
         class: usize,
         units: f64,
-        inside: Option<f64>,
+        within_quota_at: Option<f64>,
         ms: f64,
         aim: f64,
     ) {
@@ -314,53 +322,53 @@
             return;
         }
         p.in_time += 1;
-        if let Some(asked_at) = inside {
+        if let Some(asked_at) = within_quota_at {
             p.inside_in_time += 1;
             p.worth_in_time += worth * units;
             self.second_mut(asked_at).inside_in_time += 1;
         }
     }
 
-    /// A connection is opened, or turned away.
+    /// Counts a connection that is opened or rejected.
     pub fn record_handshake(&mut self, at: f64, turned_away: bool) {
         let second = self.second_mut(at);
         second.handshakes += u64::from(!turned_away);
         second.turned_away += u64::from(turned_away);
     }
 
-    /// A whole list is asked for.
+    /// Counts a request for the complete list.
     pub fn record_list(&mut self, at: f64) {
         self.second_mut(at).lists += 1;
     }
 
-    /// A cold server was sent this part of what pushes it over.
+    /// Records the load of a server in slow start, as a share of its overload limit.
     pub fn record_cold_load(&mut self, at: f64, load: f64) {
         let second = self.second_mut(at);
         second.cold = second.cold.max(load);
     }
 
-    /// An attempt goes from a zone to one.
+    /// Counts an attempt from one zone to another or the same one.
     pub fn record_zone_path(&mut self, at: f64, from: u32, to: u32) {
         let second = (at / 1000.0) as usize;
-        if self.ways.len() <= second {
-            self.ways.resize_with(second + 1, Default::default);
+        if self.zone_paths.len() <= second {
+            self.zone_paths.resize_with(second + 1, Default::default);
         }
-        *self.ways[second].entry((from, to)).or_default() += 1;
+        *self.zone_paths[second].entry((from, to)).or_default() += 1;
     }
 
-    /// A note is on its way to a gatekeeper.
+    /// Counts a peer message sent to a gatekeeper.
     pub fn record_message(&mut self, at: f64, to: u32, bytes: usize) {
         self.notes += 1;
         self.note_bytes += bytes as u64;
         self.second_mut(at).notes += 1;
         let second = (at / 1000.0) as u64;
-        let (when, count) = &mut self.notes_in[to as usize];
+        let (when, count) = &mut self.notes_by_receiver[to as usize];
         *count = if *when == second { *count + 1 } else { 1 };
         *when = second;
         self.notes_peak = self.notes_peak.max(*count);
     }
 
-    /// The report; what servers came to and the oracle's word are put in by the world.
+    /// Builds the report. The caller adds the results of servers, herds, zones and the oracle.
     pub fn into_report(mut self, scenario: &Scenario, seed: u64) -> Report {
         for (k, plan) in self.plans.iter_mut().enumerate() {
             let of_plan = self.quotas.iter().filter(|q| q.plan == k);
@@ -394,16 +402,25 @@
             handshakes: part(total(&|s| s.handshakes), tries as f64),
             turned_away: part(total(&|s| s.turned_away), tries as f64),
             lists: part(total(&|s| s.lists), tries as f64),
-            back_s: back(scenario, &self.seconds),
+            back_s: recovery_seconds(scenario, &self.seconds),
             herds: Vec::new(),
-            sick: part(self.sick as f64, self.sick_of as f64),
+            sick: part(self.attempts_to_faulty as f64, self.attempts_during_faults as f64),
             ms: Percentiles { p50: ms(0.5), p99: ms(0.99), max: self.times.max() as f64 / 1000.0 },
             events: self.events,
             far: part(
-                self.ways.iter().flatten().filter(|((from, to), _)| from != to).map(|(_, n)| *n as f64).sum(),
-                self.ways.iter().flatten().map(|(_, n)| *n as f64).sum(),
+                self.zone_paths
+                    .iter()
+                    .flatten()
+                    .filter(|((from, to), _)| from != to)
+                    .map(|(_, n)| *n as f64)
+                    .sum(),
+                self.zone_paths.iter().flatten().map(|(_, n)| *n as f64).sum(),
             ),
-            ways: self.ways.iter().map(|all| all.iter().map(|((f, t), n)| (*f, *t, *n)).collect()).collect(),
+            ways: self
+                .zone_paths
+                .iter()
+                .map(|all| all.iter().map(|((f, t), n)| (*f, *t, *n)).collect())
+                .collect(),
             decisions: Vec::new(),
             agreed_ms: None,
             plans: self.plans,
@@ -413,22 +430,22 @@
     }
 }
 
-/// How long after the first fault it is as before it again: three seconds on end with 95% of what was served in time
-/// before. Not said where there is no fault, too little before it, or no way back within the run.
-fn back(scenario: &Scenario, seconds: &[Second]) -> Option<f64> {
+/// Seconds from the first fault to recovery: three consecutive seconds with at least 95% of the share served in time
+/// before it. `None` if there is no fault, too little time before it, or no recovery within the run.
+fn recovery_seconds(scenario: &Scenario, seconds: &[Second]) -> Option<f64> {
     let at = scenario.faults.iter().map(|f| f.at_s).reduce(f64::min)?;
     let part = |some: &[Second]| {
         let of = |value: fn(&Second) -> u64| some.iter().map(value).sum::<u64>() as f64;
         (of(|s| s.inside) > 0.0).then(|| of(|s| s.inside_in_time) / of(|s| s.inside))
     };
-    // The first second starts from nothing.
+    // The first second is left out, as the run starts without load.
     let before = part(seconds.get(1..at as usize)?)?;
     let whole = seconds.get(..(scenario.seconds as usize).min(seconds.len()))?;
-    // The worst of it comes first: a way back begins after a second below.
+    // Recovery is searched after the first second below the threshold; without such a second it takes no time.
     let fall = (at as usize..whole.len()).find(|k| part(&whole[*k..=*k]).is_some_and(|p| p < 0.95 * before));
     let Some(fall) = fall else { return Some(0.0) };
-    let well = |k: usize| whole.get(k..k + 3).and_then(part).is_some_and(|p| p >= 0.95 * before);
-    (fall + 1..whole.len()).find(|k| well(*k)).map(|k| k as f64 - at)
+    let is_recovered = |k: usize| whole.get(k..k + 3).and_then(part).is_some_and(|p| p >= 0.95 * before);
+    (fall + 1..whole.len()).find(|k| is_recovered(*k)).map(|k| k as f64 - at)
 }
 
 #[cfg(test)]
@@ -437,11 +454,11 @@
     use crate::scenario::{Fault, FaultKind};
 
     #[test]
-    fn the_way_back_is_counted_from_the_first_fault() {
+    fn recovery_is_counted_from_the_first_fault() {
         let mut day = Scenario { seconds: 12.0, ..Scenario::default() };
         let second = |inside_in_time| Second { inside: 100, inside_in_time, ..Second::default() };
         let mut seconds: Vec<Second> = [10, 90, 90, 90, 20, 40, 90, 50, 85, 88, 90, 90].map(second).to_vec();
-        assert_eq!(back(&day, &seconds), None, "nothing went wrong");
+        assert_eq!(recovery_seconds(&day, &seconds), None, "no fault");
         let fault = |at_s| Fault {
             kind: FaultKind::KillAny,
             at_s,
@@ -452,10 +469,10 @@
             zone: 0,
         };
         day.faults.push(fault(4.0));
-        assert_eq!(back(&day, &seconds), Some(4.0));
+        assert_eq!(recovery_seconds(&day, &seconds), Some(4.0));
         seconds[9] = second(60);
-        assert_eq!(back(&day, &seconds), None, "never three on end");
+        assert_eq!(recovery_seconds(&day, &seconds), None, "never three consecutive seconds");
         day.faults.push(fault(0.0));
-        assert_eq!(back(&day, &seconds), None, "nothing is known of before");
+        assert_eq!(recovery_seconds(&day, &seconds), None, "no time before the fault");
     }
 }
--- a/crates/sim/src/world.rs
+++ b/crates/sim/src/world.rs
@@ -572,8 +572,8 @@
         self.stats.attempts += 1;
         self.stats.second_mut(now).attempts += 1;
         if !self.faulty_servers.is_empty() {
-            self.stats.sick_of += 1;
-            self.stats.sick += u64::from(self.faulty_servers.contains(&number));
+            self.stats.attempts_during_faults += 1;
+            self.stats.attempts_to_faulty += u64::from(self.faulty_servers.contains(&number));
         }
         if deadline <= now {
             self.queue
@@ -937,7 +937,7 @@
             self.queue.push(now + ms, SimEvent::JobDone { server, life, id: next.id, attempt: next.attempt });
         }
         let s = &self.servers[server as usize];
-        if s.sick != ServerFault::Silent {
+        if s.fault != ServerFault::Silent {
             let holds = self.scenario.servers.report.then_some(s.in_flight());
             self.queue.push(now + hop, SimEvent::Answer { id, attempt, outcome: AttemptOutcome::Ok, holds });
         }
@@ -991,7 +991,7 @@
         let sicken = |world: &mut Self, sick: ServerFault| {
             let some = world.sample_up_servers(fault.part);
             for n in &some {
-                world.servers[*n as usize].sick = sick;
+                world.servers[*n as usize].fault = sick;
             }
             world.faulty_servers.extend(&some);
             world.hit[which] = some;
@@ -1045,7 +1045,7 @@
             FaultKind::KillKeeper | FaultKind::KillAny => {
                 let count = self.scenario.gatekeepers.count;
                 let k = if fault.kind == FaultKind::KillKeeper {
-                    self.shops.keeper_of_busiest()
+                    self.shops.quota_owner_of_busiest()
                 } else {
                     self.rng.random_range(0..count)
                 };
@@ -1072,7 +1072,7 @@
         for n in &hit {
             self.faulty_servers.remove(n);
             let s = &mut self.servers[*n as usize];
-            s.sick = ServerFault::No;
+            s.fault = ServerFault::No;
             if kind == FaultKind::Crash {
                 s.since = self.now;
                 self.health[*n as usize] = Health::Up;
@@ -1147,7 +1147,7 @@
                     self.send_list_changes(&[server]);
                     self.queue.push(self.now + REMOVED_SERVER_GRACE_MS, SimEvent::ServerGone(server));
                 } else {
-                    self.servers[server as usize].sick = ServerFault::Dead;
+                    self.servers[server as usize].fault = ServerFault::Dead;
                     self.stop_server(server);
                 }
             }
@@ -1181,7 +1181,7 @@
             attempts: s.attempts,
             busy: s.worked / (time * f64::from(s.cores)),
             fallen: s.fallen,
-            cold_load: s.cold_most,
+            cold_load: s.max_cold_load,
         });
         let servers = servers.collect();
         let (agreed_ms, decisions) = (self.agreed_ms(), std::mem::take(&mut self.zone_simulation.decisions));
--- a/crates/sim/src/world/zones.rs
+++ b/crates/sim/src/world/zones.rs
@@ -326,7 +326,7 @@
             self.zone_simulation.cut.insert(zone);
         } else {
             for n in &here {
-                self.servers[*n as usize].sick = sick;
+                self.servers[*n as usize].fault = sick;
             }
             self.faulty_servers.extend(&here);
         }
