--- a/crates/sim/src/formula_server.rs
+++ b/crates/sim/src/formula_server.rs
@@ -55,7 +55,7 @@
     pub since: f64,
     pub fault: ServerFault,
     /// Whether it failed because of overload in slow start.
-    pub fallen: bool,
+    pub has_failed: bool,
     /// Incarnation; the jobs of an earlier one are lost.
     pub incarnation: u32,
     pub max_queue: usize,
@@ -104,7 +104,7 @@
             speed,
             since: 0.0,
             fault: ServerFault::No,
-            fallen: false,
+            has_failed: false,
             incarnation: 0,
             max_queue,
             working: Vec::new(),
@@ -119,15 +119,16 @@
     }
 
     /// The share of its capacity that it has at this time.
-    pub fn warmth(&self, now: f64, slow_start: &SlowStart) -> f64 {
+    pub fn capacity_share(&self, now: f64, slow_start: &SlowStart) -> f64 {
         if self.since <= 0.0 || slow_start.warm_ms <= 0.0 {
             return 1.0;
         }
         slow_start.from + (1.0 - slow_start.from) * ((now - self.since) / slow_start.warm_ms).clamp(0.0, 1.0)
     }
 
+    /// Whether the server accepts connections.
     pub fn is_up(&self) -> bool {
-        !self.fallen && self.fault != ServerFault::Dead
+        !self.has_failed && self.fault != ServerFault::Dead
     }
 
     /// Number of jobs in work and in the queue.
@@ -137,8 +138,8 @@
 
     /// Time in ms that a core takes for this work now.
     fn service_time(&self, work: f64, now: f64, slow_start: &SlowStart) -> f64 {
-        let slower = if let ServerFault::Slow(times) = self.fault { times } else { 1.0 };
-        work * slower / (self.speed * self.warmth(now, slow_start))
+        let slowdown = if let ServerFault::Slow(times) = self.fault { times } else { 1.0 };
+        work * slowdown / (self.speed * self.capacity_share(now, slow_start))
     }
 
     /// Accepts a request that is received whole. With `is_duplicate`, its key is known, so it is answered and
@@ -151,23 +152,23 @@
         slow_start: &SlowStart,
     ) -> (JobAdmission, bool) {
         self.attempts += 1;
-        let warmth = self.warmth(now, slow_start);
+        let capacity_share = self.capacity_share(now, slow_start);
         self.cold_load = 0.0;
-        if warmth < 1.0 {
+        if capacity_share < 1.0 {
             // All received work counts, whatever the server does with it.
             self.recent.push_back((now, job.work));
             self.recent_work += job.work;
             while self.recent.front().is_some_and(|(at, _)| now - at > 1000.0) {
                 self.recent_work -= self.recent.pop_front().map_or(0.0, |(_, work)| work);
             }
-            let can = 1000.0 * f64::from(self.cores) * self.speed * warmth;
+            let can = 1000.0 * f64::from(self.cores) * self.speed * capacity_share;
             if self.recent.len() > 1 {
                 self.cold_load = (self.recent_work - job.work) / (slow_start.times * can);
                 self.max_cold_load = self.max_cold_load.max(self.cold_load);
             }
             // A single request that exceeds the limit by itself does not count as overload.
             if self.recent.len() > 1 && self.recent_work - job.work > slow_start.times * can {
-                self.fallen = true;
+                self.has_failed = true;
                 return (JobAdmission::Nothing, true);
             }
         }
--- a/crates/sim/src/oracle.rs
+++ b/crates/sim/src/oracle.rs
@@ -183,7 +183,7 @@
         if let Some(when) = told.filter(|when| at > when + self.grace) {
             self.record_violation("drain", at, || {
                 format!(
-                    "request {id} was sent to server {server} {:.0} ms after gatekeeper {gatekeeper} got its drain or removal",
+                    "request {id} was sent to server {server} {:.0} ms after its drain or removal reached gatekeeper {gatekeeper}",
                     at - when
                 )
             });
--- a/crates/sim/src/shop_population.rs
+++ b/crates/sim/src/shop_population.rs
@@ -16,8 +16,11 @@
     /// Index of the shop; shops with a single request have indices above all others.
     pub number: u64,
     pub name: Name,
+    /// Index of its plan.
     pub plan: usize,
+    /// First gatekeeper of its set.
     pub first: u32,
+    /// Number of gatekeepers in its set.
     pub spread: u32,
 }
 
--- a/crates/sim/src/world.rs
+++ b/crates/sim/src/world.rs
@@ -86,66 +86,32 @@
     /// A client retries the request with this id.
     ClientRetry(u64),
     /// An attempt's last byte arrives at its server.
-    RequestReceived {
-        id: u64,
-        attempt: u32,
-    },
-    /// A server completes a job. The event is ignored if the server has ended that incarnation
-    /// (`incarnation`) meanwhile.
-    JobDone {
-        server: u32,
-        incarnation: u32,
-        id: u64,
-        attempt: u32,
-    },
+    RequestReceived { id: u64, attempt: u32 },
+    /// A server completes a job. The event is ignored if that incarnation of the server has ended meanwhile.
+    JobDone { server: u32, incarnation: u32, id: u64, attempt: u32 },
     /// An answer arrives at a gatekeeper. `holds` is the number of jobs that the server reports as in flight.
-    Answer {
-        id: u64,
-        attempt: u32,
-        outcome: AttemptOutcome,
-        holds: Option<usize>,
-    },
+    Answer { id: u64, attempt: u32, outcome: AttemptOutcome, holds: Option<usize> },
     /// An attempt's deadline passes.
-    Deadline {
-        id: u64,
-        attempt: u32,
-    },
-    /// The client's deadline for this try passes, and it disconnects.
+    Deadline { id: u64, attempt: u32 },
+    /// The client's deadline for the try with this id passes, and it disconnects.
     ClientLeaves(u64),
-    Timer {
-        gatekeeper: u32,
-        incarnation: u32,
-        token: u64,
-    },
+    /// A timer of a gatekeeper's decision module fires.
+    Timer { gatekeeper: u32, incarnation: u32, token: u64 },
     /// A peer message arrives.
-    PeerMessage {
-        to: u32,
-        from: u32,
-        text: Box<str>,
-    },
+    PeerMessage { to: u32, from: u32, text: Box<str> },
     /// An update of the endpoint list arrives at a gatekeeper.
-    EndpointUpdate {
-        gatekeeper: u32,
-        incarnation: u32,
-        kind: EndpointUpdateKind,
-        entries: EndpointEntries,
-    },
-    /// Step `step` of the scenario's fault `which` begins.
-    Fault {
-        which: usize,
-        step: u32,
-    },
+    EndpointUpdate { gatekeeper: u32, incarnation: u32, kind: EndpointUpdateKind, entries: EndpointEntries },
+    /// Step `step` of the scenario's fault `fault_index` begins.
+    Fault { fault_index: usize, step: u32 },
     /// The scenario's fault with this index ends.
     FaultEnd(usize),
     /// A killed gatekeeper starts again.
     GatekeeperStart(u32),
     /// A gatekeeper without a list repeats its call to discovery.
-    ListRequest {
-        gatekeeper: u32,
-        incarnation: u32,
-    },
+    ListRequest { gatekeeper: u32, incarnation: u32 },
     /// First a draining server is removed from the list; the second event for it stops the server.
     ServerGone(u32),
+    /// An event of the zones' agents and the failover controller.
     Zones(zones::ZoneStep),
 }
 
@@ -154,6 +120,7 @@
     shop: Shop,
     class: usize,
     units: f64,
+    /// Its work on a core of speed 1, in ms.
     work: f64,
     /// When the client first sent it.
     at: f64,
@@ -186,10 +153,11 @@
     attempts: u32,
     /// Whether the request's units are already charged.
     is_charged: bool,
-    out: Option<OutstandingAttempt>,
+    outstanding: Option<OutstandingAttempt>,
     is_answered: bool,
 }
 
+/// The state of one gatekeeper.
 struct Gatekeeper {
     /// `None` while the gatekeeper is down.
     module: Option<Box<dyn DecisionModule>>,
@@ -243,7 +211,7 @@
     message_duplication: f64,
     faulty_servers: BTreeSet<u32>,
     /// The servers hit by each fault of the scenario.
-    hit: Vec<Vec<u32>>,
+    fault_targets: Vec<Vec<u32>>,
     zone_simulation: zones::ZoneSimulation,
 }
 
@@ -300,7 +268,7 @@
             message_delay_ms: 0.0,
             message_duplication: 0.0,
             faulty_servers: BTreeSet::new(),
-            hit: vec![Vec::new(); scenario.faults.len()],
+            fault_targets: vec![Vec::new(); scenario.faults.len()],
             zone_simulation: zones::ZoneSimulation::new(
                 scenario.zones.as_ref().map_or_else(Default::default, |z| z.judge),
                 scenario.gatekeepers.count,
@@ -319,12 +287,12 @@
                 last_update_at: 0.0,
                 intake: (0.0, scenario.gatekeepers.note_intake),
             });
-            world.start(k)?;
+            world.start_gatekeeper(k)?;
         }
-        for (which, fault) in scenario.faults.iter().enumerate() {
-            world.queue.push(fault.at_s * 1000.0, SimEvent::Fault { which, step: 0 });
+        for (fault_index, fault) in scenario.faults.iter().enumerate() {
+            world.queue.push(fault.at_s * 1000.0, SimEvent::Fault { fault_index, step: 0 });
             if fault.kind != FaultKind::Replace {
-                world.queue.push((fault.at_s + fault.for_s) * 1000.0, SimEvent::FaultEnd(which));
+                world.queue.push((fault.at_s + fault.for_s) * 1000.0, SimEvent::FaultEnd(fault_index));
             }
         }
         world.queue.push(0.0, SimEvent::NextRequest);
@@ -332,15 +300,18 @@
         Ok(world)
     }
 
+    /// The next unused id, of a request, a try or an idempotency key.
     fn new_id(&mut self) -> u64 {
         self.last_id += 1;
         self.last_id
     }
 
+    /// A uniformly distributed random number of this range.
     fn uniform(&mut self, [a, b]: [f64; 2]) -> f64 {
         a + (b - a) * self.rng.random::<f64>()
     }
 
+    /// A random one-way network latency in ms.
     fn hop(&mut self) -> f64 {
         self.uniform(self.scenario.network.hop_ms)
     }
@@ -354,10 +325,10 @@
         let number = self.servers.len() as u32;
         let s = &self.scenario.servers;
         let all: f64 = s.kinds.iter().map(|k| k.share).sum();
-        let mut lot = (f64::from(number) * 0.618_033_988_75).fract() * all;
+        let mut draw = (f64::from(number) * 0.618_033_988_75).fract() * all;
         let mut kind = 0;
-        while kind + 1 < s.kinds.len() && lot >= s.kinds[kind].share {
-            lot -= s.kinds[kind].share;
+        while kind + 1 < s.kinds.len() && draw >= s.kinds[kind].share {
+            draw -= s.kinds[kind].share;
             kind += 1;
         }
         // Each rack lies in a single zone.
@@ -380,7 +351,7 @@
 
     fn endpoint_entry(&self, number: u32) -> (u32, Server) {
         let s = &self.servers[number as usize];
-        let line = Server {
+        let entry = Server {
             name: s.name.clone(),
             zone: s.zone,
             cell: s.cell,
@@ -389,12 +360,13 @@
             health: self.health[number as usize],
             started_at: s.since,
         };
-        (number, line)
+        (number, entry)
     }
 
     // ---- gatekeepers ----
 
-    fn start(&mut self, k: u32) -> Result<(), String> {
+    /// Starts a gatekeeper with a new decision module.
+    fn start_gatekeeper(&mut self, k: u32) -> Result<(), String> {
         let s = self.scenario;
         let settings = Settings {
             own_index: k,
@@ -417,8 +389,8 @@
         }
         self.gatekeepers[k as usize].module = Some(module);
         self.oracle.gatekeeper_started(k);
-        if let Some(old) = s.discovery.known_s {
-            let then = self.now - 1000.0 * old;
+        if let Some(age_s) = s.discovery.known_s {
+            let then = self.now - 1000.0 * age_s;
             let known = self.history.iter().rev().find(|(at, _)| *at <= then).or(self.history.first());
             if let Some(entries) = known.map(|(_, entries)| entries.clone()) {
                 self.send_list(k, 0.0, EndpointUpdateKind::Complete, entries);
@@ -432,7 +404,7 @@
     fn request_list(&mut self, k: u32) {
         self.stats.record_list(self.now);
         self.herds.record(self.now, HerdAction::List, k, 0);
-        if self.discovery_outages == 0 && self.list_answers() {
+        if self.discovery_outages == 0 && self.discovery_answers() {
             return self.send_complete_list(k, self.list_delay_ms);
         }
         // No retry during an outage: at its end discovery sends the list to all gatekeepers.
@@ -443,7 +415,8 @@
         }
     }
 
-    fn list_answers(&mut self) -> bool {
+    /// Whether discovery answers this call.
+    fn discovery_answers(&mut self) -> bool {
         self.list_answer_share >= 1.0 || self.rng.random::<f64>() < self.list_answer_share
     }
 
@@ -467,6 +440,7 @@
         self.send_list(k, lag, EndpointUpdateKind::Complete, entries);
     }
 
+    /// Schedules the arrival of an endpoint update, not before earlier updates.
     fn send_list(&mut self, k: u32, lag: f64, kind: EndpointUpdateKind, entries: EndpointEntries) {
         let g = &mut self.gatekeepers[k as usize];
         g.last_update_at = g.last_update_at.max(self.now + lag);
@@ -486,12 +460,13 @@
         for k in 0..self.gatekeepers.len() as u32 {
             let lag = self.uniform(self.scenario.discovery.lag_ms) + self.list_delay_ms;
             // A gatekeeper that misses this update is sent the complete list when the discovery fault ends.
-            if self.list_answers() {
+            if self.discovery_answers() {
                 self.send_list(k, lag, EndpointUpdateKind::Changes, entries.clone());
             }
         }
     }
 
+    /// Kills a gatekeeper; its clients retry, and it starts again after `down_s`.
     fn kill(&mut self, k: u32) {
         let g = &mut self.gatekeepers[k as usize];
         if g.module.take().is_none() {
@@ -501,10 +476,10 @@
         g.last_update_at = self.now;
         self.trace(k, "is killed", 0, None);
         self.connections.gatekeeper_ended(k);
-        let mut had: Vec<u64> =
+        let mut orphaned: Vec<u64> =
             self.tries.iter().filter(|(_, t)| t.gatekeeper == k).map(|(id, _)| *id).collect();
-        had.sort_unstable();
-        for id in had {
+        orphaned.sort_unstable();
+        for id in orphaned {
             self.oracle.request_orphaned(id);
             if let Some(tried) = self.tries.remove(&id)
                 && !tried.is_answered
@@ -515,19 +490,20 @@
         self.queue.push(self.now + 1000.0 * self.scenario.gatekeepers.down_s, SimEvent::GatekeeperStart(k));
     }
 
+    /// Passes an event to a gatekeeper's decision module and applies the actions.
     fn dispatch_event(&mut self, k: u32, event: Event) {
         let now = self.now;
         self.stats.events += 1;
         let Some(module) = self.gatekeepers[k as usize].module.as_mut() else { return };
         let actions = module.handle(now, event);
         for action in actions {
-            self.act(k, action);
+            self.apply_action(k, action);
         }
     }
 
-    fn act(&mut self, k: u32, action: Action) {
+    fn apply_action(&mut self, k: u32, action: Action) {
         match action {
-            Action::Send { id, server, deadline, .. } => self.send(k, id, &server, deadline),
+            Action::Send { id, server, deadline, .. } => self.send_attempt(k, id, &server, deadline),
             Action::Refuse { id, retry_after_ms, .. } => {
                 self.answer(k, id, FinalAnswer::Refused, retry_after_ms)
             }
@@ -551,7 +527,8 @@
         }
     }
 
-    fn send(&mut self, k: u32, id: u64, server: &Name, deadline: f64) {
+    /// Sends an attempt to a server.
+    fn send_attempt(&mut self, k: u32, id: u64, server: &Name, deadline: f64) {
         let Some(number) = self.by_name.get(server).copied() else { return };
         let s = &self.servers[number as usize];
         let place = (s.zone, s.cell);
@@ -565,7 +542,7 @@
         let Some(t) = self.tries.get_mut(&id) else { return };
         let attempt = t.attempts;
         t.attempts += 1;
-        t.out = Some(OutstandingAttempt {
+        t.outstanding = Some(OutstandingAttempt {
             attempt,
             server: number,
             at: now,
@@ -594,12 +571,12 @@
             return;
         }
         // A dead server accepts no connection; that is detected when the attempt arrives there.
-        let way = if self.servers[number as usize].is_up() {
+        let connection_use = if self.servers[number as usize].is_up() {
             self.connect(id, k, number)
         } else {
             ConnectionUse::Reused
         };
-        if way == ConnectionUse::Rejected {
+        if connection_use == ConnectionUse::Rejected {
             let back = self.hop();
             self.queue.push(
                 now + hop + back,
@@ -607,35 +584,36 @@
             );
             return;
         }
-        let comes_up = if way == ConnectionUse::New { self.scenario.servers.handshake_ms } else { 0.0 };
-        self.queue.push(now + comes_up + hop, SimEvent::RequestReceived { id, attempt });
+        let handshake_ms =
+            if connection_use == ConnectionUse::New { self.scenario.servers.handshake_ms } else { 0.0 };
+        self.queue.push(now + handshake_ms + hop, SimEvent::RequestReceived { id, attempt });
         self.queue.push(deadline, SimEvent::Deadline { id, attempt });
     }
 
     /// Acquires a connection for an attempt to a server that is up.
     fn connect(&mut self, id: u64, k: u32, server: u32) -> ConnectionUse {
-        let (way, incarnation) = self.connections.acquire(self.now, k, server);
-        if way != ConnectionUse::Reused {
+        let (connection_use, incarnation) = self.connections.acquire(self.now, k, server);
+        if connection_use != ConnectionUse::Reused {
             self.herds.record(self.now, HerdAction::Handshake, k, server);
-            self.stats.record_handshake(self.now, way == ConnectionUse::Rejected);
+            self.stats.record_handshake(self.now, connection_use == ConnectionUse::Rejected);
         }
-        if way != ConnectionUse::Rejected
-            && let Some(out) = self.tries.get_mut(&id).and_then(|t| t.out.as_mut())
+        if connection_use != ConnectionUse::Rejected
+            && let Some(out) = self.tries.get_mut(&id).and_then(|t| t.outstanding.as_mut())
         {
             out.connected = Some(incarnation);
         }
-        way
+        connection_use
     }
 
     fn outstanding_attempt(&self, id: u64, attempt: u32) -> Option<&OutstandingAttempt> {
-        self.tries.get(&id)?.out.as_ref().filter(|o| o.attempt == attempt)
+        self.tries.get(&id)?.outstanding.as_ref().filter(|o| o.attempt == attempt)
     }
 
     /// Ends an attempt with the outcome that its gatekeeper observes, and passes it to the decision module.
     fn attempt_ended(&mut self, id: u64, outcome: AttemptOutcome, holds: Option<usize>) {
         let now = self.now;
         let Some(t) = self.tries.get_mut(&id) else { return };
-        let Some(out) = t.out.take() else { return };
+        let Some(out) = t.outstanding.take() else { return };
         let (k, answered) = (t.gatekeeper, t.is_answered);
         if let Some(incarnation) = out.connected {
             let answered =
@@ -678,6 +656,7 @@
         }
     }
 
+    /// Sends a peer message, which may be lost, delayed or duplicated.
     fn send_peer_message(&mut self, from: u32, to: u32, text: &str) {
         self.stats.record_message(self.now, to, text.len());
         self.herds.record(self.now, HerdAction::Note, from, to);
@@ -711,6 +690,7 @@
 
     // ---- clients ----
 
+    /// Creates the next request, and schedules the one after it.
     fn next_request(&mut self) {
         let pause: f64 = Exp1.sample(&mut self.rng);
         let rate = self.scenario.load.rate * self.surge;
@@ -720,10 +700,10 @@
         }
         let shop = self.shops.sample(&mut self.rng);
         let all: f64 = self.scenario.classes.iter().map(|c| c.share).sum();
-        let mut lot = self.rng.random::<f64>() * all;
+        let mut draw = self.rng.random::<f64>() * all;
         let mut class = 0;
-        while class + 1 < self.scenario.classes.len() && lot >= self.scenario.classes[class].share {
-            lot -= self.scenario.classes[class].share;
+        while class + 1 < self.scenario.classes.len() && draw >= self.scenario.classes[class].share {
+            draw -= self.scenario.classes[class].share;
             class += 1;
         }
         let c = &self.scenario.classes[class];
@@ -747,6 +727,7 @@
         self.try_request(id);
     }
 
+    /// Sends a client's request to a gatekeeper of the shop's set.
     fn try_request(&mut self, request_id: u64) {
         let Some(a) = self.requests.get(&request_id) else { return };
         let mut k = self.shops.pick_gatekeeper(&a.shop, self.now, &mut self.rng);
@@ -775,7 +756,7 @@
             at: self.now,
             attempts: 0,
             is_charged: false,
-            out: None,
+            outstanding: None,
             is_answered: false,
         };
         self.tries.insert(id, tried);
@@ -809,7 +790,7 @@
         if std::mem::replace(&mut t.is_answered, true) {
             return;
         }
-        let (request_id, out, at) = (t.request_id, t.out.is_some(), t.at);
+        let (request_id, out, at) = (t.request_id, t.outstanding.is_some(), t.at);
         if !out {
             self.tries.remove(&id);
         }
@@ -858,13 +839,14 @@
         self.queue.push(self.now + wait, SimEvent::ClientRetry(request_id));
     }
 
+    /// Disconnects the client of a try that is not answered yet.
     fn client_leaves(&mut self, id: u64) {
         self.oracle.client_left(self.now, id);
         let Some(t) = self.tries.get_mut(&id) else { return };
         if std::mem::replace(&mut t.is_answered, true) {
             return;
         }
-        let (k, request_id, out) = (t.gatekeeper, t.request_id, t.out.is_some());
+        let (k, request_id, out) = (t.gatekeeper, t.request_id, t.outstanding.is_some());
         self.trace(k, "is left by", id, None);
         if !out {
             self.tries.remove(&id);
@@ -875,6 +857,7 @@
 
     // ---- servers ----
 
+    /// Handles an attempt that has arrived at its server: charges its units and lets the server accept it.
     fn request_received(&mut self, id: u64, attempt: u32) {
         let Some(server) = self.outstanding_attempt(id, attempt).map(|o| o.server) else { return };
         let (now, hop) = (self.now, self.hop());
@@ -889,7 +872,7 @@
         let place = (s.zone, s.cell);
         let Some(t) = self.tries.get_mut(&id) else { return };
         let first = !std::mem::replace(&mut t.is_charged, true);
-        if let Some(out) = t.out.as_mut() {
+        if let Some(out) = t.outstanding.as_mut() {
             out.is_received = true;
         }
         let (k, request_id) = (t.gatekeeper, t.request_id);
@@ -902,21 +885,24 @@
             self.stats.record_passed(now, shop.0, shop.1, units);
             self.oracle.record_charge(now, id, shop, units);
         }
-        let again = self.oracle.is_duplicate_dropped(now, id, place);
+        let is_duplicate = self.oracle.is_duplicate_dropped(now, id, place);
         let job = Job { id, attempt, work };
-        let cold = self.slow_start;
+        let slow_start = self.slow_start;
         let s = &mut self.servers[server as usize];
-        let (taken, over) = s.accept(job, again, now, &cold);
+        let (admission, is_overloaded) = s.accept(job, is_duplicate, now, &slow_start);
         let (incarnation, holds, cold_load) = (s.incarnation, s.in_flight(), s.cold_load);
         if cold_load > 0.0 {
             self.stats.record_cold_load(now, cold_load);
         }
         let holds = self.scenario.servers.report.then_some(holds);
         // A request answered with an error may have run, and so may one on a server that does not answer.
-        if !again && taken != JobAdmission::Answered(AttemptOutcome::Full, ERROR_MS) && !over {
+        if !is_duplicate
+            && admission != JobAdmission::Answered(AttemptOutcome::Full, ERROR_MS)
+            && !is_overloaded
+        {
             self.oracle.record_effect(now, id, place);
         }
-        match taken {
+        match admission {
             JobAdmission::Begun(ms) => {
                 self.queue.push(now + ms, SimEvent::JobDone { server, incarnation, id, attempt })
             }
@@ -925,7 +911,7 @@
             }
             JobAdmission::Waits | JobAdmission::Nothing => {}
         }
-        if over {
+        if is_overloaded {
             let since = self.servers[server as usize].since;
             self.oracle.check_overload(now, k, server, id, since);
             self.stop_server(server);
@@ -933,13 +919,13 @@
     }
 
     fn job_done(&mut self, server: u32, incarnation: u32, id: u64, attempt: u32) {
-        let cold = self.slow_start;
+        let slow_start = self.slow_start;
         let (now, hop) = (self.now, self.hop());
         let s = &mut self.servers[server as usize];
         if s.incarnation != incarnation {
             return;
         }
-        if let Some((next, ms)) = s.complete(id, attempt, now, &cold) {
+        if let Some((next, ms)) = s.complete(id, attempt, now, &slow_start) {
             self.queue.push(
                 now + ms,
                 SimEvent::JobDone { server, incarnation, id: next.id, attempt: next.attempt },
@@ -985,6 +971,7 @@
 
     // ---- faults ----
 
+    /// Chooses this share of the servers that are up at random, at least one.
     fn sample_up_servers(&mut self, part: f64) -> Vec<u32> {
         let up: Vec<u32> = (0..self.servers.len() as u32)
             .filter(|n| self.health[*n as usize] == Health::Up && self.servers[*n as usize].is_up())
@@ -995,44 +982,45 @@
         some
     }
 
-    fn fault(&mut self, which: usize, step: u32) {
-        let fault = self.scenario.faults[which].clone();
+    /// Begins a fault, or its next step.
+    fn fault(&mut self, fault_index: usize, step: u32) {
+        let fault = self.scenario.faults[fault_index].clone();
         let sicken = |world: &mut Self, sick: ServerFault| {
             let some = world.sample_up_servers(fault.part);
             for n in &some {
                 world.servers[*n as usize].fault = sick;
             }
             world.faulty_servers.extend(&some);
-            world.hit[which] = some;
+            world.fault_targets[fault_index] = some;
         };
         match fault.kind {
             FaultKind::Slow => sicken(self, ServerFault::Slow(fault.times)),
             FaultKind::Errors => sicken(self, ServerFault::Errors),
             FaultKind::Silent => sicken(self, ServerFault::Silent),
             FaultKind::ZoneLost | FaultKind::ZoneCut | FaultKind::ZoneSlow | FaultKind::ZoneErrors => {
-                self.begin_zone_fault(&fault, which);
+                self.begin_zone_fault(&fault, fault_index);
             }
             FaultKind::Crash => {
                 sicken(self, ServerFault::Dead);
-                for n in self.hit[which].clone() {
+                for n in self.fault_targets[fault_index].clone() {
                     self.stop_server(n);
                     self.health[n as usize] = Health::Gone;
                 }
-                let some = self.hit[which].clone();
+                let some = self.fault_targets[fault_index].clone();
                 self.send_list_changes(&some);
             }
             FaultKind::Replace => {
                 if step == 0 {
-                    self.hit[which] = self.sample_up_servers(fault.part);
+                    self.fault_targets[fault_index] = self.sample_up_servers(fault.part);
                 }
-                let Some(old) = self.hit[which].get(step as usize).copied() else { return };
+                let Some(old) = self.fault_targets[fault_index].get(step as usize).copied() else { return };
                 let new = self.add_server(self.now);
                 self.health[old as usize] = Health::Draining;
                 self.send_list_changes(&[old, new]);
                 self.queue
                     .push(self.now + self.scenario.discovery.drain_s * 1000.0, SimEvent::ServerGone(old));
-                let gap = fault.for_s * 1000.0 / self.hit[which].len() as f64;
-                self.queue.push(self.now + gap, SimEvent::Fault { which, step: step + 1 });
+                let gap = fault.for_s * 1000.0 / self.fault_targets[fault_index].len() as f64;
+                self.queue.push(self.now + gap, SimEvent::Fault { fault_index, step: step + 1 });
             }
             FaultKind::Relist => {
                 let zones = self.scenario.servers.zones;
@@ -1068,16 +1056,18 @@
                     } else {
                         1.0
                     };
-                    self.queue.push(self.now + gap.max(least), SimEvent::Fault { which, step: step + 1 });
+                    self.queue
+                        .push(self.now + gap.max(least), SimEvent::Fault { fault_index, step: step + 1 });
                 }
             }
         }
     }
 
-    fn fault_end(&mut self, which: usize) {
-        let fault = self.scenario.faults[which].clone();
+    /// Ends a fault.
+    fn fault_end(&mut self, fault_index: usize) {
+        let fault = self.scenario.faults[fault_index].clone();
         let kind = fault.kind;
-        let hit = std::mem::take(&mut self.hit[which]);
+        let hit = std::mem::take(&mut self.fault_targets[fault_index]);
         for n in &hit {
             self.faulty_servers.remove(n);
             let s = &mut self.servers[*n as usize];
@@ -1144,9 +1134,9 @@
                 }
             }
             SimEvent::Zones(step) => self.zone_step(step),
-            SimEvent::Fault { which, step } => self.fault(which, step),
-            SimEvent::FaultEnd(which) => self.fault_end(which),
-            SimEvent::GatekeeperStart(k) => self.start(k)?,
+            SimEvent::Fault { fault_index, step } => self.fault(fault_index, step),
+            SimEvent::FaultEnd(fault_index) => self.fault_end(fault_index),
+            SimEvent::GatekeeperStart(k) => self.start_gatekeeper(k)?,
             SimEvent::ListRequest { gatekeeper, incarnation } => {
                 if self.gatekeepers[gatekeeper as usize].incarnation == incarnation {
                     self.request_list(gatekeeper);
@@ -1166,6 +1156,7 @@
         Ok(())
     }
 
+    /// Passes an endpoint update to a gatekeeper and records it in the oracle.
     fn list_received(&mut self, k: u32, kind: EndpointUpdateKind, entries: &[(u32, Server)]) {
         let mut named = BTreeSet::new();
         for (number, line) in entries {
@@ -1181,6 +1172,7 @@
         self.dispatch_event(k, Event::EndpointUpdate { kind, servers });
     }
 
+    /// Builds the report at the end of the run.
     fn finish(mut self, seed: u64) -> Report {
         let open = self.oracle.open_requests();
         if open > 0 {
@@ -1191,7 +1183,7 @@
         let servers = self.servers.iter().map(|s| ServerSums {
             attempts: s.attempts,
             busy: s.worked / (time * f64::from(s.cores)),
-            fallen: s.fallen,
+            fallen: s.has_failed,
             cold_load: s.max_cold_load,
         });
         let servers = servers.collect();
--- a/crates/sim/src/world/zones.rs
+++ b/crates/sim/src/world/zones.rs
@@ -311,7 +311,7 @@
     }
 
     /// Begins a zone fault.
-    pub(super) fn begin_zone_fault(&mut self, fault: &Fault, which: usize) {
+    pub(super) fn begin_zone_fault(&mut self, fault: &Fault, fault_index: usize) {
         let zone = fault.zone;
         let here: Vec<u32> = (0..self.servers.len() as u32)
             .filter(|n| self.servers[*n as usize].zone == zone && self.servers[*n as usize].is_up())
@@ -340,7 +340,7 @@
             let die = (fault.part * own.len() as f64).round() as usize;
             own.into_iter().take(die).for_each(|k| self.kill(k));
         }
-        self.hit[which] = here;
+        self.fault_targets[fault_index] = here;
         let Some(z) = &self.scenario.zones else { return };
         let away = self.zone_simulation.gone.contains(&zone) || fault.kind == FaultKind::ZoneCut;
         if away && self.zone_simulation.owner == Some(zone) {
@@ -371,12 +371,12 @@
         return k % zones;
     }
     let all: f64 = shares.iter().sum();
-    let mut lot = (f64::from(k) * 0.618_033_988_75 + 0.25).fract() * all;
+    let mut draw = (f64::from(k) * 0.618_033_988_75 + 0.25).fract() * all;
     for (zone, share) in shares.iter().enumerate() {
-        if lot < *share {
+        if draw < *share {
             return zone as u32;
         }
-        lot -= share;
+        draw -= share;
     }
     zones - 1
 }
