--- a/crates/sim/src/world.rs
+++ b/crates/sim/src/world.rs
@@ -918,6 +918,7 @@
         }
     }
 
+    /// Completes a job at a server, starts the next one from its queue, and sends the answer.
     fn job_done(&mut self, server: u32, incarnation: u32, id: u64, attempt: u32) {
         let slow_start = self.slow_start;
         let (now, hop) = (self.now, self.hop());
@@ -940,9 +941,9 @@
 
     /// Ends a server's incarnation; all of its jobs are reset.
     fn stop_server(&mut self, server: u32) {
-        let had = self.servers[server as usize].stop();
+        let unfinished = self.servers[server as usize].stop();
         self.connections.server_ended(server);
-        for job in had {
+        for job in unfinished {
             let hop = self.hop();
             let lost = SimEvent::Answer {
                 id: job.id,
@@ -960,6 +961,7 @@
         }
     }
 
+    /// Ends an attempt whose deadline has passed.
     fn deadline(&mut self, id: u64, attempt: u32) {
         let Some(is_received) = self.outstanding_attempt(id, attempt).map(|o| o.is_received) else { return };
         self.attempt_ended(
@@ -983,25 +985,25 @@
     }
 
     /// Begins a fault, or its next step.
-    fn fault(&mut self, fault_index: usize, step: u32) {
+    fn begin_fault(&mut self, fault_index: usize, step: u32) {
         let fault = self.scenario.faults[fault_index].clone();
-        let sicken = |world: &mut Self, sick: ServerFault| {
+        let apply_to_servers = |world: &mut Self, server_fault: ServerFault| {
             let some = world.sample_up_servers(fault.part);
             for n in &some {
-                world.servers[*n as usize].fault = sick;
+                world.servers[*n as usize].fault = server_fault;
             }
             world.faulty_servers.extend(&some);
             world.fault_targets[fault_index] = some;
         };
         match fault.kind {
-            FaultKind::Slow => sicken(self, ServerFault::Slow(fault.times)),
-            FaultKind::Errors => sicken(self, ServerFault::Errors),
-            FaultKind::Silent => sicken(self, ServerFault::Silent),
+            FaultKind::Slow => apply_to_servers(self, ServerFault::Slow(fault.times)),
+            FaultKind::Errors => apply_to_servers(self, ServerFault::Errors),
+            FaultKind::Silent => apply_to_servers(self, ServerFault::Silent),
             FaultKind::ZoneLost | FaultKind::ZoneCut | FaultKind::ZoneSlow | FaultKind::ZoneErrors => {
                 self.begin_zone_fault(&fault, fault_index);
             }
             FaultKind::Crash => {
-                sicken(self, ServerFault::Dead);
+                apply_to_servers(self, ServerFault::Dead);
                 for n in self.fault_targets[fault_index].clone() {
                     self.stop_server(n);
                     self.health[n as usize] = Health::Gone;
@@ -1064,7 +1066,7 @@
     }
 
     /// Ends a fault.
-    fn fault_end(&mut self, fault_index: usize) {
+    fn end_fault(&mut self, fault_index: usize) {
         let fault = self.scenario.faults[fault_index].clone();
         let kind = fault.kind;
         let hit = std::mem::take(&mut self.fault_targets[fault_index]);
@@ -1134,8 +1136,8 @@
                 }
             }
             SimEvent::Zones(step) => self.zone_step(step),
-            SimEvent::Fault { fault_index, step } => self.fault(fault_index, step),
-            SimEvent::FaultEnd(fault_index) => self.fault_end(fault_index),
+            SimEvent::Fault { fault_index, step } => self.begin_fault(fault_index, step),
+            SimEvent::FaultEnd(fault_index) => self.end_fault(fault_index),
             SimEvent::GatekeeperStart(k) => self.start_gatekeeper(k)?,
             SimEvent::ListRequest { gatekeeper, incarnation } => {
                 if self.gatekeepers[gatekeeper as usize].incarnation == incarnation {
