--- a/crates/ctl/src/council.rs
+++ b/crates/ctl/src/council.rs
@@ -1,4 +1,5 @@
-//! The council: its members, and coming back when the majority is gone for good.
+//! `frostctl council`: shows and changes the members of the council (the agents' consensus group), and recovers it
+//! from one member's file when the majority is permanently lost.
 
 use clap::Subcommand;
 use frostvale_agent::serve::control;
@@ -8,12 +9,12 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// There is no leader, or this agent takes no part.
-const PARTLY: u8 = 3;
-/// It was refused.
-const REFUSED: u8 = 4;
+/// Exit code: there is no leader, or this agent is not a working member.
+const EXIT_INCOMPLETE: u8 = 3;
+/// Exit code: the change was refused.
+const EXIT_REFUSED: u8 = 4;
 
-/// Which agent, and what.
+/// Arguments of `frostctl council`.
 #[derive(clap::Args)]
 pub struct Args {
     /// The control socket of any agent of the council.
@@ -25,54 +26,55 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Members, leader and how far the log goes. Exit code 3: no leader, or this agent takes no part.
+    /// Shows the members, the leader and the last index of the log. Exit code 3: no leader, or this agent takes no part.
     Status {
-        /// As JSON.
+        /// Prints JSON.
         #[arg(long)]
         json: bool,
     },
-    /// Gives one more agent a vote: a follower, or one whose council file is new. Exit code 4: refused.
+    /// Adds an agent as a voter: one that follows already, or one whose council file is new. Exit code 4: refused.
     Add {
-        /// Its name.
+        /// Name of the agent.
         name: String,
-        /// Where it is, as host and port; not wanted for one that follows already.
+        /// Address of the agent, as host and port; not needed for one that follows already.
         #[arg(long, default_value = "")]
         at: String,
     },
-    /// Takes a member out for good: its number never comes again. Exit code 4: refused.
+    /// Removes a member permanently: its number is never used again. Exit code 4: refused.
     Remove {
-        /// Its name.
+        /// Name of the member.
         name: String,
     },
-    /// The majority is gone for good: has one member go on alone, from what is in its file. Its agent must be stopped.
-    /// What others agreed on without it is lost, and members that come back are refused until they are added anew.
+    /// Recovers from the permanent loss of the majority: makes one member continue alone, from the contents of its file.
+    /// Its agent must be stopped. Entries that the others committed without it are lost, and members that return are
+    /// refused until they are added again.
     Recover {
-        /// The member's council file: of all that are left, that of the member whose log goes furthest.
+        /// The member's council file: of the remaining members, the one whose log has the highest last index.
         #[arg(long)]
         file: PathBuf,
-        /// Who says so.
+        /// Who makes this change; stored with it.
         #[arg(long, env = "USER", default_value = "operator")]
         by: String,
-        /// That the others are gone for good: if a majority of them still runs, there are two councils from now on.
+        /// Confirms that the others are permanently lost: if a majority of them still runs, there are two councils from now on.
         #[arg(long)]
         the_others_are_gone_for_good: bool,
     },
 }
 
-/// Does it.
+/// Runs the command. An error of the connection or of a read is returned; a refused change is exit code 4.
 pub async fn run(args: Args) -> Result<ExitCode, String> {
     let change = match args.command {
         Command::Status { json } => {
             let mut agent = control(&args.agent).await?;
-            let said =
+            let response =
                 agent.council(CouncilRequest {}).await.map_err(|e| e.message().to_string())?.into_inner();
             if json {
-                println!("{}", as_json(&said))
+                println!("{}", as_json(&response))
             } else {
-                table(&said)
+                table(&response)
             }
-            let sound = said.problem.is_empty() && !said.leader.is_empty();
-            return Ok(if sound { ExitCode::SUCCESS } else { ExitCode::from(PARTLY) });
+            let healthy = response.problem.is_empty() && !response.leader.is_empty();
+            return Ok(if healthy { ExitCode::SUCCESS } else { ExitCode::from(EXIT_INCOMPLETE) });
         }
         Command::Recover { file, by, the_others_are_gone_for_good } => {
             return recover(&file, &by, the_others_are_gone_for_good);
@@ -81,75 +83,79 @@
         Command::Remove { name } => CouncilChange { add: String::new(), remove: name, at: String::new() },
     };
     let mut agent = control(&args.agent).await?;
-    let mut asked = tonic::Request::new(change);
-    asked.set_timeout(
+    let mut request = tonic::Request::new(change);
+    request.set_timeout(
         frostvale_council::member::MEMBERSHIP_CHANGE_TIMEOUT + std::time::Duration::from_secs(1),
     );
-    match agent.change_council(asked).await {
-        Ok(said) => {
-            println!("{}", said.into_inner().text);
+    match agent.change_council(request).await {
+        Ok(response) => {
+            println!("{}", response.into_inner().text);
             Ok(ExitCode::SUCCESS)
         }
         Err(e) => {
-            eprintln!("frostctl: {}; look at frostctl council status", e.message());
-            Ok(ExitCode::from(REFUSED))
+            eprintln!("frostctl: {}; see frostctl council status", e.message());
+            Ok(ExitCode::from(EXIT_REFUSED))
         }
     }
 }
 
-fn recover(path: &std::path::Path, by: &str, sure: bool) -> Result<ExitCode, String> {
+fn recover(path: &std::path::Path, by: &str, confirmed: bool) -> Result<ExitCode, String> {
     if !path.is_file() {
-        return Err(format!("{}: there is no such file", path.display()));
+        return Err(format!("cannot open {}: there is no such file", path.display()));
     }
     let file = CouncilFile::open(path).map_err(|e| e.to_string())?;
-    let known = file.identity().map_err(|e| e.to_string())?;
-    let Some(known) = known else {
-        return Err(format!("{}: it is of no member yet: there is nothing to go on from", path.display()));
+    let identity = file.identity().map_err(|e| e.to_string())?;
+    let Some(identity) = identity else {
+        return Err(format!(
+            "cannot recover from {}: the file does not belong to a member yet",
+            path.display()
+        ));
     };
-    if !sure {
+    if !confirmed {
         println!(
-            "{} would go on alone for fleet {}. At risk: what the others agreed on and this file does not hold is lost, and if \
-             a majority of them still runs, there are two councils that both give out epochs. Those of this one jump far above \
-             theirs, so what the others do for the fleet is refused from its first effect on. Nothing was changed; to do it, \
-             add --the-others-are-gone-for-good.",
-            known.name, known.fleet
+            "{} would continue alone for fleet {}. At risk: entries that the others committed and this file lacks are lost, and if \
+             a majority of them still runs, there are two councils that both issue epochs. Those of this one jump far above \
+             theirs, so the others' effects on the fleet are refused from this one's first effect on. Nothing was changed; \
+             to continue, add --the-others-are-gone-for-good.",
+            identity.name, identity.fleet
         );
-        return Ok(ExitCode::from(REFUSED));
+        return Ok(ExitCode::from(EXIT_REFUSED));
     }
     let at_ms = u64::try_from(frostvale_agent::clock::unix_ms()).unwrap_or(0);
-    let now = file.recover(by, at_ms).map_err(|e| e.to_string())?;
+    let recovered = file.recover(by, at_ms).map_err(|e| e.to_string())?;
     println!(
-        "{} goes on alone for fleet {}, generation {}: start its agent, then add the others anew, each with a new file",
-        now.name, now.fleet, now.generation
+        "{} continues alone for fleet {}, generation {}: start its agent, then add the others again, each with a new file",
+        recovered.name, recovered.fleet, recovered.generation
     );
     Ok(ExitCode::SUCCESS)
 }
 
-fn table(said: &CouncilResponse) {
-    let leader = if said.leader.is_empty() { "nobody" } else { &said.leader };
+fn table(response: &CouncilResponse) {
+    let leader = if response.leader.is_empty() { "nobody" } else { &response.leader };
     println!(
         "fleet {}: this agent is member {} ({}); {leader} leads in term {}; log to {}, done to {}; file {} KB; {} messages \
          refused; generation {}",
-        said.fleet,
-        said.id,
-        said.state,
-        said.term,
-        said.last,
-        said.applied,
-        said.file_bytes / 1024,
-        said.refused,
-        said.generation
+        response.fleet,
+        response.id,
+        response.state,
+        response.term,
+        response.last,
+        response.applied,
+        response.file_bytes / 1024,
+        response.refused,
+        response.generation
     );
-    if !said.problem.is_empty() {
-        println!("  {}", said.problem);
+    if !response.problem.is_empty() {
+        println!("  {}", response.problem);
     }
-    if !said.refused_by.is_empty() {
-        let mut by: Vec<String> = said.refused_by.iter().map(|(cause, n)| format!("{cause} {n}")).collect();
+    if !response.refused_by.is_empty() {
+        let mut by: Vec<String> =
+            response.refused_by.iter().map(|(cause, n)| format!("{cause} {n}")).collect();
         by.sort();
         println!("  refused by cause: {}", by.join(", "));
     }
     println!("{:>6} {:<16} {:<24} {:<8} log to", "member", "name", "at", "votes");
-    for m in &said.members {
+    for m in &response.members {
         let matched = m.matched.map_or("-".into(), |n| n.to_string());
         println!(
             "{:>6} {:<16} {:<24} {:<8} {matched}",
@@ -159,18 +165,18 @@
             if m.votes { "yes" } else { "no" }
         );
     }
-    let votes = said.members.iter().filter(|m| m.votes).count();
+    let votes = response.members.iter().filter(|m| m.votes).count();
     if votes > 0 {
         println!("{votes} vote: {} may be gone", (votes - 1) / 2);
     }
 }
 
-fn as_json(said: &CouncilResponse) -> serde_json::Value {
+fn as_json(response: &CouncilResponse) -> serde_json::Value {
     let member = |m: &frostvale_proto::agent::Member| json!({"id": m.id, "name": m.name, "at": m.at, "votes": m.votes, "matched": m.matched});
     json!({
-        "fleet": said.fleet, "id": said.id, "state": said.state, "problem": said.problem, "leader": said.leader,
-        "term": said.term, "last": said.last, "applied": said.applied, "file_bytes": said.file_bytes,
-        "refused": said.refused, "refused_by": said.refused_by, "generation": said.generation,
-        "members": said.members.iter().map(member).collect::<Vec<_>>(),
+        "fleet": response.fleet, "id": response.id, "state": response.state, "problem": response.problem, "leader": response.leader,
+        "term": response.term, "last": response.last, "applied": response.applied, "file_bytes": response.file_bytes,
+        "refused": response.refused, "refused_by": response.refused_by, "generation": response.generation,
+        "members": response.members.iter().map(member).collect::<Vec<_>>(),
     })
 }
--- a/crates/ctl/src/dev.rs
+++ b/crates/ctl/src/dev.rs
@@ -185,7 +185,7 @@
         most.unwrap_or(0)
     );
     let mut all = vec![("servers".to_string(), servers)];
-    all.extend(crate::status::words(&town.control).await);
+    all.extend(crate::status::summary_lines(&town.control).await);
     all
 }
 
--- a/crates/ctl/src/duties.rs
+++ b/crates/ctl/src/duties.rs
@@ -1,4 +1,5 @@
-//! Duties of the fleet: who owns them, and operators' wishes.
+//! `frostctl duties`: lists the fleet's duties (leader-elected tasks) with their owners and history, and moves,
+//! pauses and resumes them through any agent's control socket.
 
 use clap::Subcommand;
 use frostvale_agent::serve::control;
@@ -8,18 +9,18 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// Some duty has no owner, is paused or set aside, or what is shown may be old.
-const PARTLY: u8 = 3;
-/// It was refused.
-const REFUSED: u8 = 4;
+/// Exit code: some duty has no owner, is paused or set aside, or the data shown may be stale.
+const EXIT_INCOMPLETE: u8 = 3;
+/// Exit code: the agent refused the change.
+const EXIT_REFUSED: u8 = 4;
 
-/// Which agent, and what.
+/// Arguments of `frostctl duties`.
 #[derive(clap::Args)]
 pub struct Args {
     /// The control socket of any agent of the council.
     #[arg(long, global = true, default_value = "/run/frostvale/agent.sock")]
     agent: PathBuf,
-    /// How it is printed.
+    /// Output format.
     #[arg(long, global = true, value_enum, default_value_t = Output::Table)]
     output: Output,
     #[command(subcommand)]
@@ -34,68 +35,69 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// All duties: owner, epoch, since when, last step, next. Exit code 3: some duty is not owned, or the council could not
-    /// be asked, and what is shown is what this agent last heard.
+    /// Lists all duties: owner, epoch, start of ownership, last step and next step. Exit code 3: some duty is not owned,
+    /// or the council could not be reached and the list is the last state that this agent received.
     List,
-    /// Changes of owner, oldest first.
+    /// Lists the changes of owner, oldest first.
     History {
-        /// Which duty.
+        /// Name of the duty.
         duty: String,
     },
-    /// Has a duty done elsewhere. Exit code 4: refused.
+    /// Moves a duty to another agent. Exit code 4: refused.
     Move {
-        /// Which duty.
+        /// Name of the duty.
         duty: String,
-        /// The agent's name.
+        /// Name of the agent that takes over the duty.
         #[arg(long)]
         to: String,
         #[command(flatten)]
-        who: Who,
+        who: Operator,
     },
     /// Stops a duty until it is resumed. Exit code 4: refused.
     Pause {
-        /// Which duty.
+        /// Name of the duty.
         duty: String,
-        /// Why, for whoever finds it paused.
+        /// Reason for the pause, shown to other operators.
         #[arg(long)]
         why: String,
         #[command(flatten)]
-        who: Who,
+        who: Operator,
     },
-    /// Lets a duty go on that was paused or set aside. Exit code 4: refused.
+    /// Resumes a duty that was paused or set aside. Exit code 4: refused.
     Resume {
-        /// Which duty.
+        /// Name of the duty.
         duty: String,
-        /// Why.
+        /// Reason for resuming it.
         #[arg(long)]
         why: String,
         #[command(flatten)]
-        who: Who,
+        who: Operator,
     },
 }
 
+/// The operator's name, shared by all commands that change a duty.
 #[derive(clap::Args)]
-struct Who {
-    /// Who says so.
+struct Operator {
+    /// Operator makes this change; stored with it.
     #[arg(long, env = "USER", default_value = "operator")]
     by: String,
 }
 
-/// Does it.
+/// Runs the command. An error of the connection or of a read is returned; a refused change is exit code 4.
 pub async fn run(args: Args) -> Result<ExitCode, String> {
     let mut agent = control(&args.agent).await?;
     let (what, duty, to, by, why) = match args.command {
         Command::List => {
-            let asked = DutiesRequest { duty: String::new(), history: false };
-            let said = agent.duties(asked).await.map_err(|e| e.message().to_string())?.into_inner();
-            list(&said, args.output);
-            let all = said.current && said.duties.iter().all(|d| d.state == "owned");
-            return Ok(if all { ExitCode::SUCCESS } else { ExitCode::from(PARTLY) });
+            let request = DutiesRequest { duty: String::new(), history: false };
+            let response = agent.duties(request).await.map_err(|e| e.message().to_string())?.into_inner();
+            list(&response, args.output);
+            let all_owned = response.current && response.duties.iter().all(|d| d.state == "owned");
+            return Ok(if all_owned { ExitCode::SUCCESS } else { ExitCode::from(EXIT_INCOMPLETE) });
         }
         Command::History { duty } => {
-            let asked = DutiesRequest { duty, history: true };
-            let said = agent.duties(asked).await.map_err(|e| e.message().to_string())?.into_inner();
-            history(&said, args.output);
+            let request = DutiesRequest { duty, history: true };
+            let response = agent.duties(request).await.map_err(|e| e.message().to_string())?.into_inner();
+            history(&response, args.output);
             return Ok(ExitCode::SUCCESS);
         }
         Command::Move { duty, to, who } => (What::Move, duty, to, who.by, String::new()),
@@ -103,28 +105,28 @@
         Command::Resume { duty, why, who } => (What::Resume, duty, String::new(), who.by, why),
     };
     match agent.change_duty(DutyChange { what: what.into(), duty, to, by, why }).await {
-        Ok(said) => {
-            println!("{}", said.into_inner().text);
+        Ok(response) => {
+            println!("{}", response.into_inner().text);
             Ok(ExitCode::SUCCESS)
         }
         Err(e) => {
             eprintln!("frostctl: refused: {}; nothing was changed", e.message());
-            Ok(ExitCode::from(REFUSED))
+            Ok(ExitCode::from(EXIT_REFUSED))
         }
     }
 }
 
-/// How long ago, or how soon, by this host's clock: agents' clocks may differ.
-fn when(ms: u64) -> String {
+/// Formats a Unix time in ms relative to now by this host's clock, from which agents' clocks may differ; "-" for 0.
+fn relative_time(ms: u64) -> String {
     if ms == 0 {
         return "-".into();
     }
-    let diff = frostvale_agent::clock::unix_ms() - i64::try_from(ms).unwrap_or(i64::MAX);
-    let s = diff as f64 / 1000.0;
+    let elapsed_ms = frostvale_agent::clock::unix_ms() - i64::try_from(ms).unwrap_or(i64::MAX);
+    let s = elapsed_ms as f64 / 1000.0;
     if s >= 0.0 { format!("{s:.1} s ago") } else { format!("in {:.1} s", -s) }
 }
 
-fn list(said: &DutiesResponse, output: Output) {
+fn list(response: &DutiesResponse, output: Output) {
     if matches!(output, Output::Json) {
         let duty = |d: &Duty| {
             json!({
@@ -133,49 +135,49 @@
                 "next_ms": d.next_ms, "beat": d.beat,
             })
         };
-        let sessions: Vec<_> = said
+        let sessions: Vec<_> = response
             .sessions
             .iter()
             .map(|s| json!({"owner": s.owner, "zone": s.zone, "beat": s.beat, "duties": s.duties}))
             .collect();
-        let duties: Vec<_> = said.duties.iter().map(duty).collect();
-        println!("{}", json!({"current": said.current, "duties": duties, "sessions": sessions}));
+        let duties: Vec<_> = response.duties.iter().map(duty).collect();
+        println!("{}", json!({"current": response.current, "duties": duties, "sessions": sessions}));
         return;
     }
-    if !said.current {
-        println!("the council could not be asked: this is what the agent last heard");
+    if !response.current {
+        println!("cannot reach the council: this is the last state that the agent received");
     }
     println!(
         "{:<12} {:<9} {:<14} {:>8} {:<12} {:>8} {:<12} {:<12} last step, or why",
         "duty", "state", "owner", "epoch", "since", "renewal", "last", "next"
     );
-    for d in &said.duties {
+    for d in &response.duties {
         let owner = if d.owner.is_empty() { "-" } else { &d.owner };
-        let word = if d.why.is_empty() { &d.note } else { &d.why };
+        let detail = if d.why.is_empty() { &d.note } else { &d.why };
         println!(
-            "{:<12} {:<9} {owner:<14} {:>8} {:<12} {:>8} {:<12} {:<12} {word}",
+            "{:<12} {:<9} {owner:<14} {:>8} {:<12} {:>8} {:<12} {:<12} {detail}",
             d.name,
             d.state,
             d.epoch,
-            when(d.since_ms),
+            relative_time(d.since_ms),
             d.beat,
-            when(d.step_ms),
-            when(d.next_ms)
+            relative_time(d.step_ms),
+            relative_time(d.next_ms)
         );
     }
-    for s in &said.sessions {
+    for s in &response.sessions {
         println!("agent {:<14} zone {:<10} renewal {:>8}, {} duties", s.owner, s.zone, s.beat, s.duties);
     }
 }
 
-fn history(said: &DutiesResponse, output: Output) {
+fn history(response: &DutiesResponse, output: Output) {
     if matches!(output, Output::Json) {
         let change = |c: &frostvale_proto::agent::OwnerChange| json!({"duty": c.duty, "epoch": c.epoch, "who": c.who, "what": c.what, "at_ms": c.at_ms});
-        println!("{}", json!({"changes": said.history.iter().map(change).collect::<Vec<_>>()}));
+        println!("{}", json!({"changes": response.history.iter().map(change).collect::<Vec<_>>()}));
         return;
     }
     println!("{:<14} {:>8} {:<14} what", "at", "epoch", "who");
-    for c in &said.history {
-        println!("{:<14} {:>8} {:<14} {}", when(c.at_ms), c.epoch, c.who, c.what);
+    for c in &response.history {
+        println!("{:<14} {:>8} {:<14} {}", relative_time(c.at_ms), c.epoch, c.who, c.what);
     }
 }
--- a/crates/ctl/src/load.rs
+++ b/crates/ctl/src/load.rs
@@ -200,7 +200,7 @@
     let rate = f64::from(args.rate);
     let mut playing = RunningLoad::of(rate, &args.shape, &args.show, args.targets, args.rls, plans)?;
     let around = async || match &args.agent {
-        Some(socket) => crate::status::words(socket).await,
+        Some(socket) => crate::status::summary_lines(socket).await,
         None => Vec::new(),
     };
     let mut tick = interval(Duration::from_secs(1));
--- a/crates/ctl/src/main.rs
+++ b/crates/ctl/src/main.rs
@@ -1,4 +1,7 @@
-//! `frostctl`: the operators' command line.
+//! `frostctl`, the operators' command line: parses the arguments, sets up logging and runs one command.
+//!
+//! A command that fails with an error prints it on standard error and exits with code 1. Other exit codes are
+//! documented with the command that uses them.
 
 mod audit;
 mod council;
@@ -15,63 +18,63 @@
 use clap::{Parser, Subcommand};
 use std::process::ExitCode;
 
-/// Looks after frostvale's gatekeepers and agents.
+/// Operates frostvale's gatekeepers and agents.
 #[derive(Parser)]
 #[command(name = "frostctl", version)]
 struct Args {
     #[command(subcommand)]
     command: Command,
-    /// How log lines on standard error are written: `text`, or `json`, one object a line.
+    /// Format of log lines on standard error: `text`, or `json` with one object per line.
     #[arg(long, global = true, value_name = "FORMAT", default_value = "text")]
     log_format: frostvale_log::Format,
-    /// Which are: a level, or levels by target.
+    /// Which log lines are written: a level, or levels by target.
     #[arg(long, global = true, value_name = "LEVELS", default_value = "info")]
     log_level: String,
 }
 
 #[derive(Subcommand)]
 enum Command {
-    /// Runs a whole town on this machine: formula servers, discovery, counter, gatekeepers and an agent.
+    /// Runs a local cluster on this machine: formula servers, discovery, counter, gatekeepers and an agent.
     Dev(dev::Args),
-    /// Plays load on a running town by RESP2 and gRPC, and reports what came of it.
+    /// Generates load on a running cluster over RESP2 and gRPC, and reports the results.
     Load(load::Args),
-    /// Asks an agent how its gatekeepers, its calls and the outside service do.
+    /// Shows the state of an agent: its gatekeepers, its rate limit calls and the outside service.
     Status(status::Args),
-    /// Asks the rate limit service whether a shop may have units, as a web store does. Exit code 5: over the limit.
+    /// Makes a rate limit call for a shop's units, as a web store does. Exit code 5: over the limit.
     Check(manual_request::CheckArgs),
-    /// Sends a request by RESP2, as a tinting station does. Exit code 5: refused.
+    /// Sends a request over RESP2, as a tinting station does. Exit code 5: refused.
     Ask(manual_request::RequestArgs),
     /// The store of record: plans, use, audit trail, backup.
     Record(record::Args),
-    /// Duties of the fleet: who owns them, and wishes about them.
+    /// Duties of the fleet: lists their owners, moves, pauses and resumes them.
     Duties(duties::Args),
-    /// The council of agents: its members, and coming back when the majority is gone for good.
+    /// The council of agents: shows and changes its members, and recovers it when the majority is permanently lost.
     Council(council::Args),
-    /// Zones: what was decided on them, who acts on which version, and drains.
+    /// Zones: shows the current decision and the version that each gatekeeper applies, and drains and restores zones.
     Zones(zones::Args),
-    /// The audit: which gatekeeper acted on which version, and a history that can be verified.
+    /// The audit: which version each gatekeeper applied, from a history that can be verified.
     Audit(audit::Args),
-    /// All gatekeepers, and what each acts on.
+    /// All gatekeepers, and the versions that each applies.
     Fleet(audit::FleetArgs),
-    /// Gatekeepers that are behind, unknown or shut out.
+    /// Gatekeepers that are behind, unknown or fenced off.
     Stragglers(audit::StragglerArgs),
-    /// The export of use by day.
+    /// The export of use by day: checks a folder for missing parts.
     Export(export::Args),
-    /// Simulates fleets of gatekeepers in virtual time, and watches the rules.
+    /// Simulates fleets of gatekeepers in virtual time and checks the invariants.
     Sim(sim::Args),
-    /// Starts a program that ends with its parent.
+    /// Starts a program that is terminated when its parent ends.
     #[command(hide = true, name = "with-parent")]
     WithParent(dev::WithParent),
 }
 
 fn main() -> ExitCode {
     let args = Args::parse();
-    if let Err(what) = frostvale_log::init("frostctl", ("host", ""), args.log_format, &args.log_level) {
-        eprintln!("frostctl: {what}");
+    if let Err(error) = frostvale_log::init("frostctl", ("host", ""), args.log_format, &args.log_level) {
+        eprintln!("frostctl: {error}");
         return ExitCode::FAILURE;
     }
     let format = args.log_format;
-    let ended = match args.command {
+    let outcome = match args.command {
         Command::WithParent(args) => dev::with_parent(&args),
         Command::Dev(args) => block_on(dev::run(args, format)),
         Command::Load(args) => block_on(load::run(args)),
@@ -89,14 +92,14 @@
         Command::Ask(args) => block_on(manual_request::request(args)),
     };
     frostvale_log::finish();
-    ended.unwrap_or_else(|what| {
-        tracing::error!("{what}");
+    outcome.unwrap_or_else(|error| {
+        tracing::error!("{error}");
         ExitCode::FAILURE
     })
 }
 
-fn block_on(work: impl Future<Output = Result<ExitCode, String>>) -> Result<ExitCode, String> {
+fn block_on(command: impl Future<Output = Result<ExitCode, String>>) -> Result<ExitCode, String> {
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build();
-    let ended = runtime.map_err(|e| format!("cannot start the runtime: {e}"))?.block_on(work)?;
-    Ok(ended)
+    let outcome = runtime.map_err(|e| format!("cannot start the runtime: {e}"))?.block_on(command)?;
+    Ok(outcome)
 }
--- a/crates/ctl/src/manual_request.rs
+++ b/crates/ctl/src/manual_request.rs
@@ -1,4 +1,4 @@
-//! One request or call, to try an interface by hand.
+//! `frostctl check` and `frostctl ask`: send one rate limit call or one request, to try an interface by hand.
 
 use frostvale_proto::envoy::extensions::common::ratelimit::v3::rate_limit_descriptor::Entry;
 use frostvale_proto::envoy::service::ratelimit::v3::rate_limit_response::Code;
@@ -8,19 +8,19 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-/// Exit code of what was refused.
-const REFUSED: u8 = 5;
+/// Exit code: the request was refused, or the call was over the limit.
+const EXIT_REFUSED: u8 = 5;
 
-/// Whose request, and for how much.
+/// The shop that a request or call is for, and its units.
 #[derive(clap::Args)]
 pub struct ShopArgs {
     /// The shop, 16 hex digits.
     #[arg(long, default_value = "00000000b4d65521")]
     shop: String,
-    /// Its plan.
+    /// The shop's plan.
     #[arg(long, default_value = "basico")]
     plan: String,
-    /// Units that it takes.
+    /// Units that the request takes.
     #[arg(long, default_value_t = 1)]
     units: u32,
     /// The first gatekeeper of the shop's set.
@@ -31,47 +31,47 @@
     spread: Option<u32>,
 }
 
-/// A rate limit call.
+/// Arguments of `frostctl check`, a rate limit call.
 #[derive(clap::Args)]
 pub struct CheckArgs {
-    /// Where the rate limit service listens.
+    /// Address of the rate limit service.
     #[arg(long, default_value = "127.0.0.1:8081")]
     rls: SocketAddr,
-    /// The class, for the time that a decision may take.
+    /// The class, which sets the time limit of the decision.
     #[arg(long)]
     class: Option<String>,
-    /// The domain.
+    /// Domain of the rate limit call.
     #[arg(long, default_value = "frostvale")]
     domain: String,
     #[command(flatten)]
-    what: ShopArgs,
+    shop: ShopArgs,
 }
 
-/// A request.
+/// Arguments of `frostctl ask`, a request over RESP2.
 #[derive(clap::Args)]
 pub struct RequestArgs {
-    /// Where the gatekeeper listens.
+    /// Address of the gatekeeper's RESP2 listener.
     #[arg(long)]
     gatekeeper: SocketAddr,
-    /// The class. Of the brief's, mix-record carries a key.
+    /// The class. Every class other than formula-read is sent with a key.
     #[arg(long, default_value = "formula-read")]
     class: String,
-    /// How long to wait, in ms.
+    /// Longest wait for the answer, in ms.
     #[arg(long, default_value_t = 1000)]
     wait_ms: u64,
     #[command(flatten)]
-    what: ShopArgs,
+    shop: ShopArgs,
 }
 
-fn shop(what: &ShopArgs) -> Shop {
-    let (first, spread) = (what.first.unwrap_or(0), what.spread.unwrap_or(1));
-    Shop { id: what.shop.clone(), plan: what.plan.clone(), first, spread }
+fn shop(args: &ShopArgs) -> Shop {
+    let (first, spread) = (args.first.unwrap_or(0), args.spread.unwrap_or(1));
+    Shop { id: args.shop.clone(), plan: args.plan.clone(), first, spread }
 }
 
-/// Makes a call and prints what came of it.
+/// Makes a rate limit call and prints its answer.
 pub async fn check(args: CheckArgs) -> Result<ExitCode, String> {
-    let set = args.what.first.is_some() || args.what.spread.is_some();
-    let mut call = client::rate_limit_call(&shop(&args.what), set, args.what.units);
+    let has_set = args.shop.first.is_some() || args.shop.spread.is_some();
+    let mut call = client::rate_limit_call(&shop(&args.shop), has_set, args.shop.units);
     call.domain = args.domain;
     if let (Some(class), Some(descriptor)) = (args.class, call.descriptors.first_mut()) {
         descriptor.entries.push(Entry { key: "class".into(), value: class });
@@ -103,27 +103,27 @@
     for header in &answer.response_headers_to_add {
         println!("  {}: {}", header.key, header.value);
     }
-    Ok(if answer.overall_code() == Code::Ok { ExitCode::SUCCESS } else { ExitCode::from(REFUSED) })
+    Ok(if answer.overall_code() == Code::Ok { ExitCode::SUCCESS } else { ExitCode::from(EXIT_REFUSED) })
 }
 
-/// Sends a request and prints what came of it.
+/// Sends a request and prints its answer.
 pub async fn request(args: RequestArgs) -> Result<ExitCode, String> {
     let at = args.gatekeeper;
-    let failed = |e: std::io::Error| format!("{at}: {e}; is a gatekeeper running there?");
-    let mut conn = RespConnection::connect(at).await.map_err(failed)?;
+    let connection_error = |e: std::io::Error| format!("{at}: {e}; is a gatekeeper running there?");
+    let mut conn = RespConnection::connect(at).await.map_err(connection_error)?;
     let key = client::unique_id();
     let key = (args.class != "formula-read").then_some(key.as_str());
     let wait = Duration::from_millis(args.wait_ms);
     let answer =
-        client::send_request(&mut conn, &shop(&args.what), &args.class, key, args.what.units, wait).await;
-    match answer.map_err(failed)? {
+        client::send_request(&mut conn, &shop(&args.shop), &args.class, key, args.shop.units, wait).await;
+    match answer.map_err(connection_error)? {
         Answer::Served(value) => {
             println!("served: {}", String::from_utf8_lossy(&value));
             Ok(ExitCode::SUCCESS)
         }
-        Answer::Busy(back) => {
-            println!("refused{}", back.map_or(String::new(), |ms| format!("; come back in {ms} ms")));
-            Ok(ExitCode::from(REFUSED))
+        Answer::Busy(retry_ms) => {
+            println!("refused{}", retry_ms.map_or(String::new(), |ms| format!("; come back in {ms} ms")));
+            Ok(ExitCode::from(EXIT_REFUSED))
         }
         Answer::Failed(line) => Err(format!("{at}: {line}")),
     }
--- a/crates/ctl/src/status.rs
+++ b/crates/ctl/src/status.rs
@@ -1,4 +1,5 @@
-//! How an agent does.
+//! `frostctl status`: shows the state of one agent: its links to gatekeepers, its rate limit calls, the record and the
+//! outside service.
 
 use frostvale_agent::serve::control;
 use frostvale_proto::agent::{StatusRequest, StatusResponse};
@@ -6,16 +7,16 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// Some gatekeeper is not linked.
-const PARTLY: u8 = 3;
+/// Exit code: some gatekeeper is not linked.
+const EXIT_INCOMPLETE: u8 = 3;
 
-/// Which agent.
+/// Arguments of `frostctl status`.
 #[derive(clap::Args)]
 pub struct Args {
     /// The agent's control socket.
     #[arg(long, default_value = "/run/frostvale/agent.sock")]
     agent: PathBuf,
-    /// How it is printed.
+    /// Output format.
     #[arg(long, value_enum, default_value_t = Output::Table)]
     output: Output,
 }
@@ -26,26 +27,29 @@
     Json,
 }
 
-/// Prints it. Exit code 3: some gatekeeper is not linked.
+/// Asks the agent for its status and prints it. Exit code 3: some gatekeeper is not linked.
 pub async fn run(args: Args) -> Result<ExitCode, String> {
     let mut agent = control(&args.agent).await?;
-    let said = agent.status(StatusRequest {}).await.map_err(|e| format!("the agent: {}", e.message()))?;
-    let status = said.into_inner();
+    let response = agent
+        .status(StatusRequest {})
+        .await
+        .map_err(|e| format!("cannot read the agent's status: {}", e.message()))?;
+    let status = response.into_inner();
     match args.output {
         Output::Table => table(&status),
         Output::Json => println!("{}", as_json(&status)),
     }
-    let all = status.gatekeepers.iter().all(|g| g.state == "linked");
-    Ok(if all { ExitCode::SUCCESS } else { ExitCode::from(PARTLY) })
+    let all_linked = status.gatekeepers.iter().all(|g| g.state == "linked");
+    Ok(if all_linked { ExitCode::SUCCESS } else { ExitCode::from(EXIT_INCOMPLETE) })
 }
 
-/// Links and record in a word each, for a view.
-pub async fn words(socket: &std::path::Path) -> Vec<(String, String)> {
+/// Returns one line each on the links and on the record, as (name, text), for the live view.
+pub async fn summary_lines(socket: &std::path::Path) -> Vec<(String, String)> {
     let status = async {
         let mut agent = control(socket).await?;
         agent.status(StatusRequest {}).await.map_err(|e| e.message().to_string())
     };
-    // A view does not stand still for an agent that hangs.
+    // The timeout keeps the live view refreshing when the agent hangs.
     let status = match tokio::time::timeout(std::time::Duration::from_millis(300), status).await {
         Ok(Ok(status)) => status.into_inner(),
         Ok(Err(_)) => return vec![("link".into(), "no agent answers".into())],
@@ -53,7 +57,7 @@
     };
     let linked = status.gatekeepers.iter().filter(|g| g.state == "linked").count();
     let calls = status.calls.unwrap_or_default();
-    let mut all = vec![(
+    let mut lines = vec![(
         "link".to_string(),
         format!(
             "{linked} of {} gatekeepers; {} checks undecided",
@@ -62,13 +66,13 @@
         ),
     )];
     if let Some(r) = status.record {
-        let word = format!(
+        let summary = format!(
             "{} {}, {} batches landed, {} in the spool, {} gaps",
             r.kind, r.state, r.landed, r.spool_batches, r.gaps
         );
-        all.push(("record".into(), word));
+        lines.push(("record".into(), summary));
     }
-    all
+    lines
 }
 
 fn table(status: &StatusResponse) {
--- a/crates/ctl/src/zones.rs
+++ b/crates/ctl/src/zones.rs
@@ -1,4 +1,5 @@
-//! Zones: what was decided on them, which gatekeeper acts on which version, and operators' drains.
+//! `frostctl zones`: shows the current decision on the zones and the version that each gatekeeper applies, and
+//! drains and restores zones for operators.
 
 use clap::Subcommand;
 use frostvale_agent::clock::unix_ms;
@@ -10,12 +11,12 @@
 use std::process::ExitCode;
 use std::time::{Duration, SystemTime};
 
-/// Not all act on what stands, or what is shown may be old.
-const PARTLY: u8 = 3;
-/// It was refused.
-const REFUSED: u8 = 4;
+/// Exit code: some gatekeeper does not apply the current decision, or the data shown may be stale.
+const EXIT_INCOMPLETE: u8 = 3;
+/// Exit code: the agent refused the change.
+const EXIT_REFUSED: u8 = 4;
 
-/// Which agent, and what.
+/// Arguments of `frostctl zones`.
 #[derive(clap::Args)]
 pub struct Args {
     /// The control socket of any agent of the council.
@@ -27,60 +28,66 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// What is decided, by whom, and what each gatekeeper acts on. Exit code 3: some gatekeeper acts on another version or on
-    /// none, or the owner can't be asked.
+    /// Shows the current decision, its owner, and the version that each gatekeeper applies. Exit code 3: some gatekeeper
+    /// applies another version or none, or the owner cannot be reached.
     Status {
-        /// As JSON.
+        /// Prints JSON.
         #[arg(long)]
         json: bool,
     },
-    /// Changes, oldest first.
+    /// Lists the changes, oldest first.
     History,
-    /// Has a zone used no more, in steps, until a time. Exit code 4: refused, with the figures where the others can't bear
-    /// it.
+    /// Takes a zone out of use in steps, until a given time. Exit code 4: refused, with the figures if the other zones
+    /// lack the capacity.
     Drain {
-        /// Which zone.
+        /// Name of the zone.
         zone: String,
-        /// Why, for whoever finds it drained.
+        /// Reason for the drain, shown to other operators.
         #[arg(long)]
         why: String,
-        /// Until when: for so long, as `30m` or `2h`, or a time, as `2026-12-24T06:00:00Z`.
+        /// End of the drain: a duration such as `30m` or `2h`, or a time such as `2026-12-24T06:00:00Z`.
         #[arg(long)]
         until: String,
-        /// Even where the others can't bear it: what is over is refused, and the answer says how much.
+        /// Drains the zone even if the others lack the capacity: the excess is refused, and the answer states its amount.
         #[arg(long)]
         force: bool,
-        /// Who says so.
+        /// Who makes this change; stored with it.
         #[arg(long, env = "USER", default_value = "operator")]
         by: String,
     },
-    /// Ends a drain before its time. Exit code 4: refused.
+    /// Ends a drain early. Exit code 4: refused.
     Restore {
-        /// Which zone.
+        /// Name of the zone.
         zone: String,
-        /// Who says so.
+        /// Who makes this change; stored with it.
         #[arg(long, env = "USER", default_value = "operator")]
         by: String,
     },
 }
 
-/// Does it.
+/// Runs the command. An error of the connection or of a read is returned; a refused change is exit code 4.
 pub async fn run(args: Args) -> Result<ExitCode, String> {
     let mut agent = control(&args.agent).await?;
     let change = match args.command {
         Command::Status { json } => {
-            let said = agent.zones(ZonesRequest {}).await.map_err(|e| e.message().to_string())?.into_inner();
+            let response =
+                agent.zones(ZonesRequest {}).await.map_err(|e| e.message().to_string())?.into_inner();
             if json {
-                println!("{}", as_json(&said));
+                println!("{}", as_json(&response));
             } else {
-                table(&said);
+                table(&response);
             }
-            return Ok(if sound(&said) { ExitCode::SUCCESS } else { ExitCode::from(PARTLY) });
+            return Ok(if is_healthy(&response) {
+                ExitCode::SUCCESS
+            } else {
+                ExitCode::from(EXIT_INCOMPLETE)
+            });
         }
         Command::History => {
-            let said = agent.zones(ZonesRequest {}).await.map_err(|e| e.message().to_string())?.into_inner();
-            for c in said.history {
-                println!("{}  epoch {:<8} {:<16} {}", when(c.at_ms), c.epoch, c.who, c.what);
+            let response =
+                agent.zones(ZonesRequest {}).await.map_err(|e| e.message().to_string())?.into_inner();
+            for c in response.history {
+                println!("{}  epoch {:<8} {:<16} {}", format_time(c.at_ms), c.epoch, c.who, c.what);
             }
             return Ok(ExitCode::SUCCESS);
         }
@@ -90,58 +97,61 @@
         Command::Restore { zone, by } => ZonesChange { restore: zone, by, ..ZonesChange::default() },
     };
     match agent.change_zones(change).await {
-        Ok(said) => {
-            println!("{}", said.into_inner().text);
+        Ok(response) => {
+            println!("{}", response.into_inner().text);
             Ok(ExitCode::SUCCESS)
         }
         Err(e) => {
-            eprintln!("frostctl: {}; look at frostctl zones status", e.message());
-            Ok(ExitCode::from(REFUSED))
+            eprintln!("frostctl: {}; see frostctl zones status", e.message());
+            Ok(ExitCode::from(EXIT_REFUSED))
         }
     }
 }
 
+/// Parses `--until` into a Unix time in ms: a duration from now by this host's clock, or an RFC 3339 time.
 fn until_ms(text: &str) -> Result<u64, String> {
     let now = u64::try_from(unix_ms()).unwrap_or(0);
     if let Ok(span) = humantime::parse_duration(text) {
         return Ok(now.saturating_add(u64::try_from(span.as_millis()).unwrap_or(u64::MAX)));
     }
     let at = humantime::parse_rfc3339(text)
-        .map_err(|_| format!("--until {text}: so long, as 30m or 2h, or a time, as 2026-12-24T06:00:00Z"))?;
+        .map_err(|_| format!("cannot parse --until {text}: expected a duration such as 30m, or a time such as 2026-12-24T06:00:00Z"))?;
     let since = at.duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
     Ok(u64::try_from(since.as_millis()).unwrap_or(u64::MAX))
 }
 
-fn when(unix_ms: u64) -> String {
+/// Formats a Unix time in ms as RFC 3339, at most the last second of the year 9999.
+fn format_time(unix_ms: u64) -> String {
     let at = SystemTime::UNIX_EPOCH + Duration::from_millis(unix_ms.min(253_402_300_799_000));
     humantime::format_rfc3339_seconds(at).to_string()
 }
 
-/// Whether all that are heard act on what stands.
-fn sound(said: &ZonesResponse) -> bool {
-    let acts = |a: &ZoneActs| a.version == said.version && a.problem.is_empty();
-    said.current && said.view.as_ref().is_some_and(|v| !v.acts.is_empty() && v.acts.iter().all(acts))
+/// Whether the response is current and every gatekeeper that reports applies the current version without a problem.
+fn is_healthy(response: &ZonesResponse) -> bool {
+    let is_current = |a: &ZoneActs| a.version == response.version && a.problem.is_empty();
+    response.current
+        && response.view.as_ref().is_some_and(|v| !v.acts.is_empty() && v.acts.iter().all(is_current))
 }
 
-fn share(s: Share) -> String {
+fn format_share(s: Share) -> String {
     let percent = |milli: u32| format!("{}%", milli / 10);
     if s.start == s.end { percent(s.end) } else { format!("{} to {}", percent(s.start), percent(s.end)) }
 }
 
-fn table(said: &ZonesResponse) {
-    if said.version == 0 {
+fn table(response: &ZonesResponse) {
+    if response.version == 0 {
         println!("nothing is decided yet: each gatekeeper acts by itself");
     } else {
-        let old = if said.current { "" } else { " (as last heard: the council can't be asked)" };
+        let stale = if response.current { "" } else { " (last known: the council cannot be reached)" };
         println!(
-            "version {} of {}, epoch {}, by {}{old}",
-            said.version,
-            when(said.at_ms),
-            said.epoch,
-            said.owner
+            "version {} of {}, epoch {}, by {}{stale}",
+            response.version,
+            format_time(response.at_ms),
+            response.epoch,
+            response.owner
         );
     }
-    if let Ok(decision) = serde_json::from_str::<Decision>(&said.decision) {
+    if let Ok(decision) = serde_json::from_str::<Decision>(&response.decision) {
         println!("{:<16} {:<12} {:>8} {:>8} {:>8}  why", "zone", "state", "suffers", "needs", "bears");
         for z in &decision.zones {
             println!(
@@ -155,19 +165,25 @@
             );
         }
         for row in &decision.rows {
-            let far: Vec<String> = row.spill.iter().map(|s| format!("{} {}", s.to, share(s.share))).collect();
-            println!("from {}: near {}, elsewhere at the most {}", row.from, share(row.near), far.join(", "));
+            let spilled: Vec<String> =
+                row.spill.iter().map(|s| format!("{} {}", s.to, format_share(s.share))).collect();
+            println!(
+                "from {}: near {}, elsewhere at the most {}",
+                row.from,
+                format_share(row.near),
+                spilled.join(", ")
+            );
         }
         if decision.ramp_ms > 0 {
             println!("shares move over {:.1} s", decision.ramp_ms as f64 / 1000.0);
         }
     }
-    for i in &said.intents {
+    for i in &response.intents {
         let force = if i.force { ", forced" } else { "" };
-        println!("{} is drained until {} by {}{force}: {}", i.zone, when(i.until_ms), i.by, i.why);
+        println!("{} is drained until {} by {}{force}: {}", i.zone, format_time(i.until_ms), i.by, i.why);
     }
-    let Some(view) = &said.view else {
-        println!("the owner can't be asked: what each gatekeeper acts on is not known");
+    let Some(view) = &response.view else {
+        println!("cannot reach the owner: the version that each gatekeeper applies is not known");
         return;
     };
     println!("reports: {} taken, {} that can't be, {} too old", view.heard, view.refused, view.old);
@@ -185,10 +201,10 @@
     }
 }
 
-fn as_json(said: &ZonesResponse) -> serde_json::Value {
-    let decision: serde_json::Value = serde_json::from_str(&said.decision).unwrap_or_default();
+fn as_json(response: &ZonesResponse) -> serde_json::Value {
+    let decision: serde_json::Value = serde_json::from_str(&response.decision).unwrap_or_default();
     let acts = |a: &ZoneActs| json!({"gatekeeper": a.gatekeeper, "agent": a.agent, "version": a.version, "epoch": a.epoch, "problem": a.problem, "age_ms": a.age_ms});
-    let view = said.view.as_ref().map(|v| {
+    let view = response.view.as_ref().map(|v| {
         json!({
             "agents": v.agents.iter().map(|a| json!({"name": a.name, "zone": a.zone, "age_ms": a.age_ms, "counts": a.counts})).collect::<Vec<_>>(),
             "acts": v.acts.iter().map(acts).collect::<Vec<_>>(),
@@ -196,8 +212,8 @@
         })
     });
     json!({
-        "version": said.version, "epoch": said.epoch, "owner": said.owner, "at_ms": said.at_ms, "current": said.current,
+        "version": response.version, "epoch": response.epoch, "owner": response.owner, "at_ms": response.at_ms, "current": response.current,
         "decision": decision, "view": view,
-        "drains": said.intents.iter().map(|i| json!({"zone": i.zone, "force": i.force, "by": i.by, "why": i.why, "until_ms": i.until_ms})).collect::<Vec<_>>(),
+        "drains": response.intents.iter().map(|i| json!({"zone": i.zone, "force": i.force, "by": i.by, "why": i.why, "until_ms": i.until_ms})).collect::<Vec<_>>(),
     })
 }
