--- a/crates/ctl/src/audit.rs
+++ b/crates/ctl/src/audit.rs
@@ -1,4 +1,5 @@
-//! The audit: what each gatekeeper acts on, its history, and those that are behind or shut out.
+//! `frostctl audit`, `fleet` and `stragglers`: the versions that each gatekeeper applies, the history of them with its
+//! verification, and the gatekeepers that are behind or fenced off.
 
 use clap::Subcommand;
 use frostvale_agent::clock::unix_ms;
@@ -16,125 +17,127 @@
 use std::time::{Duration, SystemTime};
 use tonic::transport::Channel;
 
-/// Not all is as it should be, or what is shown may be old.
-const PARTLY: u8 = 3;
-/// It was refused.
-const REFUSED: u8 = 4;
-/// The history does not hold together.
-const BROKEN: u8 = 6;
-/// Rows that are asked for at once.
-const ROWS: u32 = 1000;
+/// Exit code: some gatekeeper is behind, unknown or fenced off, or the data shown may be stale.
+const EXIT_INCOMPLETE: u8 = 3;
+/// Exit code: the agent refused the change, or the gatekeeper is not known.
+const EXIT_REFUSED: u8 = 4;
+/// Exit code: the verification of the history found a fault.
+const EXIT_VERIFY_FAILED: u8 = 6;
+/// Rows of the history that are requested at once.
+const HISTORY_BATCH_ROWS: u32 = 1000;
 
-/// Which agent.
+/// The agent to ask, and the output format.
 #[derive(clap::Args)]
-struct Place {
+struct Target {
     /// The control socket of any agent of the council.
     #[arg(long, global = true, default_value = "/run/frostvale/agent.sock")]
     agent: PathBuf,
-    /// As JSON.
+    /// Prints JSON.
     #[arg(long, global = true)]
     json: bool,
 }
 
-/// Which agent, and what.
+/// Arguments of `frostctl audit`.
 #[derive(clap::Args)]
 pub struct Args {
     #[command(flatten)]
-    place: Place,
+    target: Target,
     #[command(subcommand)]
     command: Command,
 }
 
 #[derive(Subcommand)]
 enum Command {
-    /// What each gatekeeper acted on at a time, by the history. What may have been either way is shown as such.
+    /// Shows the versions that each gatekeeper applied at a time, from the history. Changes that may have taken effect
+    /// before or after that time are listed as uncertain.
     At {
-        /// So long ago, as `10m`, or a time, as `2026-12-24T06:00:00Z`.
+        /// The time: a duration before now such as `10m`, or a time such as `2026-12-24T06:00:00Z`.
         time: String,
     },
-    /// Everything the history knows of one gatekeeper, oldest first.
+    /// Lists all rows of the history on one gatekeeper, oldest first.
     Instance {
-        /// Which.
+        /// Name of the gatekeeper.
         name: String,
     },
-    /// Units by gatekeeper that were decided under a revision of plans, and until when; with how much of it after the next
-    /// one was out.
+    /// Shows by gatekeeper the units that were decided under a revision of the plans and the time range, and marks those
+    /// that ended after the next revision was wanted.
     Version {
-        /// The revision.
+        /// Revision of the plans.
         revision: u64,
     },
-    /// Looks through the whole history for rows that were changed, removed or put in, and against the council's anchors.
-    /// Exit code 6: it does not hold together, and each place is named.
+    /// Verifies the whole history: detects rows that were changed, removed or inserted, and compares it with the council's
+    /// checkpoints. Exit code 6: the verification failed; each fault is named.
     Verify,
-    /// Writes the whole history, as CSV or as JSON lines, to standard output.
+    /// Writes the whole history to standard output, as CSV or JSON lines.
     Export {
-        /// `csv` or `json`.
+        /// Output format: `csv` or `json`.
         #[arg(long, default_value = "csv")]
         format: String,
     },
 }
 
-/// Which agent, and what.
+/// Arguments of `frostctl fleet`.
 #[derive(clap::Args)]
 pub struct FleetArgs {
     #[command(flatten)]
-    place: Place,
+    target: Target,
     #[command(subcommand)]
     command: FleetCommand,
 }
 
 #[derive(Subcommand)]
 enum FleetCommand {
-    /// All gatekeepers that are known, and what each acts on. Exit code 3: one is behind, unknown or shut out, or the owner
-    /// can't be asked.
+    /// Lists all known gatekeepers and the versions that each applies. Exit code 3: one is behind, unknown or fenced off,
+    /// or the owner cannot be reached.
     List,
-    /// The same, again and again.
+    /// Prints the same list repeatedly.
     Watch {
-        /// How often, in seconds.
+        /// Interval in seconds, 0.1 to 3600.
         #[arg(long, default_value_t = 2.0)]
         every: f64,
     },
 }
 
-/// Which agent, and what.
+/// Arguments of `frostctl stragglers`.
 #[derive(clap::Args)]
 pub struct StragglerArgs {
     #[command(flatten)]
-    place: Place,
+    target: Target,
     #[command(subcommand)]
     command: StragglerCommand,
 }
 
 #[derive(Subcommand)]
 enum StragglerCommand {
-    /// Those that are behind, unknown or shut out, how far each has come, and alarms. Exit code 3: there is one.
+    /// Lists the gatekeepers that are behind, unknown or fenced off, with the escalation step of each, and alarms.
+    /// Exit code 3: there is one.
     List,
-    /// Has one shut out, until a time, as far as the floors allow. Exit code 4: refused.
-    Out(Wish),
-    /// Keeps one in, until a time, whatever it acts on. Exit code 4: refused.
-    In(Wish),
-    /// Takes back what was said of one by hand. Exit code 4: refused.
+    /// Fences a gatekeeper off until a given time, as far as the minimum of gatekeepers in service allows. Exit code 4: refused.
+    Out(Override),
+    /// Keeps a gatekeeper in service until a given time, whatever versions it applies. Exit code 4: refused.
+    In(Override),
+    /// Removes an operator override of a gatekeeper. Exit code 4: refused.
     Clear {
-        /// Which.
+        /// Name of the gatekeeper.
         instance: String,
-        /// Who says so.
+        /// Who makes this change; stored with it.
         #[arg(long, env = "USER", default_value = "operator")]
         by: String,
     },
 }
 
-/// An operator's word.
+/// An operator override of one gatekeeper.
 #[derive(clap::Args)]
-struct Wish {
-    /// Which.
+struct Override {
+    /// Name of the gatekeeper.
     instance: String,
-    /// Why, for whoever finds it so.
+    /// Reason for the override, shown to other operators.
     #[arg(long)]
     why: String,
-    /// Until when: for so long, as `30m`, or a time, as `2026-12-24T06:00:00Z`.
+    /// End of the override: a duration such as `30m`, or a time such as `2026-12-24T06:00:00Z`.
     #[arg(long)]
     until: String,
-    /// Who says so.
+    /// Who makes this change; stored with it.
     #[arg(long, env = "USER", default_value = "operator")]
     by: String,
 }
@@ -143,32 +146,41 @@
     u64::try_from(unix_ms()).unwrap_or(0)
 }
 
-fn time_ms(text: &str) -> Result<u64, String> {
-    let at = humantime::parse_rfc3339(text)
-        .map_err(|_| format!("{text}: so long, as 30m, or a time, as 2026-12-24T06:00:00Z"))?;
+/// Parses an RFC 3339 time into Unix time in ms.
+fn parse_time_ms(text: &str) -> Result<u64, String> {
+    let at = humantime::parse_rfc3339(text).map_err(|_| {
+        format!(
+            "cannot parse {text}: expected a duration such as 30m, or a time such as 2026-12-24T06:00:00Z"
+        )
+    })?;
     let since = at.duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
     Ok(u64::try_from(since.as_millis()).unwrap_or(u64::MAX))
 }
 
-fn span_ms(text: &str) -> Option<u64> {
+/// Parses a duration such as `30m` into ms; `None` if the text is not a duration.
+fn duration_ms(text: &str) -> Option<u64> {
     humantime::parse_duration(text).ok().map(|span| u64::try_from(span.as_millis()).unwrap_or(u64::MAX))
 }
 
-fn when(unix_ms: u64) -> String {
+/// Formats a Unix time in ms as RFC 3339, at most the last second of the year 9999.
+fn format_time(unix_ms: u64) -> String {
     let at = SystemTime::UNIX_EPOCH + Duration::from_millis(unix_ms.min(253_402_300_799_000));
     humantime::format_rfc3339_millis(at).to_string()
 }
 
-/// A history, whole, and where it begins.
-async fn rows(agent: &mut AgentClient<Channel>) -> Result<(Vec<ChainRow>, Checkpoint), String> {
+/// Reads the whole history in batches; returns its rows and the checkpoint that the first row follows.
+async fn fetch_history(agent: &mut AgentClient<Channel>) -> Result<(Vec<ChainRow>, Checkpoint), String> {
     let mut all: Vec<ChainRow> = Vec::new();
     loop {
-        let asked = HistoryRequest { after: all.last().map_or(0, |r| r.number), most: ROWS };
-        let said = agent.history(asked).await.map_err(|e| e.message().to_string())?.into_inner();
-        let base = serde_json::from_str(&said.base).map_err(|e| format!("the history's base: {e}"))?;
-        let more = said.rows.len() == ROWS as usize;
-        for row in said.rows {
-            all.push(serde_json::from_str(&row).map_err(|e| format!("a row of the history: {e}"))?);
+        let request = HistoryRequest { after: all.last().map_or(0, |r| r.number), most: HISTORY_BATCH_ROWS };
+        let response = agent.history(request).await.map_err(|e| e.message().to_string())?.into_inner();
+        let base = serde_json::from_str(&response.base)
+            .map_err(|e| format!("cannot parse the base of the history: {e}"))?;
+        let more = response.rows.len() == HISTORY_BATCH_ROWS as usize;
+        for row in response.rows {
+            all.push(
+                serde_json::from_str(&row).map_err(|e| format!("cannot parse a row of the history: {e}"))?,
+            );
         }
         if !more {
             return Ok((all, base));
@@ -176,46 +188,46 @@
     }
 }
 
-async fn ask(agent: &mut AgentClient<Channel>) -> Result<AuditResponse, String> {
+async fn fetch_audit(agent: &mut AgentClient<Channel>) -> Result<AuditResponse, String> {
     Ok(agent.audit(AuditRequest {}).await.map_err(|e| e.message().to_string())?.into_inner())
 }
 
-/// Answers about the history.
+/// Runs `frostctl audit`.
 pub async fn run(args: Args) -> Result<ExitCode, String> {
-    let mut agent = control(&args.place.agent).await?;
-    let json = args.place.json;
+    let mut agent = control(&args.target.agent).await?;
+    let json = args.target.json;
     match args.command {
         Command::At { time } => {
-            let at = match span_ms(&time) {
+            let at = match duration_ms(&time) {
                 Some(span) => now_ms().saturating_sub(span),
-                None => time_ms(&time)?,
+                None => parse_time_ms(&time)?,
             };
             let mut replay = Replay::new(at, "");
-            rows(&mut agent).await?.0.iter().for_each(|r| replay.apply_row(r));
+            fetch_history(&mut agent).await?.0.iter().for_each(|r| replay.apply_row(r));
             let all = replay.finish();
             if json {
                 println!("{}", json!({"at_ms": at, "instances": all}));
                 return Ok(ExitCode::SUCCESS);
             }
-            println!("at {}", when(at));
+            println!("at {}", format_time(at));
             for (name, then) in all {
-                let heard = if then.heard { "" } else { ", nothing heard of it" };
-                let out = if then.out { ", shut out" } else { "" };
-                println!("{name}: life {}{heard}{out}", then.life);
+                let reported = if then.heard { "" } else { ", no report received" };
+                let out = if then.out { ", fenced off" } else { "" };
+                println!("{name}: life {}{reported}{out}", then.life);
                 for (kind, version) in &then.versions {
-                    println!("  {kind:<20} {}", brief(version));
+                    println!("  {kind:<20} {}", short_version(version));
                 }
                 for (row, what) in &then.between {
-                    println!("  may have been so already, or not yet (row {row}): {what}");
+                    println!("  uncertain, before or after this time (row {row}): {what}");
                 }
             }
         }
         Command::Instance { name } => {
-            let all = rows(&mut agent).await?.0;
+            let all = fetch_history(&mut agent).await?.0;
             let own: Vec<&ChainRow> = all.iter().filter(|r| r.instance == name).collect();
             if own.is_empty() {
-                eprintln!("frostctl: the history knows no gatekeeper {name:?}; look at frostctl fleet list");
-                return Ok(ExitCode::from(REFUSED));
+                eprintln!("frostctl: the history has no gatekeeper {name:?}; see frostctl fleet list");
+                return Ok(ExitCode::from(EXIT_REFUSED));
             }
             for row in own {
                 if json {
@@ -224,11 +236,11 @@
                     println!(
                         "{:>8}  {}  life {:<14} {:<16} {} -> {}",
                         row.number,
-                        when(row.at_ms),
+                        format_time(row.at_ms),
                         row.life,
                         row.kind,
-                        brief(&row.was),
-                        brief(&row.now_is)
+                        short_version(&row.was),
+                        short_version(&row.now_is)
                     );
                 }
             }
@@ -236,7 +248,7 @@
         Command::Version { revision } => return version(&mut agent, revision, json).await,
         Command::Verify => return verify(&mut agent, json).await,
         Command::Export { format } => {
-            let all = rows(&mut agent).await?.0;
+            let all = fetch_history(&mut agent).await?.0;
             match format.as_str() {
                 "json" => all.iter().for_each(|r| println!("{}", json!(r))),
                 "csv" => {
@@ -246,15 +258,15 @@
                     }
                     csv.flush().map_err(|e| e.to_string())?;
                 }
-                _ => return Err(format!("--format {format}: csv or json")),
+                _ => return Err(format!("unknown --format {format}: expected csv or json")),
             }
         }
     }
     Ok(ExitCode::SUCCESS)
 }
 
-/// A version in short.
-fn brief(text: &str) -> String {
+/// Shortens a version `revision:digest` to the first 8 hex digits of its digest.
+fn short_version(text: &str) -> String {
     match text.split_once(':') {
         Some((revision, digest)) if digest.len() == 64 => format!("{revision}:{}", &digest[..8]),
         _ => text.to_string(),
@@ -263,8 +275,8 @@
 
 async fn version(agent: &mut AgentClient<Channel>, revision: u64, json: bool) -> Result<ExitCode, String> {
     let used = agent.use_by_revision(UseByRevisionRequest {}).await.map_err(|e| e.message().to_string())?;
-    let all = rows(agent).await?.0;
-    // When the next revision was wanted, as the owner entered it.
+    let all = fetch_history(agent).await?.0;
+    // The time from which a later revision was wanted, as the owner recorded it.
     let later =
         |r: &&ChainRow| r.kind == "wanted.plans" && r.now_is.parse::<u64>().is_ok_and(|n| n > revision);
     let next = all.iter().find(later).map(|r| r.at_ms);
@@ -294,51 +306,60 @@
         units(total.1)
     );
     if let Some(next) = next {
-        println!("a later revision was wanted from {} on, by the owner's clock", when(next));
+        println!("a later revision was wanted from {} on, by the owner's clock", format_time(next));
     }
     for (u, after) in &shown {
-        let after = if *after { "  still after the next was wanted" } else { "" };
+        let after = if *after { "  ended after the next revision was wanted" } else { "" };
         println!(
             "  {} life {}: {} passed, {} refused, {} to {} by its clock{after}",
             u.instance,
             u.life,
             units(u.passed_milli),
             units(u.refused_milli),
-            when(u.from_ms),
-            when(u.to_ms)
+            format_time(u.from_ms),
+            format_time(u.to_ms)
         );
     }
     Ok(ExitCode::SUCCESS)
 }
 
 async fn verify(agent: &mut AgentClient<Channel>, json: bool) -> Result<ExitCode, String> {
-    // The anchors first: rows go on being entered, and are never fewer than were anchored.
-    let said = ask(agent).await?;
-    let decision: Decision = serde_json::from_str(&said.decision).unwrap_or_default();
-    let (all, base) = rows(agent).await?;
-    let anchors = decision.anchors.len();
-    let mut look = ChainVerifier::new(base.clone(), decision.anchors);
-    all.iter().for_each(|r| look.check_row(r));
-    let (broken, count) = look.finish();
+    // The checkpoints are read before the rows: rows are only ever added, so the later read holds all rows that the
+    // checkpoints cover.
+    let response = fetch_audit(agent).await?;
+    let decision: Decision = serde_json::from_str(&response.decision).unwrap_or_default();
+    let (all, base) = fetch_history(agent).await?;
+    let checkpoint_count = decision.anchors.len();
+    let mut verifier = ChainVerifier::new(base.clone(), decision.anchors);
+    all.iter().for_each(|r| verifier.check_row(r));
+    let (broken, count) = verifier.finish();
     if json {
-        println!("{}", json!({"rows": count, "from": base.number + 1, "anchors": anchors, "broken": broken}));
+        println!(
+            "{}",
+            json!({"rows": count, "from": base.number + 1, "anchors": checkpoint_count, "broken": broken})
+        );
     } else {
-        println!("{count} rows from {} on, against {anchors} anchors of the council", base.number + 1);
+        println!(
+            "{count} rows from {} on, against {checkpoint_count} checkpoints of the council",
+            base.number + 1
+        );
         broken.iter().for_each(|b| println!("{b}"));
         if broken.is_empty() {
-            println!("the history holds together");
+            println!("the history is intact");
         }
     }
-    if anchors == 0 && !json {
-        println!("there is no anchor yet: a history that ends too early could not be told");
+    if checkpoint_count == 0 && !json {
+        println!("there is no checkpoint yet: removed rows at the end of the history cannot be detected");
     }
-    Ok(if broken.is_empty() { ExitCode::SUCCESS } else { ExitCode::from(BROKEN) })
+    Ok(if broken.is_empty() { ExitCode::SUCCESS } else { ExitCode::from(EXIT_VERIFY_FAILED) })
 }
 
-fn sound(i: &Instance) -> bool {
+/// Whether the gatekeeper reports, is up to date and is not fenced off.
+fn is_healthy(i: &Instance) -> bool {
     i.heard && i.behind.is_empty() && !i.out
 }
 
+/// Describes the state of a gatekeeper for the table.
 fn state(i: &Instance) -> String {
     match (i.out, i.heard, i.behind.as_str()) {
         (true, _, "") => "out, up to date again".into(),
@@ -349,31 +370,34 @@
     }
 }
 
-fn as_json(said: &AuditResponse) -> serde_json::Value {
-    let acting = |i: &Instance| -> serde_json::Map<String, serde_json::Value> {
+fn as_json(response: &AuditResponse) -> serde_json::Value {
+    let versions = |i: &Instance| -> serde_json::Map<String, serde_json::Value> {
         i.versions
             .iter()
             .map(|v| (v.kind.clone(), json!({"revision": v.revision, "digest": v.digest})))
             .collect()
     };
-    let one = |i: &Instance| {
+    let instance = |i: &Instance| {
         json!({"name": i.name, "agent": i.agent, "zone": i.zone, "life": i.life, "number": i.me, "age_ms": i.age_ms,
-            "heard": i.heard, "behind": i.behind, "step": i.step, "out": i.out, "versions": acting(i)})
+            "heard": i.heard, "behind": i.behind, "step": i.step, "out": i.out, "versions": versions(i)})
     };
-    let view = said.view.as_ref().map(|v| {
-        json!({"instances": v.instances.iter().map(one).collect::<Vec<_>>(), "alarms": v.alarms,
+    let view = response.view.as_ref().map(|v| {
+        json!({"instances": v.instances.iter().map(instance).collect::<Vec<_>>(), "alarms": v.alarms,
             "words": {"taken": v.heard, "refused": v.refused},
             "wanted": v.wanted.iter().map(|w| json!({"kind": w.kind, "revision": w.revision, "digest": w.digest, "age_ms": w.age_ms})).collect::<Vec<_>>()})
     });
-    let decision: serde_json::Value = serde_json::from_str(&said.decision).unwrap_or_default();
-    json!({"version": said.version, "epoch": said.epoch, "owner": said.owner, "current": said.current, "view": view,
+    let decision: serde_json::Value = serde_json::from_str(&response.decision).unwrap_or_default();
+    json!({"version": response.version, "epoch": response.epoch, "owner": response.owner, "current": response.current, "view": view,
         "out": decision["out"],
-        "by_hand": said.intents.iter().map(|i| json!({"instance": i.instance, "what": i.what, "by": i.by, "why": i.why, "until_ms": i.until_ms})).collect::<Vec<_>>()})
+        "by_hand": response.intents.iter().map(|i| json!({"instance": i.instance, "what": i.what, "by": i.by, "why": i.why, "until_ms": i.until_ms})).collect::<Vec<_>>()})
 }
 
-fn list(said: &AuditResponse, only: impl Fn(&Instance) -> bool) {
-    let Some(view) = &said.view else {
-        println!("the owner of the audit can't be asked: what each acts on is not known");
+/// Prints the wanted versions, the gatekeepers that `only` selects, alarms and operator overrides.
+fn list(response: &AuditResponse, only: impl Fn(&Instance) -> bool) {
+    let Some(view) = &response.view else {
+        println!(
+            "cannot reach the owner of the audit: the versions that each gatekeeper applies are not known"
+        );
         return;
     };
     for w in &view.wanted {
@@ -383,7 +407,7 @@
     for i in view.instances.iter().filter(|i| only(i)) {
         let of = |kind: &str| {
             let v = i.versions.iter().find(|v| v.kind == kind);
-            v.map_or("-".into(), |v| brief(&format!("{}:{}", v.revision, v.digest)))
+            v.map_or("-".into(), |v| short_version(&format!("{}:{}", v.revision, v.digest)))
         };
         println!(
             "{:<14} {:<10} {:<10} {:<18} {:<10} {}",
@@ -396,41 +420,50 @@
         );
     }
     view.alarms.iter().for_each(|a| println!("alarm: {a}"));
-    for i in &said.intents {
-        println!("by hand: {} {} until {} by {}: {}", i.instance, i.what, when(i.until_ms), i.by, i.why);
+    for i in &response.intents {
+        println!(
+            "by hand: {} {} until {} by {}: {}",
+            i.instance,
+            i.what,
+            format_time(i.until_ms),
+            i.by,
+            i.why
+        );
     }
     println!("words: {} taken, {} refused", view.heard, view.refused);
 }
 
-fn code(said: &AuditResponse) -> ExitCode {
-    let well = said.current && said.view.as_ref().is_some_and(|v| v.instances.iter().all(sound));
-    if well { ExitCode::SUCCESS } else { ExitCode::from(PARTLY) }
+/// Returns success if the response is current and every gatekeeper is healthy, else exit code 3.
+fn exit_code(response: &AuditResponse) -> ExitCode {
+    let all_healthy =
+        response.current && response.view.as_ref().is_some_and(|v| v.instances.iter().all(is_healthy));
+    if all_healthy { ExitCode::SUCCESS } else { ExitCode::from(EXIT_INCOMPLETE) }
 }
 
-/// Lists the fleet.
+/// Runs `frostctl fleet`.
 pub async fn fleet(args: FleetArgs) -> Result<ExitCode, String> {
-    let mut agent = control(&args.place.agent).await?;
+    let mut agent = control(&args.target.agent).await?;
     match args.command {
         FleetCommand::List => {
-            let said = ask(&mut agent).await?;
-            if args.place.json {
-                println!("{}", as_json(&said))
+            let response = fetch_audit(&mut agent).await?;
+            if args.target.json {
+                println!("{}", as_json(&response))
             } else {
-                list(&said, |_| true)
+                list(&response, |_| true)
             }
-            Ok(code(&said))
+            Ok(exit_code(&response))
         }
         FleetCommand::Watch { every } => {
             if !(0.1..=3600.0).contains(&every) {
-                return Err(format!("--every {every}: 0.1 to 3600"));
+                return Err(format!("--every {every} is out of range: 0.1 to 3600"));
             }
             loop {
-                let said = ask(&mut agent).await?;
-                println!("--- {}", when(now_ms()));
-                if args.place.json {
-                    println!("{}", as_json(&said))
+                let response = fetch_audit(&mut agent).await?;
+                println!("--- {}", format_time(now_ms()));
+                if args.target.json {
+                    println!("{}", as_json(&response))
                 } else {
-                    list(&said, |_| true)
+                    list(&response, |_| true)
                 }
                 tokio::time::sleep(Duration::from_secs_f64(every)).await;
             }
@@ -438,40 +471,40 @@
     }
 }
 
-/// Those that are behind.
+/// Runs `frostctl stragglers`.
 pub async fn stragglers(args: StragglerArgs) -> Result<ExitCode, String> {
-    let agent_at: &Path = &args.place.agent;
-    let mut agent = control(agent_at).await?;
-    let (what, wish) = match args.command {
+    let agent_socket: &Path = &args.target.agent;
+    let mut agent = control(agent_socket).await?;
+    let (what, operator_override) = match args.command {
         StragglerCommand::List => {
-            let said = ask(&mut agent).await?;
-            if args.place.json {
-                println!("{}", as_json(&said))
+            let response = fetch_audit(&mut agent).await?;
+            if args.target.json {
+                println!("{}", as_json(&response))
             } else {
-                list(&said, |i| !sound(i))
+                list(&response, |i| !is_healthy(i))
             }
-            return Ok(code(&said));
+            return Ok(exit_code(&response));
         }
-        StragglerCommand::Out(wish) => (What::Out, wish),
-        StragglerCommand::In(wish) => (What::In, wish),
+        StragglerCommand::Out(operator_override) => (What::Out, operator_override),
+        StragglerCommand::In(operator_override) => (What::In, operator_override),
         StragglerCommand::Clear { instance, by } => {
-            (What::Clear, Wish { instance, by, why: "cleared".into(), until: "1s".into() })
+            (What::Clear, Override { instance, by, why: "cleared".into(), until: "1s".into() })
         }
     };
-    let until_ms = match span_ms(&wish.until) {
+    let until_ms = match duration_ms(&operator_override.until) {
         Some(span) => now_ms().saturating_add(span),
-        None => time_ms(&wish.until)?,
+        None => parse_time_ms(&operator_override.until)?,
     };
-    let Wish { instance, why, by, .. } = wish;
+    let Override { instance, why, by, .. } = operator_override;
     let change = AuditChange { what: what.into(), instance, by, why, until_ms };
     match agent.change_audit(change).await {
-        Ok(said) => {
-            println!("{}", said.into_inner().text);
+        Ok(response) => {
+            println!("{}", response.into_inner().text);
             Ok(ExitCode::SUCCESS)
         }
         Err(e) => {
-            eprintln!("frostctl: {}; look at frostctl fleet list", e.message());
-            Ok(ExitCode::from(REFUSED))
+            eprintln!("frostctl: {}; see frostctl fleet list", e.message());
+            Ok(ExitCode::from(EXIT_REFUSED))
         }
     }
 }
--- a/crates/ctl/src/record.rs
+++ b/crates/ctl/src/record.rs
@@ -1,4 +1,5 @@
-//! The store of record by hand: what is in it, and changes on top of what was seen.
+//! `frostctl record`: shows, checks, backs up and migrates the store of record, and changes plans with optimistic
+//! concurrency: a change names the revision that it is based on.
 
 use clap::Subcommand;
 use frostvale_record::model::{Change, Plan, UsageTotal, Versioned};
@@ -9,21 +10,21 @@
 use std::sync::Arc;
 use std::time::{Duration, SystemTime};
 
-/// Exit code of a change that somebody else was faster than, or that can't be made.
-const REFUSED: u8 = 4;
-/// Rows of a listing at the most.
-const ROWS: i64 = 100_000;
+/// Exit code: a change conflicts with a later revision, or is invalid.
+const EXIT_REFUSED: u8 = 4;
+/// Most rows that one query of usage totals returns.
+const MAX_TOTALS_ROWS: i64 = 100_000;
 
-/// Which record, and what of it.
+/// Arguments of `frostctl record`.
 #[derive(clap::Args)]
 pub struct Args {
-    /// `sqlite:PATH` or `postgres://USER@HOST:PORT/DATABASE`.
+    /// URL of the record: `sqlite:PATH` or `postgres://USER@HOST:PORT/DATABASE`.
     #[arg(long, env = "FROSTVALE_RECORD", default_value = "sqlite:/var/lib/frostvale/record.db")]
     record: String,
-    /// A file with the password.
+    /// File that holds the password.
     #[arg(long, value_name = "FILE")]
     password_file: Option<PathBuf>,
-    /// A PEM file with who signs the server's certificate.
+    /// PEM file with the certificate authorities that sign the server's certificate.
     #[arg(long, value_name = "FILE")]
     ca: Option<PathBuf>,
     #[command(subcommand)]
@@ -32,91 +33,91 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// The newest revision, the instances and the gaps.
+    /// Shows the newest revision, the instances and the gaps.
     Status,
-    /// Plans.
+    /// Lists, shows and sets plans.
     #[command(subcommand)]
     Plans(Plans),
-    /// Use by shop, plan, class and hour.
-    Use(Use),
-    /// Who changed what, newest first.
+    /// Shows use by shop, plan, class and hour.
+    Use(UseArgs),
+    /// Shows the audit trail of changes, newest first.
     Audit {
-        /// So many entries.
+        /// Most entries to show.
         #[arg(long, default_value_t = 20, value_parser = clap::value_parser!(i64).range(1..=10_000))]
         most: i64,
     },
     /// Copies an SQLite record to a file while it is in use.
     Backup {
-        /// Where to.
+        /// Path of the copy.
         to: PathBuf,
     },
-    /// Looks whether the data is whole, and whether ledger and totals agree.
+    /// Checks the integrity of the data, and that ledger and totals agree.
     Check,
-    /// Brings the schema to this program's version.
+    /// Migrates the schema to this program's version.
     Migrate,
 }
 
 #[derive(Subcommand)]
 enum Plans {
-    /// All of them.
+    /// Lists all plans.
     List,
-    /// One of them.
+    /// Shows one plan.
     Show {
-        /// Its name.
+        /// Name of the plan.
         name: String,
     },
-    /// Sets figures of one, or makes one. Those not named stay.
-    Set(Set),
+    /// Sets figures of a plan, or creates a plan. Figures that are not given stay unchanged.
+    Set(SetArgs),
 }
 
 #[derive(clap::Args)]
-struct Set {
-    /// Its name, as in the gatekeepers' settings.
+struct SetArgs {
+    /// Name of the plan, as in the gatekeepers' settings.
     name: String,
-    /// The revision that this is based on, as `plans show` tells it; 0 makes a plan.
+    /// The revision that this change is based on, as printed by `plans show`; 0 creates a plan.
     #[arg(long)]
     base: i64,
-    /// Why, for the audit trail.
+    /// Reason for the change, for the audit trail.
     #[arg(long)]
     why: String,
-    /// Who; the user of this shell if not told.
+    /// Who makes the change; default: the environment variable USER.
     #[arg(long)]
     by: Option<String>,
-    /// Units a second.
+    /// Units per second.
     #[arg(long, value_name = "UNITS")]
     rate: Option<f64>,
-    /// The most units that a shop's store holds.
+    /// Most units that a shop's token bucket holds.
     #[arg(long, value_name = "UNITS")]
     burst: Option<f64>,
-    /// Attempts out at once; 0 is no limit.
+    /// Most concurrent attempts; 0 is no limit.
     #[arg(long)]
     open: Option<i64>,
-    /// The hard ceiling's units a second; 0 is none.
+    /// Units per second of the hard ceiling; 0 is no ceiling.
     #[arg(long, value_name = "UNITS")]
     ceiling_rate: Option<f64>,
-    /// The most units that the ceiling's store holds.
+    /// Most units that the ceiling's token bucket holds.
     #[arg(long, value_name = "UNITS")]
     ceiling_burst: Option<f64>,
-    /// How far the ceiling's store may go below nothing.
+    /// How far the ceiling's token bucket may go below zero.
     #[arg(long, value_name = "UNITS")]
     ceiling_slack: Option<f64>,
-    /// From when on, Unix time in ms; at once if not told.
+    /// When the change takes effect, Unix time in ms; default: now.
     #[arg(long, value_name = "MS")]
     from_ms: Option<i64>,
 }
 
 #[derive(clap::Args)]
-struct Use {
-    /// One shop, 16 hex digits; all if not told.
+struct UseArgs {
+    /// One shop, 16 hex digits; default: all shops.
     #[arg(long, default_value = "")]
     shop: String,
-    /// From this hour on, Unix time in ms.
+    /// Start of the range of hours, inclusive, Unix time in ms.
     #[arg(long, default_value_t = 0)]
     from_ms: i64,
-    /// Before this one.
+    /// End of the range of hours, exclusive, Unix time in ms.
     #[arg(long, default_value_t = i64::MAX)]
     to_ms: i64,
-    /// How it is printed.
+    /// Output format.
     #[arg(long, value_enum, default_value_t = Output::Table)]
     output: Output,
 }
@@ -128,44 +129,46 @@
     Json,
 }
 
+/// Returns this host's Unix time in ms.
 fn unix_ms() -> i64 {
     let unix = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
     i64::try_from(unix.as_millis()).unwrap_or(i64::MAX)
 }
 
-/// Does it. Exit code 4: refused.
+/// Runs the command. Exit code 4: a change conflicts with a later revision, or is invalid.
 pub async fn run(args: Args) -> Result<ExitCode, String> {
-    let place = RecordLocation {
+    let location = RecordLocation {
         password_file: args.password_file,
         ca: args.ca,
         ..RecordLocation::new(&args.record)
     };
-    place.check()?;
-    let backend = place.open().await.map_err(|e| e.to_string())?;
-    let done = match args.command {
+    location.check()?;
+    let backend = location.open().await.map_err(|e| e.to_string())?;
+    let result = match args.command {
         Command::Migrate => backend.migrate().await.map(|(from, to)| {
             println!("schema version {to}{}", if from == to { ", as it was" } else { "" });
         }),
-        Command::Check => backend.check().await.map(|said| println!("{said}")),
+        Command::Check => backend.check().await.map(|summary| println!("{summary}")),
         Command::Backup { to } => backend.backup(&to).await.map(|()| println!("copied to {}", to.display())),
         Command::Status => status(&backend).await,
         Command::Audit { most } => audit(&backend, most).await,
-        Command::Use(wanted) => totals(&backend, wanted).await,
+        Command::Use(args) => totals(&backend, args).await,
         Command::Plans(Plans::List) => plans(&backend, None).await,
         Command::Plans(Plans::Show { name }) => plans(&backend, Some(name)).await,
         Command::Plans(Plans::Set(set)) => set_plan(&backend, set).await,
     };
-    match done {
+    match result {
         Ok(()) => Ok(ExitCode::SUCCESS),
         Err(e @ (Error::Conflict { .. } | Error::Invalid(_))) => {
             tracing::error!("{e}");
-            Ok(ExitCode::from(REFUSED))
+            Ok(ExitCode::from(EXIT_REFUSED))
         }
         Err(e) => Err(e.to_string()),
     }
 }
 
-async fn load(backend: &Arc<dyn Backend>) -> Result<Vec<Versioned<Plan>>, Error> {
+/// Reads all plans.
+async fn load_plans(backend: &Arc<dyn Backend>) -> Result<Vec<Versioned<Plan>>, Error> {
     match backend.run(Op::Load).await? {
         Reply::Snapshot(snapshot) => Ok(snapshot.plans),
         _ => Ok(Vec::new()),
@@ -194,18 +197,18 @@
     Ok(())
 }
 
-/// Thousandths as units.
+/// Formats thousandths of a unit as units with three decimals.
 fn units(milli: i64) -> String {
     format!("{}.{:03}", milli / 1000, (milli % 1000).abs())
 }
 
 async fn plans(backend: &Arc<dyn Backend>, name: Option<String>) -> Result<(), Error> {
-    let all = load(backend).await?;
+    let all = load_plans(backend).await?;
     if let Some(name) = &name
         && !all.iter().any(|p| p.value.name == *name)
     {
         return Err(Error::Invalid(format!(
-            "plan {name}: there is none; `plans set {name} --base 0` makes one"
+            "plan {name} does not exist; `plans set {name} --base 0` creates it"
         )));
     }
     println!(
@@ -229,22 +232,22 @@
     Ok(())
 }
 
-async fn set_plan(backend: &Arc<dyn Backend>, set: Set) -> Result<(), Error> {
-    let known = load(backend).await?.into_iter().find(|p| p.value.name == set.name).map(|p| p.value);
-    let mut plan = known.unwrap_or(Plan { name: set.name, ..Plan::default() });
-    let milli = |field: &str, units: Option<f64>, place: &mut i64| match units {
+async fn set_plan(backend: &Arc<dyn Backend>, set: SetArgs) -> Result<(), Error> {
+    let existing = load_plans(backend).await?.into_iter().find(|p| p.value.name == set.name).map(|p| p.value);
+    let mut plan = existing.unwrap_or(Plan { name: set.name, ..Plan::default() });
+    let set_milli = |field: &str, units: Option<f64>, target: &mut i64| match units {
         None => Ok(()),
         Some(units) if units.is_finite() && (0.0..=1e9).contains(&units) => {
-            *place = (units * 1000.0).round() as i64;
+            *target = (units * 1000.0).round() as i64;
             Ok(())
         }
-        Some(units) => Err(Error::Invalid(format!("--{field}: {units}; 0 to 1000000000"))),
+        Some(units) => Err(Error::Invalid(format!("--{field} {units} is out of range: 0 to 1000000000"))),
     };
-    milli("rate", set.rate, &mut plan.rate_milli)?;
-    milli("burst", set.burst, &mut plan.burst_milli)?;
-    milli("ceiling-rate", set.ceiling_rate, &mut plan.ceiling_rate_milli)?;
-    milli("ceiling-burst", set.ceiling_burst, &mut plan.ceiling_burst_milli)?;
-    milli("ceiling-slack", set.ceiling_slack, &mut plan.ceiling_slack_milli)?;
+    set_milli("rate", set.rate, &mut plan.rate_milli)?;
+    set_milli("burst", set.burst, &mut plan.burst_milli)?;
+    set_milli("ceiling-rate", set.ceiling_rate, &mut plan.ceiling_rate_milli)?;
+    set_milli("ceiling-burst", set.ceiling_burst, &mut plan.ceiling_burst_milli)?;
+    set_milli("ceiling-slack", set.ceiling_slack, &mut plan.ceiling_slack_milli)?;
     plan.open = set.open.unwrap_or(plan.open);
     let now = unix_ms();
     plan.from_ms = set.from_ms.unwrap_or(now);
@@ -257,7 +260,7 @@
         why: set.why,
         at_ms: now,
     };
-    // An answer that was lost is asked for again: the change carries its own number.
+    // The change is retried if its answer was lost: its id makes the retry idempotent.
     for _ in 0..3 {
         match backend.run(Op::SetPlan(plan.clone(), change.clone())).await {
             Ok(Reply::Revision(revision)) => {
@@ -269,12 +272,13 @@
             Ok(_) => return Ok(()),
         }
     }
-    Err(Error::InDoubt("three times; see `plans show`".into()))
+    Err(Error::InDoubt("after three tries; see `plans show`".into()))
 }
 
-async fn totals(backend: &Arc<dyn Backend>, wanted: Use) -> Result<(), Error> {
-    let Use { shop, from_ms, to_ms, output } = wanted;
-    let Reply::Totals(all) = backend.run(Op::Totals { shop, from_ms, to_ms, most: ROWS }).await? else {
+async fn totals(backend: &Arc<dyn Backend>, args: UseArgs) -> Result<(), Error> {
+    let UseArgs { shop, from_ms, to_ms, output } = args;
+    let Reply::Totals(all) = backend.run(Op::Totals { shop, from_ms, to_ms, most: MAX_TOTALS_ROWS }).await?
+    else {
         return Ok(());
     };
     let figures = |t: &UsageTotal| [t.passed_milli, t.refused_milli, t.served_milli].map(units);
@@ -309,8 +313,10 @@
             }
         }
     }
-    if all.len() as i64 == ROWS {
-        tracing::warn!("these are the first {ROWS} rows; narrow it with --shop, --from-ms and --to-ms");
+    if all.len() as i64 == MAX_TOTALS_ROWS {
+        tracing::warn!(
+            "output limited to the first {MAX_TOTALS_ROWS} rows: narrow it with --shop, --from-ms and --to-ms"
+        );
     }
     Ok(())
 }
--- a/crates/ctl/src/sim.rs
+++ b/crates/ctl/src/sim.rs
@@ -1,4 +1,4 @@
-//! `frostctl sim`: runs of simulated fleets, their reports, and the shrinking of those that fail.
+//! `frostctl sim`: runs simulated fleets on several threads, writes their reports and shrinks scenarios that fail.
 
 use clap::Subcommand;
 use frostvale_sim::shrink::{self, shrink};
@@ -10,11 +10,12 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Instant;
 
-/// A scenario failed.
-const FAILED: u8 = 6;
-/// The most seeds in one call.
-const SEEDS_MOST: u64 = 100_000;
+/// Exit code: a scenario failed.
+const EXIT_FAILED: u8 = 6;
+/// Most seeds in one call.
+const MAX_SEEDS: u64 = 100_000;
 
+/// Arguments of `frostctl sim`.
 #[derive(clap::Args)]
 pub struct Args {
     #[command(subcommand)]
@@ -23,9 +24,10 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Runs scenarios with each of these seeds. Exit code 6: a rule was broken, or what a scenario expects did not hold.
+    /// Runs scenarios with each of the seeds. Exit code 6: an invariant was violated, or an expectation of a scenario did not
+    /// hold.
     Run(Run),
-    /// Reads scenario files and says what is wrong with them; runs nothing.
+    /// Checks scenario files and reports their errors; runs nothing.
     Check {
         /// Scenario files.
         #[arg(required = true)]
@@ -33,20 +35,20 @@
     },
     /// Writes one self-contained HTML page with plots from the reports that `run --json` wrote.
     Report {
-        /// Reports, one JSON object a line.
+        /// File of reports, one JSON object per line.
         file: PathBuf,
-        /// Where the page goes.
+        /// Path of the page.
         #[arg(long, value_name = "FILE")]
         html: PathBuf,
     },
-    /// Makes a scenario that fails with this seed as small as it gets while it fails in the same way.
+    /// Shrinks a scenario that fails with the seed, as far as it still fails in the same way. Exit code 6: it was shrunk.
     Shrink {
-        /// The scenario.
+        /// Scenario file.
         file: PathBuf,
         /// The seed with which it fails.
         #[arg(long)]
         seed: u64,
-        /// Where the small one goes; standard output otherwise.
+        /// Path of the shrunk scenario; default: standard output.
         #[arg(long, value_name = "FILE")]
         to: Option<PathBuf>,
     },
@@ -57,35 +59,37 @@
     /// Scenario files.
     #[arg(required = true)]
     files: Vec<PathBuf>,
-    /// One seed, or A..B without B.
-    #[arg(long, value_name = "A..B", default_value = "1", value_parser = seeds)]
+    /// One seed, or the range A..B, which excludes B.
+    #[arg(long, value_name = "A..B", default_value = "1", value_parser = parse_seeds)]
     seeds: (u64, u64),
-    /// Runs at once; all cores by default.
+    /// Concurrent runs; default: the number of cores.
     #[arg(long, value_name = "N")]
     jobs: Option<usize>,
-    /// Every run's report, one JSON object a line, in the order of files and seeds.
+    /// Writes the report of every run, one JSON object per line, in the order of files and seeds.
     #[arg(long, value_name = "FILE")]
     json: Option<PathBuf>,
-    /// One page with plots.
+    /// Writes one HTML page with plots.
     #[arg(long, value_name = "FILE")]
     html: Option<PathBuf>,
-    /// Tables for every run, not for the first of each scenario alone.
+    /// Prints tables for every run; otherwise only for the first run of each scenario and for runs that fail.
     #[arg(long)]
     all: bool,
 }
 
-fn seeds(text: &str) -> Result<(u64, u64), String> {
-    let number = |t: &str| t.parse::<u64>().map_err(|_| format!("{t:?} is no whole number from 0 on"));
+/// Parses `A..B` or one seed into a half-open range.
+fn parse_seeds(text: &str) -> Result<(u64, u64), String> {
+    let number = |t: &str| t.parse::<u64>().map_err(|_| format!("{t:?} is not a whole number of 0 or more"));
     let (from, to) = match text.split_once("..") {
         Some((a, b)) => (number(a)?, number(b)?),
         None => (number(text)?, number(text)?.saturating_add(1)),
     };
-    if to <= from || to - from > SEEDS_MOST {
-        return Err(format!("A..B wants A below B, and {SEEDS_MOST} seeds at the most"));
+    if to <= from || to - from > MAX_SEEDS {
+        return Err(format!("A must be less than B in A..B, with at most {MAX_SEEDS} seeds"));
     }
     Ok((from, to))
 }
 
+/// Runs the command.
 pub fn run(args: Args) -> Result<ExitCode, String> {
     match args.command {
         Command::Run(args) => run_all(&args),
@@ -93,17 +97,18 @@
             for file in &files {
                 Scenario::read(file)?;
             }
-            println!("{} sound", files.len());
+            println!("{} valid", files.len());
             Ok(ExitCode::SUCCESS)
         }
         Command::Report { file, html } => {
-            let text = std::fs::read_to_string(&file).map_err(|e| format!("{}: {e}", file.display()))?;
+            let text =
+                std::fs::read_to_string(&file).map_err(|e| format!("cannot read {}: {e}", file.display()))?;
             let reports = text
                 .lines()
                 .enumerate()
                 .map(|(k, line)| {
                     serde_json::from_str(line)
-                        .map_err(|e| format!("{}, line {}: no report: {e}", file.display(), k + 1))
+                        .map_err(|e| format!("{}, line {}: not a report: {e}", file.display(), k + 1))
                 })
                 .collect::<Result<Vec<Report>, String>>()?;
             write(&html, &report_page::html(&reports)?)?;
@@ -124,68 +129,70 @@
                 Some(path) => write(&path, &text)?,
                 None => print!("{text}"),
             }
-            Ok(ExitCode::from(FAILED))
+            Ok(ExitCode::from(EXIT_FAILED))
         }
     }
 }
 
-/// Which run, what it came to, and the seconds it took.
-type Done = (usize, Result<Report, String>, f64);
+/// Index of the run, its result, and its duration in seconds.
+type CompletedRun = (usize, Result<Report, String>, f64);
 
+/// Writes `text` to the file; the error names the path.
 fn write(path: &PathBuf, text: &str) -> Result<(), String> {
-    std::fs::write(path, text).map_err(|e| format!("{}: {e}", path.display()))
+    std::fs::write(path, text).map_err(|e| format!("cannot write {}: {e}", path.display()))
 }
 
+/// Runs every scenario with every seed, prints the results in order and writes the reports.
 fn run_all(args: &Run) -> Result<ExitCode, String> {
     let scenarios = args.files.iter().map(|f| Scenario::read(f)).collect::<Result<Vec<_>, _>>()?;
-    let work: Vec<(usize, u64)> =
+    let runs: Vec<(usize, u64)> =
         (0..scenarios.len()).flat_map(|k| (args.seeds.0..args.seeds.1).map(move |seed| (k, seed))).collect();
     let cores = std::thread::available_parallelism().map_or(1, usize::from);
-    let jobs = args.jobs.unwrap_or(cores).clamp(1, work.len().max(1));
+    let jobs = args.jobs.unwrap_or(cores).clamp(1, runs.len().max(1));
     let next = AtomicUsize::new(0);
-    let done: Mutex<Vec<Done>> = Mutex::default();
-    let progress = std::io::stderr().is_terminal();
+    let done: Mutex<Vec<CompletedRun>> = Mutex::default();
+    let shows_progress = std::io::stderr().is_terminal();
     std::thread::scope(|scope| {
         for _ in 0..jobs {
             scope.spawn(|| {
                 loop {
                     let k = next.fetch_add(1, Ordering::Relaxed);
-                    let Some((scenario, seed)) = work.get(k) else { return };
-                    let begun = Instant::now();
+                    let Some((scenario, seed)) = runs.get(k) else { return };
+                    let started = Instant::now();
                     let report = frostvale_sim::run(&scenarios[*scenario], *seed, &control_module);
                     let mut done = done.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
-                    done.push((k, report, begun.elapsed().as_secs_f64()));
-                    if progress {
-                        let parts = 30 * done.len() / work.len();
+                    done.push((k, report, started.elapsed().as_secs_f64()));
+                    if shows_progress {
+                        let parts = 30 * done.len() / runs.len();
                         let bar = "#".repeat(parts);
-                        eprint!("\r[{bar:<30}] {} of {} runs", done.len(), work.len());
+                        eprint!("\r[{bar:<30}] {} of {} runs", done.len(), runs.len());
                         let _ = std::io::stderr().flush();
                     }
                 }
             });
         }
     });
-    if progress {
+    if shows_progress {
         eprintln!();
     }
     let mut done = done.into_inner().unwrap_or_else(std::sync::PoisonError::into_inner);
     done.sort_by_key(|(k, _, _)| *k);
     let mut reports = Vec::new();
-    for (k, report, took) in done {
+    for (k, report, seconds_taken) in done {
         let report = report?;
-        let (scenario, seed) = work[k];
+        let (scenario, seed) = runs[k];
         if args.all || seed == args.seeds.0 || !report.held() {
             print!("{}", report_page::text(&report));
         } else {
             println!("{}", report_page::line(&report));
         }
-        // Not in the report, which is the same each time.
+        // Wall-clock times are kept out of the report, which is the same for each run of a seed.
         eprintln!(
             "{} seed {seed}: {:.2} s, {:.1} simulated seconds a second, {:.2} us an event",
             report.scenario,
-            took,
-            scenarios[scenario].seconds / took,
-            1e6 * took / report.events.max(1) as f64
+            seconds_taken,
+            scenarios[scenario].seconds / seconds_taken,
+            1e6 * seconds_taken / report.events.max(1) as f64
         );
         reports.push(report);
     }
@@ -199,12 +206,12 @@
     let failed: Vec<&Report> = reports.iter().filter(|r| !r.held()).collect();
     println!("{} runs, {} held, {} failed", reports.len(), reports.len() - failed.len(), failed.len());
     if let Some(r) = failed.first() {
-        let what = shrink::failure(r).unwrap_or_default();
+        let failure = shrink::failure(r).unwrap_or_default();
         println!(
-            "first: {what} in {} with seed {}; `frostctl sim shrink FILE --seed {}` makes it small",
+            "first: {failure} in {} with seed {}; `frostctl sim shrink FILE --seed {}` shrinks it",
             r.scenario, r.seed, r.seed
         );
-        return Ok(ExitCode::from(FAILED));
+        return Ok(ExitCode::from(EXIT_FAILED));
     }
     Ok(ExitCode::SUCCESS)
 }
