--- a/crates/ctl/src/dev.rs
+++ b/crates/ctl/src/dev.rs
@@ -1,6 +1,7 @@
-//! The whole town on one machine.
+//! `frostctl dev`: runs a local cluster on one machine until a signal arrives, with load if asked for. Programs of the
+//! cluster that end are restarted; all of them end when this process ends, however it ends.
 
-use crate::load::{RunningLoad, Shape, Show};
+use crate::load::{LoadOptions, ReportOptions, RunningLoad};
 use frostvale_load::report::StatusWords;
 use frostvale_log::Format;
 use frostvale_standin::formula_server::ServerOptions;
@@ -14,37 +15,39 @@
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::time::{MissedTickBehavior, interval};
 
-/// What the town is to be.
+/// Arguments of `frostctl dev`.
 #[derive(clap::Args)]
 pub struct Args {
-    /// Gatekeepers, 1 to 100.
+    /// Number of gatekeepers, 1 to 100.
     #[arg(long, default_value_t = 3, value_parser = clap::value_parser!(u8).range(1..=100))]
     gatekeepers: u8,
-    /// Formula servers, 1 to 100.
+    /// Number of formula servers, 1 to 100.
     #[arg(long, default_value_t = 9, value_parser = clap::value_parser!(u8).range(1..=100))]
     servers: u8,
-    /// Requests a second by RESP2 and gRPC together, up to 20000; without it nothing is played.
+    /// Load in requests per second over RESP2 and gRPC together, up to 20000; without it no load is generated.
     #[arg(long, value_parser = clap::value_parser!(u32).range(1..=20_000))]
     load: Option<u32>,
     #[command(flatten)]
-    shape: Shape,
+    load_options: LoadOptions,
     #[command(flatten)]
-    show: Show,
-    /// Written once all serve: where everything is, as JSON.
+    report_options: ReportOptions,
+    /// File that is written once all parts serve, with their addresses as JSON.
     #[arg(long, value_name = "FILE")]
     ready_file: Option<PathBuf>,
-    /// Keeps plans and use: `sqlite`, in the town's folder, `stand-in`, a PostgreSQL stand-in, or a postgres:// URL.
+    /// Where plans and use are stored: `sqlite`, in the cluster's folder, `stand-in`, a PostgreSQL stand-in, or a
+    /// postgres:// URL.
     #[arg(long, value_name = "PLACE", default_value = "sqlite")]
     record: String,
-    /// A file with the password for the URL.
+    /// File that holds the password for the URL.
     #[arg(long, value_name = "FILE")]
     password_file: Option<PathBuf>,
-    /// Where configurations, sockets and logs go; kept. Without it they go to a folder that ends with the town.
+    /// Folder for configurations, sockets and logs, which is kept. Without it a temporary folder is used and removed at the
+    /// end.
     #[arg(long, value_name = "FOLDER")]
     folder: Option<PathBuf>,
 }
 
-/// A program and the process that it ends with.
+/// Arguments of the hidden command `with-parent`: the parent's process id, and a program with its arguments.
 #[derive(clap::Args)]
 pub struct WithParent {
     parent: u32,
@@ -52,159 +55,174 @@
     command: Vec<String>,
 }
 
-/// Becomes a program that the kernel kills when its parent ends, however that ends.
+/// Replaces this process by a program that the kernel kills when its parent ends, however the parent ends.
 pub fn with_parent(args: &WithParent) -> Result<ExitCode, String> {
     set_parent_process_death_signal(Some(Signal::KILL))
-        .map_err(|e| format!("cannot be bound to its parent: {e}"))?;
-    // It may have ended before that.
+        .map_err(|e| format!("cannot set the parent death signal: {e}"))?;
+    // The parent may have ended before the signal was set, and then no signal is sent.
     if getppid().is_none_or(|pid| pid.as_raw_nonzero().get().unsigned_abs() != args.parent) {
-        return Err("its parent has ended".into());
+        return Err("cannot start the program: its parent has ended".into());
     }
-    let (program, rest) = args.command.split_first().ok_or("no program")?;
-    let e = std::process::Command::new(program).args(rest).exec();
-    Err(format!("{program}: {e}"))
+    let (program, rest) = args.command.split_first().ok_or("cannot start a program: none is given")?;
+    let error = std::process::Command::new(program).args(rest).exec();
+    Err(format!("cannot execute {program}: {error}"))
 }
 
-/// Runs the town until a signal comes.
+/// Runs the cluster until its duration is over or SIGTERM, SIGINT or SIGHUP arrives.
 pub async fn run(args: Args, log_format: Format) -> Result<ExitCode, String> {
-    let mut term = signal(SignalKind::terminate()).map_err(|e| format!("cannot await SIGTERM: {e}"))?;
-    let mut int = signal(SignalKind::interrupt()).map_err(|e| format!("cannot await SIGINT: {e}"))?;
-    let mut hup = signal(SignalKind::hangup()).map_err(|e| format!("cannot await SIGHUP: {e}"))?;
-    let own = std::env::current_exe().map_err(|e| format!("this program's own place is not known: {e}"))?;
-    let launcher = vec![own.display().to_string(), "with-parent".into(), std::process::id().to_string()];
+    let mut term =
+        signal(SignalKind::terminate()).map_err(|e| format!("cannot install the handler of SIGTERM: {e}"))?;
+    let mut int =
+        signal(SignalKind::interrupt()).map_err(|e| format!("cannot install the handler of SIGINT: {e}"))?;
+    let mut hup =
+        signal(SignalKind::hangup()).map_err(|e| format!("cannot install the handler of SIGHUP: {e}"))?;
+    let frostctl =
+        std::env::current_exe().map_err(|e| format!("cannot find the path of this program: {e}"))?;
+    let launcher = vec![frostctl.display().to_string(), "with-parent".into(), std::process::id().to_string()];
     let temporary;
     let folder = match &args.folder {
         Some(folder) => folder.clone(),
         None => {
-            temporary = Temporary(std::env::temp_dir().join(format!("frostvale-dev-{}", std::process::id())));
+            temporary =
+                TemporaryFolder(std::env::temp_dir().join(format!("frostvale-dev-{}", std::process::id())));
             temporary.0.clone()
         }
     };
-    std::fs::create_dir_all(&folder).map_err(|e| format!("--folder {}: {e}", folder.display()))?;
-    let folder = folder.canonicalize().map_err(|e| format!("--folder {}: {e}", folder.display()))?;
-    let (url, password_file, _stand_in) = record(&args, &folder).await?;
+    std::fs::create_dir_all(&folder).map_err(|e| format!("cannot use --folder {}: {e}", folder.display()))?;
+    let folder =
+        folder.canonicalize().map_err(|e| format!("cannot use --folder {}: {e}", folder.display()))?;
+    let (url, password_file, _stand_in) = prepare_record(&args, &folder).await?;
     let password = password_file.map_or(String::new(), |p| format!("password_file = {p:?}\n"));
     let spool = folder.join("spool.db");
-    let plan = ClusterOptions {
+    let options = ClusterOptions {
         gatekeeper_settings: "[usage]\n".into(),
         agent_settings: format!("[record]\nurl = {url:?}\n{password}spool = {spool:?}\n"),
         gatekeepers: usize::from(args.gatekeepers),
         servers: usize::from(args.servers),
-        formula: ServerOptions { work: work(&args), ids: false, ..ServerOptions::default() },
+        formula: ServerOptions { work: formula_duration(&args), ids: false, ..ServerOptions::default() },
         launcher,
         log_format: if log_format == Format::Json { "json" } else { "text" }.into(),
         folder: Some(folder),
         ..ClusterOptions::default()
     };
     if let Some(file) = &args.ready_file {
-        // One of an earlier town would tell of addresses that are gone.
+        // The file of an earlier cluster would name addresses that are no longer in use.
         let _ = std::fs::remove_file(file);
     }
-    let mut town = tokio::select! {
-        town = LocalCluster::start(plan) => town?,
+    let mut cluster = tokio::select! {
+        cluster = LocalCluster::start(options) => cluster?,
         _ = term.recv() => return Ok(ExitCode::SUCCESS),
         _ = int.recv() => return Ok(ExitCode::SUCCESS),
         _ = hup.recv() => return Ok(ExitCode::SUCCESS),
     };
-    tell(&town);
-    println!("  {} record --record {url} status", own.display());
+    print_addresses(&cluster);
+    println!("  {} record --record {url} status", frostctl.display());
     if let Some(file) = &args.ready_file {
-        write_whole(file, &town.ready_json().to_string())?;
+        write_atomically(file, &cluster.ready_json().to_string())?;
     }
-    let mut playing = match args.load {
+    let mut running_load = match args.load {
         Some(rate) => {
-            let gatekeepers = town.gatekeepers.iter().map(|g| g.resp).collect();
-            Some(RunningLoad::start(f64::from(rate), &args.shape, &args.show, gatekeepers, Some(town.rls))?)
+            let gatekeepers = cluster.gatekeepers.iter().map(|g| g.resp).collect();
+            Some(RunningLoad::start(
+                f64::from(rate),
+                &args.load_options,
+                &args.report_options,
+                gatekeepers,
+                Some(cluster.rls),
+            )?)
         }
         None => None,
     };
     let mut tick = interval(Duration::from_secs(1));
     tick.set_missed_tick_behavior(MissedTickBehavior::Delay);
-    let begun = tokio::time::Instant::now();
-    let done = async {
-        match args.show.duration {
-            Some(seconds) => tokio::time::sleep_until(begun + Duration::from_secs(seconds.into())).await,
+    let started = tokio::time::Instant::now();
+    let duration_over = async {
+        match args.report_options.duration {
+            Some(seconds) => tokio::time::sleep_until(started + Duration::from_secs(seconds.into())).await,
             None => std::future::pending().await,
         }
     };
-    tokio::pin!(done);
+    tokio::pin!(duration_over);
     loop {
         tokio::select! {
             _ = term.recv() => break,
             _ = int.recv() => break,
             _ = hup.recv() => break,
-            () = &mut done => break,
+            () = &mut duration_over => break,
             _ = tick.tick() => {
                 frostvale_log::flush_summaries();
-                // A signal ends the town also while something of it is being started.
+                // A signal ends the cluster also while a part of it is being restarted.
                 tokio::select! {
                     _ = term.recv() => break,
                     _ = int.recv() => break,
                     _ = hup.recv() => break,
-                    () = mend(&mut town) => {}
+                    () = restart_ended(&mut cluster) => {}
                 }
-                if let Some(playing) = &mut playing {
-                    let around = around(&town).await;
-                    playing.show(around);
+                if let Some(running_load) = &mut running_load {
+                    let status = status_words(&cluster).await;
+                    running_load.show_second(status);
                 }
             }
         }
     }
-    let reported = match playing {
-        Some(playing) => {
-            let around = around(&town).await;
-            playing.end(around).await
+    let report_result = match running_load {
+        Some(running_load) => {
+            let status = status_words(&cluster).await;
+            running_load.finish(status).await
         }
         None => Ok(()),
     };
-    println!("The town stops.");
-    town.stop().await;
+    println!("The cluster stops.");
+    cluster.stop().await;
     if let Some(file) = &args.ready_file {
         let _ = std::fs::remove_file(file);
     }
-    reported.map(|()| ExitCode::SUCCESS)
+    report_result.map(|()| ExitCode::SUCCESS)
 }
 
-/// How long a formula takes: the fleet has half as much room again as the load wants.
-fn work(args: &Args) -> Duration {
+/// Returns the time that a formula takes: such that the servers' capacity is 1.5 times the load, within 2 to 20 ms.
+fn formula_duration(args: &Args) -> Duration {
     let cores = ServerOptions::default().cores as f64 * f64::from(args.servers);
-    let room = cores / (1.5 * f64::from(args.load.unwrap_or(1)));
-    Duration::from_secs_f64(room.clamp(0.002, 0.020))
+    let seconds = cores / (1.5 * f64::from(args.load.unwrap_or(1)));
+    Duration::from_secs_f64(seconds.clamp(0.002, 0.020))
 }
 
-/// The state of servers, links and the record.
-async fn around(town: &LocalCluster) -> StatusWords {
+/// Returns the state of servers, links and the record as (name, text), for the live view.
+async fn status_words(cluster: &LocalCluster) -> StatusWords {
     let work: Vec<(u64, u64)> =
-        town.servers.iter().map(frostvale_standin::formula_server::FormulaServer::work_counts).collect();
-    let (most, least) = (work.iter().map(|w| w.1).max(), work.iter().map(|w| w.1).min());
+        cluster.servers.iter().map(frostvale_standin::formula_server::FormulaServer::work_counts).collect();
+    let (max_answered, min_answered) = (work.iter().map(|w| w.1).max(), work.iter().map(|w| w.1).min());
     let servers = format!(
         "{} ready, {} in work, answered {} to {} each",
         work.len(),
         work.iter().map(|w| w.0).sum::<u64>(),
-        least.unwrap_or(0),
-        most.unwrap_or(0)
+        min_answered.unwrap_or(0),
+        max_answered.unwrap_or(0)
     );
     let mut all = vec![("servers".to_string(), servers)];
-    all.extend(crate::status::summary_lines(&town.control).await);
+    all.extend(crate::status::summary_lines(&cluster.control).await);
     all
 }
 
-/// A folder that ends with the town.
-struct Temporary(PathBuf);
+/// A folder that is removed when this value is dropped.
+struct TemporaryFolder(PathBuf);
 
-impl Drop for Temporary {
+impl Drop for TemporaryFolder {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
 }
 
-/// Where the record is: its URL, the file with its password, and the stand-in if it is one.
-async fn record(args: &Args, folder: &Path) -> Result<(String, Option<PathBuf>, Option<Postgres>), String> {
+/// Prepares the store of record: returns its URL, the file that holds its password, and the stand-in server if used.
+async fn prepare_record(
+    args: &Args,
+    folder: &Path,
+) -> Result<(String, Option<PathBuf>, Option<Postgres>), String> {
     match args.record.as_str() {
         "sqlite" => Ok((format!("sqlite:{}", folder.join("record.db").display()), None, None)),
         "stand-in" => {
             let file = folder.join("password");
-            std::fs::write(&file, "town").map_err(|e| format!("{}: {e}", file.display()))?;
+            std::fs::write(&file, "town").map_err(|e| format!("cannot write {}: {e}", file.display()))?;
             let ip = std::net::Ipv4Addr::LOCALHOST.into();
             let server = Postgres::start(ip, &folder.join("postgres.db"), "town", Login::Scram).await?;
             let url = format!("postgres://agent@{}/frostvale", server.at);
@@ -214,49 +232,57 @@
     }
 }
 
-/// Writes a file so that whoever sees it sees all of it.
-fn write_whole(file: &Path, text: &str) -> Result<(), String> {
-    let fresh = file.with_extension("part");
-    let written = std::fs::write(&fresh, text).and_then(|()| std::fs::rename(&fresh, file));
-    written.map_err(|e| format!("--ready-file {}: {e}", file.display()))
+/// Writes a file under another name and renames it, so that a reader never sees a part of it.
+fn write_atomically(file: &Path, text: &str) -> Result<(), String> {
+    let temporary = file.with_extension("part");
+    let result = std::fs::write(&temporary, text).and_then(|()| std::fs::rename(&temporary, file));
+    result.map_err(|e| format!("cannot write --ready-file {}: {e}", file.display()))
 }
 
-/// Starts again what has ended, so that any of it can be killed to see what comes of it.
-async fn mend(town: &mut LocalCluster) {
-    for k in 0..town.gatekeepers.len() {
-        if let Some(how) = town.gatekeepers[k].process.has_ended() {
-            let name = town.gatekeepers[k].name.clone();
+/// Restarts gatekeepers and the agent that have ended, so that any of them can be killed to try out the failure.
+async fn restart_ended(cluster: &mut LocalCluster) {
+    for k in 0..cluster.gatekeepers.len() {
+        if let Some(exit_status) = cluster.gatekeepers[k].process.has_ended() {
+            let name = cluster.gatekeepers[k].name.clone();
             tracing::warn!(
                 instance = name,
-                "{name} has ended ({how}); its requests were lost, it is started again"
+                "{name} has ended ({exit_status}): its requests were lost, restarting it"
             );
-            if let Err(e) = town.restart_gatekeeper(k).await {
+            if let Err(e) = cluster.restart_gatekeeper(k).await {
                 tracing::error!("{e}");
             }
         }
     }
-    if let Some(how) = town.agent.as_mut().and_then(frostvale_standin::local_cluster::Process::has_ended) {
-        tracing::warn!("the agent has ended ({how}); RESP2 traffic goes on, it is started again");
-        if let Err(e) = town.start_agent().await {
+    if let Some(exit_status) =
+        cluster.agent.as_mut().and_then(frostvale_standin::local_cluster::Process::has_ended)
+    {
+        tracing::warn!("the agent has ended ({exit_status}): RESP2 traffic continues, restarting it");
+        if let Err(e) = cluster.start_agent().await {
             tracing::error!("{e}");
         }
     }
 }
 
-fn tell(town: &LocalCluster) {
+/// Prints the addresses of all parts, and commands to try them.
+fn print_addresses(cluster: &LocalCluster) {
     let exe = std::env::current_exe().map_or("frostctl".into(), |e| e.display().to_string());
-    println!("The town serves; its files are in {}. Ctrl-C ends all of it.", town.folder.display());
-    for g in &town.gatekeepers {
+    println!("The cluster serves; its files are in {}. Ctrl-C stops all of it.", cluster.folder.display());
+    for g in &cluster.gatekeepers {
         println!("  {:<12} RESP2 at {}, link at {}", g.name, g.resp, g.socket.display());
     }
-    println!("  {:<12} rate limits (gRPC) at {}, control at {}", "agent", town.rls, town.control.display());
-    println!("  {:<12} {} of them, from {}", "servers", town.servers.len(), town.servers[0].at);
-    println!("  {:<12} at {}", "discovery", town.discovery.at);
-    println!("  {:<12} at {}", "counter", town.counter.at);
+    println!(
+        "  {:<12} rate limits (gRPC) at {}, control at {}",
+        "agent",
+        cluster.rls,
+        cluster.control.display()
+    );
+    println!("  {:<12} {} of them, from {}", "servers", cluster.servers.len(), cluster.servers[0].at);
+    println!("  {:<12} at {}", "discovery", cluster.discovery.at);
+    println!("  {:<12} at {}", "counter", cluster.counter.at);
     println!("To try them:");
-    println!("  {exe} ask --gatekeeper {} --plan tienda", town.gatekeepers[0].resp);
-    println!("  {exe} check --rls {} --plan tienda", town.rls);
-    println!("  {exe} status --agent {}", town.control.display());
-    println!("  curl -s http://{}/v1/servers", town.discovery.at);
-    println!("  curl -s -X POST 'http://{}/v1/count/mixes?add=1&ttl_ms=4000'", town.counter.at);
+    println!("  {exe} ask --gatekeeper {} --plan tienda", cluster.gatekeepers[0].resp);
+    println!("  {exe} check --rls {} --plan tienda", cluster.rls);
+    println!("  {exe} status --agent {}", cluster.control.display());
+    println!("  curl -s http://{}/v1/servers", cluster.discovery.at);
+    println!("  curl -s -X POST 'http://{}/v1/count/mixes?add=1&ttl_ms=4000'", cluster.counter.at);
 }
--- a/crates/ctl/src/load.rs
+++ b/crates/ctl/src/load.rs
@@ -1,4 +1,5 @@
-//! Load on a town: played, shown while it goes on, and reported at the end.
+//! `frostctl load`: generates load on a running cluster, shows it every second and writes a report at the end.
+//! `frostctl dev` uses the same for its own cluster.
 
 use frostvale_load::engine::{LoadRun, SharedStats, lock_stats, run_load};
 use frostvale_load::report::{self, StatusWords};
@@ -14,192 +15,216 @@
 use tokio::task::JoinHandle;
 use tokio::time::{MissedTickBehavior, interval};
 
-/// Who asks.
+/// The shops and requests that the load consists of.
 #[derive(clap::Args, Clone)]
-pub struct Shape {
-    /// Every shop asks for this many times its quota. Without it about nine in ten requests fit.
-    #[arg(long, value_name = "TIMES", value_parser = times)]
+pub struct LoadOptions {
+    /// Every shop requests this many times its quota. Without it about nine in ten requests are within quota.
+    #[arg(long, value_name = "TIMES", value_parser = parse_overload)]
     overload: Option<f64>,
-    /// How many gatekeepers a shop's requests come to, 1 to 100.
+    /// Number of gatekeepers in each shop's set, 1 to 100.
     #[arg(long, default_value_t = 2, value_parser = clap::value_parser!(u32).range(1..=100))]
     spread: u32,
-    /// The part of requests that come as rate limit calls, 0 to 1.
-    #[arg(long, default_value_t = GRPC_FRACTION, value_parser = part)]
+    /// Fraction of the requests that are rate limit calls, 0 to 1.
+    #[arg(long, default_value_t = GRPC_FRACTION, value_parser = parse_fraction)]
     grpc_part: f64,
-    /// Of arrivals, shops and clients' pauses: the same seed plays the same.
+    /// Seed of arrivals, shops and clients' pauses: the same seed gives the same load.
     #[arg(long, default_value_t = 1)]
     seed: u64,
 }
 
-/// What is told of it.
+/// Duration of the load and files of its report.
 #[derive(clap::Args, Clone)]
-pub struct Show {
-    /// Ends after so many seconds, with a report.
+pub struct ReportOptions {
+    /// Ends after this many seconds, with a report.
     #[arg(long, value_name = "SECONDS", value_parser = clap::value_parser!(u32).range(1..=86_400))]
     pub duration: Option<u32>,
-    /// Where the report goes as JSON.
+    /// Writes the report as JSON to this file.
     #[arg(long, value_name = "FILE")]
     report_json: Option<PathBuf>,
-    /// Where it goes as one HTML page with plots.
+    /// Writes the report as one HTML page with plots to this file.
     #[arg(long, value_name = "FILE")]
     report_html: Option<PathBuf>,
 }
 
-/// Load on a town that runs already.
+/// Arguments of `frostctl load`.
 #[derive(clap::Args)]
 pub struct Args {
-    /// A gatekeeper's RESP2 address; once for each, in the order of their numbers.
+    /// RESP2 address of a gatekeeper; given once for each, in the order of their numbers.
     #[arg(long = "target", value_name = "ADDR", required = true)]
     targets: Vec<SocketAddr>,
-    /// The rate limit service; without it all is RESP2.
+    /// Address of the rate limit service; without it all requests use RESP2.
     #[arg(long, value_name = "ADDR")]
     rls: Option<SocketAddr>,
-    /// The agent's control socket: the view then shows links and record.
+    /// The agent's control socket; with it the view also shows links and record.
     #[arg(long, value_name = "SOCKET")]
     agent: Option<PathBuf>,
-    /// Requests a second, up to 20000.
+    /// Requests per second, up to 20000.
     #[arg(long, default_value_t = 200, value_parser = clap::value_parser!(u32).range(1..=20_000))]
     rate: u32,
-    /// A plan of the town and the units a second that a shop of it may have; once for each. Without it the brief's four.
-    #[arg(long = "plan", value_name = "NAME=RATE", value_parser = plan)]
+    /// A plan of the cluster and its units per second for each shop; given once for each plan. Default: the four plans of
+    /// the local cluster, distribuidor, ferreteria, tienda and basico.
+    #[arg(long = "plan", value_name = "NAME=RATE", value_parser = parse_plan)]
     plans: Vec<Plan>,
     #[command(flatten)]
-    shape: Shape,
+    load_options: LoadOptions,
     #[command(flatten)]
-    show: Show,
+    report_options: ReportOptions,
 }
 
-fn within(text: &str, least: f64, most: f64) -> Result<f64, String> {
-    let value = text.parse::<f64>().ok().filter(|v| (least..=most).contains(v));
-    value.ok_or_else(|| format!("a number from {least} to {most}"))
+/// Parses a number in `min..=max`.
+fn parse_in_range(text: &str, min: f64, max: f64) -> Result<f64, String> {
+    let value = text.parse::<f64>().ok().filter(|v| (min..=max).contains(v));
+    value.ok_or_else(|| format!("expected a number from {min} to {max}"))
 }
 
-fn times(text: &str) -> Result<f64, String> {
-    within(text, 0.01, 1000.0)
+/// Parses the factor of `--overload`.
+fn parse_overload(text: &str) -> Result<f64, String> {
+    parse_in_range(text, 0.01, 1000.0)
 }
 
-fn part(text: &str) -> Result<f64, String> {
-    within(text, 0.0, 1.0)
+/// Parses the fraction of `--grpc-part`.
+fn parse_fraction(text: &str) -> Result<f64, String> {
+    parse_in_range(text, 0.0, 1.0)
 }
 
-fn plan(text: &str) -> Result<Plan, String> {
-    let (name, rate) = text.split_once('=').ok_or("NAME=RATE")?;
+/// Parses `NAME=RATE`.
+fn parse_plan(text: &str) -> Result<Plan, String> {
+    let (name, rate) = text.split_once('=').ok_or("expected NAME=RATE")?;
     if name.is_empty() || name.len() > 64 {
-        return Err("the name has 1 to 64 bytes".into());
+        return Err("the name must have 1 to 64 bytes".into());
     }
-    Ok(Plan { name: name.into(), rate: within(rate, 0.001, 1e9)?, part: 1 })
+    Ok(Plan { name: name.into(), rate: parse_in_range(rate, 0.001, 1e9)?, part: 1 })
 }
 
-/// A load that is being played.
+/// Load that is being generated by a background task, with its statistics and its view.
 pub struct RunningLoad {
     task: JoinHandle<Result<(), String>>,
-    tally: SharedStats,
+    stats: SharedStats,
     plans: Vec<String>,
-    show: Show,
+    report_options: ReportOptions,
     title: String,
-    drawn: usize,
-    terminal: bool,
-    seconds: usize,
+    /// Lines of the view drawn last, which the next one overwrites on a terminal.
+    drawn_lines: usize,
+    is_terminal: bool,
+    elapsed_seconds: usize,
 }
 
 impl RunningLoad {
-    /// Begins to play.
+    /// Starts load with the example plans; see [`RunningLoad::start_with_plans`].
     pub fn start(
         rate: f64,
-        shape: &Shape,
-        show: &Show,
+        load_options: &LoadOptions,
+        report_options: &ReportOptions,
         gatekeepers: Vec<SocketAddr>,
         rls: Option<SocketAddr>,
     ) -> Result<RunningLoad, String> {
-        RunningLoad::of(rate, shape, show, gatekeepers, rls, example_plans())
+        RunningLoad::start_with_plans(rate, load_options, report_options, gatekeepers, rls, example_plans())
     }
 
-    fn of(
+    /// Starts load with the given plans. Fails if a report file cannot be written or the shops cannot be laid out.
+    fn start_with_plans(
         rate: f64,
-        shape: &Shape,
-        show: &Show,
+        load_options: &LoadOptions,
+        report_options: &ReportOptions,
         gatekeepers: Vec<SocketAddr>,
         rls: Option<SocketAddr>,
         plans: Vec<Plan>,
     ) -> Result<RunningLoad, String> {
-        for file in [&show.report_json, &show.report_html].into_iter().flatten() {
-            writable(file)?;
+        for file in [&report_options.report_json, &report_options.report_html].into_iter().flatten() {
+            check_writable(file)?;
         }
-        let aim = shape.overload.map_or(LoadProfile::WithinQuota, LoadProfile::Overload);
+        let profile = load_options.overload.map_or(LoadProfile::WithinQuota, LoadProfile::Overload);
         let count = u32::try_from(gatekeepers.len()).unwrap_or(u32::MAX);
-        let shops = shops(rate, aim, &plans, count, shape.spread)?;
-        println!("Load: {rate} requests a second of {} shops, seed {}", shops.len(), shape.seed);
-        let tally: SharedStats = Arc::new(Mutex::new(LoadStats::new(plans.len())));
+        let shops = shops(rate, profile, &plans, count, load_options.spread)?;
+        println!("Load: {rate} requests per second of {} shops, seed {}", shops.len(), load_options.seed);
+        let stats: SharedStats = Arc::new(Mutex::new(LoadStats::new(plans.len())));
         let names = plans.iter().map(|p| p.name.clone()).collect();
-        let most = Duration::from_secs(show.duration.map_or(u64::from(u32::MAX), u64::from));
-        let played = LoadRun { shops, plans, gatekeepers, rls, grpc: shape.grpc_part, seed: shape.seed };
+        let max_duration =
+            Duration::from_secs(report_options.duration.map_or(u64::from(u32::MAX), u64::from));
+        let load_run =
+            LoadRun { shops, plans, gatekeepers, rls, grpc: load_options.grpc_part, seed: load_options.seed };
         Ok(RunningLoad {
-            task: tokio::spawn(run_load(played, most, tally.clone())),
-            tally,
+            task: tokio::spawn(run_load(load_run, max_duration, stats.clone())),
+            stats,
             plans: names,
-            show: show.clone(),
-            title: format!("frostvale: {rate} requests a second, seed {}", shape.seed),
-            drawn: 0,
-            terminal: std::io::stdout().is_terminal(),
-            seconds: 0,
+            report_options: report_options.clone(),
+            title: format!("frostvale: {rate} requests a second, seed {}", load_options.seed),
+            drawn_lines: 0,
+            is_terminal: std::io::stdout().is_terminal(),
+            elapsed_seconds: 0,
         })
     }
 
-    /// A second is over: shows it, over the one before on a terminal, as a line elsewhere.
-    pub fn show(&mut self, around: StatusWords) {
-        let mut tally = lock_stats(&self.tally);
-        let second = tally.take_second();
-        self.seconds += 1;
-        let text = if self.terminal {
-            let view = report::view(self.seconds, &second, &tally, &self.plans, &around);
-            let back = if self.drawn > 0 { format!("\x1b[{}A\x1b[J", self.drawn) } else { String::new() };
-            self.drawn = view.lines().count();
-            back + &view
+    /// Shows the statistics of the last second: on a terminal in place of the previous view, otherwise as a line.
+    pub fn show_second(&mut self, status: StatusWords) {
+        let mut stats = lock_stats(&self.stats);
+        let second = stats.take_second();
+        self.elapsed_seconds += 1;
+        let text = if self.is_terminal {
+            let view = report::view(self.elapsed_seconds, &second, &stats, &self.plans, &status);
+            let cursor_up = if self.drawn_lines > 0 {
+                format!("\x1b[{}A\x1b[J", self.drawn_lines)
+            } else {
+                String::new()
+            };
+            self.drawn_lines = view.lines().count();
+            cursor_up + &view
         } else {
-            report::line(self.seconds, &second, &around) + "\n"
+            report::line(self.elapsed_seconds, &second, &status) + "\n"
         };
-        drop(tally);
+        drop(stats);
         let mut out = std::io::stdout().lock();
         let _ = out.write_all(text.as_bytes()).and_then(|()| out.flush());
     }
 
-    /// Ends it and reports. What is in hand has a moment to be answered.
-    pub async fn end(mut self, around: StatusWords) -> Result<(), String> {
-        let played = tokio::time::timeout(Duration::from_secs(4), &mut self.task).await;
+    /// Ends the load and reports. Requests in flight have up to 4 seconds to be answered.
+    pub async fn finish(mut self, status: StatusWords) -> Result<(), String> {
+        let task_result = tokio::time::timeout(Duration::from_secs(4), &mut self.task).await;
         self.task.abort();
-        let tally = lock_stats(&self.tally);
-        print!("{}", report::text(&tally, &self.plans, &around));
-        if let Some(file) = &self.show.report_json {
-            write(file, &tally.json(&self.plans).to_string())?;
+        let stats = lock_stats(&self.stats);
+        print!("{}", report::text(&stats, &self.plans, &status));
+        if let Some(file) = &self.report_options.report_json {
+            write(file, &stats.json(&self.plans).to_string())?;
         }
-        if let Some(file) = &self.show.report_html {
-            write(file, &report::html(&self.title, &tally, &self.plans, &around)?)?;
+        if let Some(file) = &self.report_options.report_html {
+            write(file, &report::html(&self.title, &stats, &self.plans, &status)?)?;
         }
-        match played {
-            Ok(Ok(ended)) => ended,
-            // It was to go on until somebody ended it.
+        match task_result {
+            Ok(Ok(result)) => result,
+            // The task was aborted: a load without a duration goes on until it is ended here.
             _ => Ok(()),
         }
     }
 }
 
-fn writable(file: &Path) -> Result<(), String> {
-    let opened = std::fs::OpenOptions::new().create(true).append(true).open(file);
-    opened.map(drop).map_err(|e| format!("{}: {e}", file.display()))
+/// Opens the file for writing, and creates it, so that a bad path fails before the load starts.
+fn check_writable(file: &Path) -> Result<(), String> {
+    let open_result = std::fs::OpenOptions::new().create(true).append(true).open(file);
+    open_result.map(drop).map_err(|e| format!("cannot open {}: {e}", file.display()))
 }
 
+/// Writes `text` to the file; the error names the path.
 fn write(file: &Path, text: &str) -> Result<(), String> {
-    std::fs::write(file, text).map_err(|e| format!("{}: {e}", file.display()))
+    std::fs::write(file, text).map_err(|e| format!("cannot write {}: {e}", file.display()))
 }
 
-/// Plays until it is over or a signal comes.
+/// Generates load until its duration is over or SIGTERM or SIGINT arrives.
 pub async fn run(args: Args) -> Result<ExitCode, String> {
-    let mut term = signal(SignalKind::terminate()).map_err(|e| format!("cannot await SIGTERM: {e}"))?;
-    let mut int = signal(SignalKind::interrupt()).map_err(|e| format!("cannot await SIGINT: {e}"))?;
+    let mut term =
+        signal(SignalKind::terminate()).map_err(|e| format!("cannot install the handler of SIGTERM: {e}"))?;
+    let mut int =
+        signal(SignalKind::interrupt()).map_err(|e| format!("cannot install the handler of SIGINT: {e}"))?;
     let plans = if args.plans.is_empty() { example_plans() } else { args.plans.clone() };
     let rate = f64::from(args.rate);
-    let mut playing = RunningLoad::of(rate, &args.shape, &args.show, args.targets, args.rls, plans)?;
-    let around = async || match &args.agent {
+    let mut running_load = RunningLoad::start_with_plans(
+        rate,
+        &args.load_options,
+        &args.report_options,
+        args.targets,
+        args.rls,
+        plans,
+    )?;
+    let status_words = async || match &args.agent {
         Some(socket) => crate::status::summary_lines(socket).await,
         None => Vec::new(),
     };
@@ -212,13 +237,13 @@
             _ = int.recv() => break,
             _ = tick.tick() => {
                 frostvale_log::flush_summaries();
-                playing.show(around().await);
-                if playing.task.is_finished() {
+                running_load.show_second(status_words().await);
+                if running_load.task.is_finished() {
                     break;
                 }
             }
         }
     }
-    let around = around().await;
-    playing.end(around).await.map(|()| ExitCode::SUCCESS)
+    let status = status_words().await;
+    running_load.finish(status).await.map(|()| ExitCode::SUCCESS)
 }
