--- a/crates/ctl/src/audit.rs
+++ b/crates/ctl/src/audit.rs
@@ -1,5 +1,5 @@
-//! `frostctl audit`, `fleet` and `stragglers`: the versions that each gatekeeper applies, the history of them with its
-//! verification, and the gatekeepers that are behind or fenced off.
+//! `frostctl audit`, `fleet` and `stragglers`: the versions that each gatekeeper applies, the history of them
+//! with its verification, and the gatekeepers that are behind or fenced off.
 
 use clap::Subcommand;
 use frostvale_agent::clock::unix_ms;
@@ -48,8 +48,8 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Shows the versions that each gatekeeper applied at a time, from the history. Changes that may have taken effect
-    /// before or after that time are listed as uncertain.
+    /// Shows the versions that each gatekeeper applied at a time, from the history. Changes that may have
+    /// taken effect before or after that time are listed as uncertain.
     At {
         /// The time: a duration before now such as `10m`, or a time such as `2026-12-24T06:00:00Z`.
         time: String,
@@ -59,14 +59,14 @@
         /// Name of the gatekeeper.
         name: String,
     },
-    /// Shows by gatekeeper the units that were decided under a revision of the plans and the time range, and marks those
-    /// that ended after the next revision was wanted.
+    /// Shows by gatekeeper the units that were decided under a revision of the plans and the time range, and
+    /// marks those that ended after the next revision was wanted.
     Version {
         /// Revision of the plans.
         revision: u64,
     },
-    /// Verifies the whole history: detects rows that were changed, removed or inserted, and compares it with the council's
-    /// checkpoints. Exit code 6: the verification failed; each fault is named.
+    /// Verifies the whole history: detects rows that were changed, removed or inserted, and compares it with
+    /// the council's checkpoints. Exit code 6: the verification failed; each fault is named.
     Verify,
     /// Writes the whole history to standard output, as CSV or JSON lines.
     Export {
@@ -87,8 +87,8 @@
 
 #[derive(Subcommand)]
 enum FleetCommand {
-    /// Lists all known gatekeepers and the versions that each applies. Exit code 3: one is behind, unknown or fenced off,
-    /// or the owner cannot be reached.
+    /// Lists all known gatekeepers and the versions that each applies. Exit code 3: one is behind, unknown or
+    /// fenced off, or the owner cannot be reached.
     List,
     /// Prints the same list repeatedly.
     Watch {
@@ -109,10 +109,11 @@
 
 #[derive(Subcommand)]
 enum StragglerCommand {
-    /// Lists the gatekeepers that are behind, unknown or fenced off, with the escalation step of each, and alarms.
-    /// Exit code 3: there is one.
+    /// Lists the gatekeepers that are behind, unknown or fenced off, with the escalation step of each, and
+    /// alarms. Exit code 3: there is one.
     List,
-    /// Fences a gatekeeper off until a given time, as far as the minimum of gatekeepers in service allows. Exit code 4: refused.
+    /// Fences a gatekeeper off until a given time, as far as the minimum of gatekeepers in service allows.
+    /// Exit code 4: refused.
     Out(Override),
     /// Keeps a gatekeeper in service until a given time, whatever versions it applies. Exit code 4: refused.
     In(Override),
@@ -324,8 +325,8 @@
 }
 
 async fn verify(agent: &mut AgentClient<Channel>, json: bool) -> Result<ExitCode, String> {
-    // The checkpoints are read before the rows: rows are only ever added, so the later read holds all rows that the
-    // checkpoints cover.
+    // The checkpoints are read before the rows: rows are only ever added, so the later read holds all rows
+    // that the checkpoints cover.
     let response = fetch_audit(agent).await?;
     let decision: Decision = serde_json::from_str(&response.decision).unwrap_or_default();
     let (all, base) = fetch_history(agent).await?;
--- a/crates/ctl/src/council.rs
+++ b/crates/ctl/src/council.rs
@@ -1,5 +1,5 @@
-//! `frostctl council`: shows and changes the members of the council (the agents' consensus group), and recovers it
-//! from one member's file when the majority is permanently lost.
+//! `frostctl council`: shows and changes the members of the council (the agents' consensus group), and
+//! recovers it from one member's file when the majority is permanently lost.
 
 use clap::Subcommand;
 use frostvale_agent::serve::control;
@@ -26,13 +26,15 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Shows the members, the leader and the last index of the log. Exit code 3: no leader, or this agent takes no part.
+    /// Shows the members, the leader and the last index of the log. Exit code 3: no leader, or this agent
+    /// takes no part.
     Status {
         /// Prints JSON.
         #[arg(long)]
         json: bool,
     },
-    /// Adds an agent as a voter: one that follows already, or one whose council file is new. Exit code 4: refused.
+    /// Adds an agent as a voter: one that follows already, or one whose council file is new. Exit code 4:
+    /// refused.
     Add {
         /// Name of the agent.
         name: String,
@@ -45,9 +47,9 @@
         /// Name of the member.
         name: String,
     },
-    /// Recovers from the permanent loss of the majority: makes one member continue alone, from the contents of its file.
-    /// Its agent must be stopped. Entries that the others committed without it are lost, and members that return are
-    /// refused until they are added again.
+    /// Recovers from the permanent loss of the majority: makes one member continue alone, from the contents
+    /// of its file. Its agent must be stopped. Entries that the others committed without it are lost, and
+    /// members that return are refused until they are added again.
     Recover {
         /// The member's council file: of the remaining members, the one whose log has the highest last index.
         #[arg(long)]
@@ -55,7 +57,8 @@
         /// Who makes this change; stored with it.
         #[arg(long, env = "USER", default_value = "operator")]
         by: String,
-        /// Confirms that the others are permanently lost: if a majority of them still runs, there are two councils from now on.
+        /// Confirms that the others are permanently lost: if a majority of them still runs, there are two
+        /// councils from now on.
         #[arg(long)]
         the_others_are_gone_for_good: bool,
     },
--- a/crates/ctl/src/dev.rs
+++ b/crates/ctl/src/dev.rs
@@ -1,5 +1,5 @@
-//! `frostctl dev`: runs a local cluster on one machine until a signal arrives, with load if asked for. Programs of the
-//! cluster that end are restarted; all of them end when this process ends, however it ends.
+//! `frostctl dev`: runs a local cluster on one machine until a signal arrives, with load if asked for.
+//! Programs of the cluster that end are restarted; all of them end when this process ends, however it ends.
 
 use crate::load::{LoadOptions, ReportOptions, RunningLoad};
 use frostvale_load::report::StatusWords;
@@ -24,7 +24,8 @@
     /// Number of formula servers, 1 to 100.
     #[arg(long, default_value_t = 9, value_parser = clap::value_parser!(u8).range(1..=100))]
     servers: u8,
-    /// Load in requests per second over RESP2 and gRPC together, up to 20000; without it no load is generated.
+    /// Load in requests per second over RESP2 and gRPC together, up to 20000; without it no load is
+    /// generated.
     #[arg(long, value_parser = clap::value_parser!(u32).range(1..=20_000))]
     load: Option<u32>,
     #[command(flatten)]
@@ -34,15 +35,15 @@
     /// File that is written once all parts serve, with their addresses as JSON.
     #[arg(long, value_name = "FILE")]
     ready_file: Option<PathBuf>,
-    /// Where plans and use are stored: `sqlite`, in the cluster's folder, `stand-in`, a PostgreSQL stand-in, or a
-    /// postgres:// URL.
+    /// Where plans and use are stored: `sqlite`, in the cluster's folder, `stand-in`, a PostgreSQL stand-in,
+    /// or a postgres:// URL.
     #[arg(long, value_name = "PLACE", default_value = "sqlite")]
     record: String,
     /// File that holds the password for the URL.
     #[arg(long, value_name = "FILE")]
     password_file: Option<PathBuf>,
-    /// Folder for configurations, sockets and logs, which is kept. Without it a temporary folder is used and removed at the
-    /// end.
+    /// Folder for configurations, sockets and logs, which is kept. Without it a temporary folder is used and
+    /// removed at the end.
     #[arg(long, value_name = "FOLDER")]
     folder: Option<PathBuf>,
 }
@@ -180,7 +181,8 @@
     report_result.map(|()| ExitCode::SUCCESS)
 }
 
-/// Returns the time that a formula takes: such that the servers' capacity is 1.5 times the load, within 2 to 20 ms.
+/// Returns the time that a formula takes: such that the servers' capacity is 1.5 times the load, within 2 to
+/// 20 ms.
 fn formula_duration(args: &Args) -> Duration {
     let cores = ServerOptions::default().cores as f64 * f64::from(args.servers);
     let seconds = cores / (1.5 * f64::from(args.load.unwrap_or(1)));
@@ -213,7 +215,8 @@
     }
 }
 
-/// Prepares the store of record: returns its URL, the file that holds its password, and the stand-in server if used.
+/// Prepares the store of record: returns its URL, the file that holds its password, and the stand-in server
+/// if used.
 async fn prepare_record(
     args: &Args,
     folder: &Path,
@@ -239,7 +242,8 @@
     result.map_err(|e| format!("cannot write --ready-file {}: {e}", file.display()))
 }
 
-/// Restarts gatekeepers and the agent that have ended, so that any of them can be killed to try out the failure.
+/// Restarts gatekeepers and the agent that have ended, so that any of them can be killed to try out the
+/// failure.
 async fn restart_ended(cluster: &mut LocalCluster) {
     for k in 0..cluster.gatekeepers.len() {
         if let Some(exit_status) = cluster.gatekeepers[k].process.has_ended() {
--- a/crates/ctl/src/duties.rs
+++ b/crates/ctl/src/duties.rs
@@ -1,5 +1,5 @@
-//! `frostctl duties`: lists the fleet's duties (leader-elected tasks) with their owners and history, and moves,
-//! pauses and resumes them through any agent's control socket.
+//! `frostctl duties`: lists the fleet's duties (leader-elected tasks) with their owners and history, and
+//! moves, pauses and resumes them through any agent's control socket.
 
 use clap::Subcommand;
 use frostvale_agent::serve::control;
@@ -35,8 +35,9 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Lists all duties: owner, epoch, start of ownership, last step and next step. Exit code 3: some duty is not owned,
-    /// or the council could not be reached and the list is the last state that this agent received.
+    /// Lists all duties: owner, epoch, start of ownership, last step and next step. Exit code 3: some duty is
+    /// not owned, or the council could not be reached and the list is the last state that this agent
+    /// received.
     List,
     /// Lists the changes of owner, oldest first.
     History {
@@ -116,7 +117,8 @@
     }
 }
 
-/// Formats a Unix time in ms relative to now by this host's clock, from which agents' clocks may differ; "-" for 0.
+/// Formats a Unix time in ms relative to now by this host's clock, from which agents' clocks may differ; "-"
+/// for 0.
 fn relative_time(ms: u64) -> String {
     if ms == 0 {
         return "-".into();
--- a/crates/ctl/src/export.rs
+++ b/crates/ctl/src/export.rs
@@ -1,5 +1,6 @@
-//! `frostctl export`: checks whether a folder of the export of use by day is complete, by the rule that readers apply:
-//! of each part number the file with the highest epoch counts, and parts above a missing one are not used.
+//! `frostctl export`: checks whether a folder of the export of use by day is complete, by the rule that
+//! readers apply: of each part number the file with the highest epoch counts, and parts above a missing one
+//! are not used.
 
 use clap::Subcommand;
 use std::collections::BTreeMap;
@@ -18,7 +19,8 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Reads the parts in a folder; of each number the file with the highest epoch counts. Exit code 3: a part is missing.
+    /// Reads the parts in a folder; of each number the file with the highest epoch counts. Exit code 3: a
+    /// part is missing.
     Check {
         /// The folder that the export is written to.
         folder: PathBuf,
--- a/crates/ctl/src/load.rs
+++ b/crates/ctl/src/load.rs
@@ -1,5 +1,5 @@
-//! `frostctl load`: generates load on a running cluster, shows it every second and writes a report at the end.
-//! `frostctl dev` uses the same for its own cluster.
+//! `frostctl load`: generates load on a running cluster, shows it every second and writes a report at the
+//! end. `frostctl dev` uses the same for its own cluster.
 
 use frostvale_load::engine::{LoadRun, SharedStats, lock_stats, run_load};
 use frostvale_load::report::{self, StatusWords};
@@ -61,8 +61,8 @@
     /// Requests per second, up to 20000.
     #[arg(long, default_value_t = 200, value_parser = clap::value_parser!(u32).range(1..=20_000))]
     rate: u32,
-    /// A plan of the cluster and its units per second for each shop; given once for each plan. Default: the four plans of
-    /// the local cluster, distribuidor, ferreteria, tienda and basico.
+    /// A plan of the cluster and its units per second for each shop; given once for each plan. Default: the
+    /// four plans of the local cluster, distribuidor, ferreteria, tienda and basico.
     #[arg(long = "plan", value_name = "NAME=RATE", value_parser = parse_plan)]
     plans: Vec<Plan>,
     #[command(flatten)]
@@ -121,7 +121,8 @@
         RunningLoad::start_with_plans(rate, load_options, report_options, gatekeepers, rls, example_plans())
     }
 
-    /// Starts load with the given plans. Fails if a report file cannot be written or the shops cannot be laid out.
+    /// Starts load with the given plans. Fails if a report file cannot be written or the shops cannot be laid
+    /// out.
     fn start_with_plans(
         rate: f64,
         load_options: &LoadOptions,
@@ -155,7 +156,8 @@
         })
     }
 
-    /// Shows the statistics of the last second: on a terminal in place of the previous view, otherwise as a line.
+    /// Shows the statistics of the last second: on a terminal in place of the previous view, otherwise as a
+    /// line.
     pub fn show_second(&mut self, status: StatusWords) {
         let mut stats = lock_stats(&self.stats);
         let second = stats.take_second();
--- a/crates/ctl/src/main.rs
+++ b/crates/ctl/src/main.rs
@@ -48,9 +48,11 @@
     Record(record::Args),
     /// Duties of the fleet: lists their owners, moves, pauses and resumes them.
     Duties(duties::Args),
-    /// The council of agents: shows and changes its members, and recovers it when the majority is permanently lost.
+    /// The council of agents: shows and changes its members, and recovers it when the majority is permanently
+    /// lost.
     Council(council::Args),
-    /// Zones: shows the current decision and the version that each gatekeeper applies, and drains and restores zones.
+    /// Zones: shows the current decision and the version that each gatekeeper applies, and drains and
+    /// restores zones.
     Zones(zones::Args),
     /// The audit: which version each gatekeeper applied, from a history that can be verified.
     Audit(audit::Args),
--- a/crates/ctl/src/record.rs
+++ b/crates/ctl/src/record.rs
@@ -1,5 +1,5 @@
-//! `frostctl record`: shows, checks, backs up and migrates the store of record, and changes plans with optimistic
-//! concurrency: a change names the revision that it is based on.
+//! `frostctl record`: shows, checks, backs up and migrates the store of record, and changes plans with
+//! optimistic concurrency: a change names the revision that it is based on.
 
 use clap::Subcommand;
 use frostvale_record::model::{Change, Plan, UsageTotal, Versioned};
--- a/crates/ctl/src/sim.rs
+++ b/crates/ctl/src/sim.rs
@@ -1,4 +1,5 @@
-//! `frostctl sim`: runs simulated fleets on several threads, writes their reports and shrinks scenarios that fail.
+//! `frostctl sim`: runs simulated fleets on several threads, writes their reports and shrinks scenarios that
+//! fail.
 
 use clap::Subcommand;
 use frostvale_sim::shrink::{self, shrink};
@@ -24,8 +25,8 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Runs scenarios with each of the seeds. Exit code 6: an invariant was violated, or an expectation of a scenario did not
-    /// hold.
+    /// Runs scenarios with each of the seeds. Exit code 6: an invariant was violated, or an expectation of a
+    /// scenario did not hold.
     Run(Run),
     /// Checks scenario files and reports their errors; runs nothing.
     Check {
@@ -41,7 +42,8 @@
         #[arg(long, value_name = "FILE")]
         html: PathBuf,
     },
-    /// Shrinks a scenario that fails with the seed, as far as it still fails in the same way. Exit code 6: it was shrunk.
+    /// Shrinks a scenario that fails with the seed, as far as it still fails in the same way. Exit code 6: it
+    /// was shrunk.
     Shrink {
         /// Scenario file.
         file: PathBuf,
--- a/crates/ctl/src/status.rs
+++ b/crates/ctl/src/status.rs
@@ -1,5 +1,5 @@
-//! `frostctl status`: shows the state of one agent: its links to gatekeepers, its rate limit calls, the record and the
-//! outside service.
+//! `frostctl status`: shows the state of one agent: its links to gatekeepers, its rate limit calls, the
+//! record and the outside service.
 
 use frostvale_agent::serve::control;
 use frostvale_proto::agent::{StatusRequest, StatusResponse};
--- a/crates/ctl/src/zones.rs
+++ b/crates/ctl/src/zones.rs
@@ -1,5 +1,5 @@
-//! `frostctl zones`: shows the current decision on the zones and the version that each gatekeeper applies, and
-//! drains and restores zones for operators.
+//! `frostctl zones`: shows the current decision on the zones and the version that each gatekeeper applies,
+//! and drains and restores zones for operators.
 
 use clap::Subcommand;
 use frostvale_agent::clock::unix_ms;
@@ -28,8 +28,8 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Shows the current decision, its owner, and the version that each gatekeeper applies. Exit code 3: some gatekeeper
-    /// applies another version or none, or the owner cannot be reached.
+    /// Shows the current decision, its owner, and the version that each gatekeeper applies. Exit code 3: some
+    /// gatekeeper applies another version or none, or the owner cannot be reached.
     Status {
         /// Prints JSON.
         #[arg(long)]
@@ -37,8 +37,8 @@
     },
     /// Lists the changes, oldest first.
     History,
-    /// Takes a zone out of use in steps, until a given time. Exit code 4: refused, with the figures if the other zones
-    /// lack the capacity.
+    /// Takes a zone out of use in steps, until a given time. Exit code 4: refused, with the figures if the
+    /// other zones lack the capacity.
     Drain {
         /// Name of the zone.
         zone: String,
@@ -48,7 +48,8 @@
         /// End of the drain: a duration such as `30m` or `2h`, or a time such as `2026-12-24T06:00:00Z`.
         #[arg(long)]
         until: String,
-        /// Drains the zone even if the others lack the capacity: the excess is refused, and the answer states its amount.
+        /// Drains the zone even if the others lack the capacity: the excess is refused, and the answer states
+        /// its amount.
         #[arg(long)]
         force: bool,
         /// Who makes this change; stored with it.
@@ -126,7 +127,8 @@
     humantime::format_rfc3339_seconds(at).to_string()
 }
 
-/// Whether the response is current and every gatekeeper that reports applies the current version without a problem.
+/// Whether the response is current and every gatekeeper that reports applies the current version without a
+/// problem.
 fn is_healthy(response: &ZonesResponse) -> bool {
     let is_current = |a: &ZoneActs| a.version == response.version && a.problem.is_empty();
     response.current
--- a/crates/ctl/tests/dev.rs
+++ b/crates/ctl/tests/dev.rs
@@ -1,4 +1,6 @@
-//! `frostctl dev` as a new user starts it, and what is left when it ends.
+//! Tests of `frostctl dev` as a process: what it serves, that it restarts its parts, and that no process,
+//! ready file or unrecorded use is left when it ends. Also tests of `frostctl load` and of the log format
+//! against such a cluster.
 
 use frostvale_load::schedule::{GRPC_FRACTION, LoadProfile, Schedule, example_plans, shops};
 use frostvale_standin::client::{Shop, rate_limit_call, rls_client, send_request};
@@ -10,16 +12,17 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-/// Nothing here takes this long unless it has failed.
-const LONG: Duration = Duration::from_secs(30);
+/// Longest wait for a condition; far more than any takes unless it has failed.
+const WAIT_LIMIT: Duration = Duration::from_secs(30);
 
-struct Dev {
+/// A running `frostctl dev` with its folder; it is killed when this value is dropped.
+struct DevProcess {
     child: Child,
     folder: tempfile::TempDir,
 }
 
-impl Dev {
-    fn start(args: &[&str]) -> Dev {
+impl DevProcess {
+    fn start(args: &[&str]) -> DevProcess {
         let folder = tempfile::tempdir().expect("a folder");
         let child = Command::new(env!("CARGO_BIN_EXE_frostctl"))
             .args(["dev", "--servers", "3", "--ready-file"])
@@ -30,25 +33,26 @@
             .stdout(Stdio::null())
             .spawn()
             .expect("started");
-        Dev { child, folder }
+        DevProcess { child, folder }
     }
 
     fn ready_file(&self) -> PathBuf {
         self.folder.path().join("ready.json")
     }
 
-    fn ready(&self) -> Value {
-        let begun = Instant::now();
+    /// Waits for the ready file and returns its contents. A file that is there has to be complete.
+    fn wait_until_ready(&self) -> Value {
+        let started = Instant::now();
         loop {
             if let Ok(text) = std::fs::read_to_string(self.ready_file()) {
-                return serde_json::from_str(&text).expect("whole JSON whenever the file is there");
+                return serde_json::from_str(&text).expect("complete JSON whenever the file exists");
             }
-            assert!(begun.elapsed() < LONG, "never ready");
+            assert!(started.elapsed() < WAIT_LIMIT, "the cluster is not ready in time");
             std::thread::sleep(Duration::from_millis(10));
         }
     }
 
-    /// The processes that it started: their commands name its folder or their files do.
+    /// Process ids of its child processes.
     fn children(&self) -> BTreeSet<u32> {
         let own = self.child.id();
         let all = std::fs::read_dir("/proc").expect("/proc").flatten();
@@ -57,28 +61,30 @@
     }
 }
 
-impl Drop for Dev {
+impl Drop for DevProcess {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 }
 
+/// Process id of the parent of a process; `None` if the process is gone.
 fn parent(pid: u32) -> Option<u32> {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).ok()?;
     stat.rsplit_once(')')?.1.split_whitespace().nth(1)?.parse().ok()
 }
 
-/// Waits until these processes are gone. A pid that was taken over by another program is gone too.
-fn gone(pids: &BTreeSet<u32>) {
-    let begun = Instant::now();
-    let runs = |pid: &u32| {
+/// Waits until these processes have ended. A process id that another program has reused counts as ended, as
+/// does a zombie.
+fn wait_until_ended(pids: &BTreeSet<u32>) {
+    let started = Instant::now();
+    let is_running = |pid: &u32| {
         let name = std::fs::read_to_string(format!("/proc/{pid}/comm")).unwrap_or_default();
         let state = std::fs::read_to_string(format!("/proc/{pid}/stat")).unwrap_or_default();
         name.starts_with("frost") && !state.contains(") Z ")
     };
-    while pids.iter().any(runs) {
-        assert!(begun.elapsed() < LONG, "they outlive it: {pids:?}");
+    while pids.iter().any(is_running) {
+        assert!(started.elapsed() < WAIT_LIMIT, "processes outlive frostctl dev: {pids:?}");
         std::thread::sleep(Duration::from_millis(10));
     }
 }
@@ -88,9 +94,9 @@
 }
 
 #[tokio::test]
-async fn the_town_serves_both_protocols_and_says_where() {
-    let mut dev = Dev::start(&["--gatekeepers", "2", "--load", "50"]);
-    let ready = dev.ready();
+async fn dev_serves_both_protocols_at_the_addresses_in_its_ready_file() {
+    let mut dev = DevProcess::start(&["--gatekeepers", "2", "--load", "50"]);
+    let ready = dev.wait_until_ready();
     assert_eq!(ready["gatekeepers"].as_array().expect("a list").len(), 2);
     assert_eq!(ready["servers"].as_array().expect("a list").len(), 3);
     for key in ["discovery", "counter"] {
@@ -107,7 +113,7 @@
     let mut client = rls_client(address(&ready["agent"]["rls"])).expect("an address");
     let answer = client.should_rate_limit(rate_limit_call(&shop, true, 1)).await.expect("an answer");
     assert_eq!(answer.get_ref().overall_code() as i32, 1, "OK");
-    // The commands that it prints work as well.
+    // The commands that `frostctl dev` prints have to work as well.
     let run = |args: &[&str]| Command::new(env!("CARGO_BIN_EXE_frostctl")).args(args).output().expect("run");
     let text = |v: &Value| v.as_str().expect("a string").to_string();
     let rls = text(&ready["agent"]["rls"]);
@@ -119,55 +125,58 @@
     let status = run(&["status", "--agent", &text(&ready["agent"]["control"]), "--output", "json"]);
     let status: Value = serde_json::from_slice(&status.stdout).expect("JSON");
     assert_eq!(status["gatekeepers"][1]["state"], "linked");
-    let nobody = run(&["status", "--agent", "/nowhere.sock"]);
-    assert!(!nobody.status.success() && String::from_utf8_lossy(&nobody.stderr).contains("frostagent"));
+    let unreachable = run(&["status", "--agent", "/nowhere.sock"]);
+    assert!(
+        !unreachable.status.success() && String::from_utf8_lossy(&unreachable.stderr).contains("frostagent")
+    );
 
     let children = dev.children();
     assert_eq!(children.len(), 3, "two gatekeepers and an agent");
     let pid = dev.child.id().to_string();
     assert!(Command::new("kill").args(["-TERM", &pid]).status().expect("run").success());
     assert!(dev.child.wait().expect("ended").success());
-    gone(&children);
-    assert!(!dev.ready_file().exists(), "nobody is told of a town that has ended");
+    wait_until_ended(&children);
+    assert!(!dev.ready_file().exists(), "the ready file of a cluster that has ended is removed");
 }
 
 #[test]
-fn no_child_outlives_a_town_that_is_killed() {
-    let mut dev = Dev::start(&["--gatekeepers", "3"]);
-    dev.ready();
+fn dev_leaves_no_child_process_when_it_is_killed() {
+    let mut dev = DevProcess::start(&["--gatekeepers", "3"]);
+    dev.wait_until_ready();
     let children = dev.children();
     assert_eq!(children.len(), 4, "three gatekeepers and an agent");
     dev.child.kill().expect("killed");
     dev.child.wait().expect("ended");
-    gone(&children);
+    wait_until_ended(&children);
 }
 
 #[test]
-fn a_part_of_the_town_that_is_killed_is_started_again() {
-    let dev = Dev::start(&["--gatekeepers", "1"]);
-    dev.ready();
+fn dev_restarts_gatekeeper_and_agent_when_they_are_killed() {
+    let dev = DevProcess::start(&["--gatekeepers", "1"]);
+    dev.wait_until_ready();
     let before = dev.children();
     for pid in &before {
         assert!(Command::new("kill").args(["-KILL", &pid.to_string()]).status().expect("run").success());
     }
-    let begun = Instant::now();
+    let started = Instant::now();
     while dev.children().difference(&before).count() < 2 {
-        assert!(begun.elapsed() < LONG, "never started again");
+        assert!(started.elapsed() < WAIT_LIMIT, "not restarted in time");
         std::thread::sleep(Duration::from_millis(20));
     }
 }
 
 #[test]
-fn numbers_out_of_range_are_named_and_nothing_starts() {
+fn dev_names_the_flag_and_range_when_a_number_is_out_of_range() {
     for args in [["--gatekeepers", "0"], ["--load", "0"], ["--servers", "101"]] {
-        let ran = Command::new(env!("CARGO_BIN_EXE_frostctl")).arg("dev").args(args).output().expect("run");
-        let said = String::from_utf8_lossy(&ran.stderr);
-        assert!(!ran.status.success() && said.contains(args[0]) && said.contains("1..="), "{said}");
+        let output =
+            Command::new(env!("CARGO_BIN_EXE_frostctl")).arg("dev").args(args).output().expect("run");
+        let stderr = String::from_utf8_lossy(&output.stderr);
+        assert!(!output.status.success() && stderr.contains(args[0]) && stderr.contains("1..="), "{stderr}");
     }
 }
 
-/// Serves so many units to three shops, by both gatekeepers.
-async fn serve(ready: &Value, units: [u32; 3]) {
+/// Sends requests for `units` of three shops, alternating between both gatekeepers.
+async fn send_units(ready: &Value, units: [u32; 3]) {
     for (k, count) in units.into_iter().enumerate() {
         for n in 0..count {
             let gatekeeper = &ready["gatekeepers"][n as usize % 2];
@@ -182,8 +191,8 @@
     }
 }
 
-/// Units passed by shop, and the gaps, as the record has them.
-fn recorded(folder: &Path) -> (Vec<u64>, bool) {
+/// Units passed by each of the three shops according to the record, and whether the record has a gap.
+fn recorded_units(folder: &Path) -> (Vec<u64>, bool) {
     let run = |args: &[&str]| {
         let url = format!("sqlite:{}", folder.join("record.db").display());
         let out = Command::new(env!("CARGO_BIN_EXE_frostctl"))
@@ -204,56 +213,60 @@
 }
 
 #[tokio::test]
-async fn a_town_that_is_stopped_in_order_has_every_unit_in_its_record() {
-    let mut dev = Dev::start(&["--gatekeepers", "2"]);
-    serve(&dev.ready(), [18, 16, 15]).await;
+async fn record_holds_every_unit_when_dev_is_stopped_in_order() {
+    let mut dev = DevProcess::start(&["--gatekeepers", "2"]);
+    send_units(&dev.wait_until_ready(), [18, 16, 15]).await;
     let pid = dev.child.id().to_string();
     assert!(Command::new("kill").args(["-TERM", &pid]).status().expect("run").success());
     assert!(dev.child.wait().expect("ended").success());
-    assert_eq!(recorded(&dev.folder.path().join("town")), (vec![18, 16, 15], false));
+    assert_eq!(recorded_units(&dev.folder.path().join("town")), (vec![18, 16, 15], false));
 }
 
-/// As on a host that reboots: SIGTERM to all of it at once. What no agent took is there when the town is next started.
+/// SIGTERM reaches all processes at once, as when a host reboots, so that the agent may end before it has the
+/// gatekeepers' last usage. That usage has to be recorded after the next start.
 #[tokio::test]
-async fn a_town_whose_parts_are_all_stopped_at_once_has_every_unit_with_its_next_start() {
-    let mut dev = Dev::start(&["--gatekeepers", "2"]);
-    serve(&dev.ready(), [18, 16, 15]).await;
+async fn record_holds_every_unit_after_restart_when_all_processes_are_stopped_at_once() {
+    let mut dev = DevProcess::start(&["--gatekeepers", "2"]);
+    send_units(&dev.wait_until_ready(), [18, 16, 15]).await;
     let children = dev.children();
     let pids: Vec<String> = children.iter().chain([&dev.child.id()]).map(u32::to_string).collect();
     assert!(Command::new("kill").arg("-TERM").args(&pids).status().expect("run").success());
     assert!(dev.child.wait().expect("ended").success());
-    gone(&children);
-    let town = dev.folder.path().join("town");
+    wait_until_ended(&children);
+    let folder = dev.folder.path().join("town");
     let ready = dev.folder.path().join("again.json");
-    let mut again = Command::new(env!("CARGO_BIN_EXE_frostctl"))
+    let mut restarted = Command::new(env!("CARGO_BIN_EXE_frostctl"))
         .args(["dev", "--servers", "3", "--gatekeepers", "2", "--folder"])
-        .arg(&town)
+        .arg(&folder)
         .arg("--ready-file")
         .arg(&ready)
         .stdout(Stdio::null())
         .spawn()
         .expect("started");
-    let begun = Instant::now();
-    while !ready.exists() || recorded(&town).0 != [18, 16, 15] {
-        assert!(begun.elapsed() < LONG, "never recorded: {:?}", recorded(&town));
+    let started = Instant::now();
+    while !ready.exists() || recorded_units(&folder).0 != [18, 16, 15] {
+        assert!(started.elapsed() < WAIT_LIMIT, "not recorded in time: {:?}", recorded_units(&folder));
         std::thread::sleep(Duration::from_millis(50));
     }
-    assert!(Command::new("kill").args(["-TERM", &again.id().to_string()]).status().expect("run").success());
-    assert!(again.wait().expect("ended").success());
-    assert_eq!(recorded(&town), (vec![18, 16, 15], false));
+    assert!(
+        Command::new("kill").args(["-TERM", &restarted.id().to_string()]).status().expect("run").success()
+    );
+    assert!(restarted.wait().expect("ended").success());
+    assert_eq!(recorded_units(&folder), (vec![18, 16, 15], false));
 }
 
-/// Each line of every program is one JSON object with its fields, also where lines are merged.
+/// Each log line of every program has to be one JSON object with its fields, including lines that sum up
+/// repeated ones.
 #[test]
-fn every_log_line_is_json_where_that_is_asked_for() {
+fn log_lines_of_every_program_are_json_when_that_format_is_set() {
     let folder = tempfile::tempdir().expect("a folder");
     let run = |args: &[&str]| {
         let out = Command::new(env!("CARGO_BIN_EXE_frostctl")).args(args).output().expect("run");
         String::from_utf8_lossy(&out.stderr).into_owned()
     };
-    let said = run(&["--log-format", "json", "status", "--agent", "/nowhere.sock"]);
-    let town = folder.path().join("town");
-    let text = town.display().to_string();
+    let stderr = run(&["--log-format", "json", "status", "--agent", "/nowhere.sock"]);
+    let cluster_folder = folder.path().join("town");
+    let text = cluster_folder.display().to_string();
     let dev = [
         "--log-format",
         "json",
@@ -268,28 +281,28 @@
         "2",
     ];
     run(&dev);
-    let mut lines = vec![said];
+    let mut lines = vec![stderr];
     for name in ["agent", "n1", "n2"] {
-        lines.push(std::fs::read_to_string(town.join(format!("{name}.log"))).expect("a log"));
+        lines.push(std::fs::read_to_string(cluster_folder.join(format!("{name}.log"))).expect("a log"));
     }
-    let mut kinds = BTreeSet::new();
+    let mut programs = BTreeSet::new();
     for line in lines.iter().flat_map(|text| text.lines()) {
         let value: Value = serde_json::from_str(line).unwrap_or_else(|e| panic!("{e}: {line}"));
         for field in ["ts", "level", "program", "target", "message"] {
             assert!(value[field].as_str().is_some_and(|text| !text.is_empty()), "{field}: {line}");
         }
-        kinds.insert(value["program"].as_str().expect("a program").to_string());
+        programs.insert(value["program"].as_str().expect("a program").to_string());
         if value["message"].as_str().is_some_and(|m| m.contains("is linked, number")) {
             assert!(value["instance"].as_str().is_some_and(|i| i.starts_with('n')), "{line}");
         }
     }
-    assert_eq!(kinds.into_iter().collect::<Vec<_>>(), ["frostagent", "frostctl", "frostvale"]);
+    assert_eq!(programs.into_iter().collect::<Vec<_>>(), ["frostagent", "frostctl", "frostvale"]);
 }
 
 #[tokio::test]
-async fn load_on_a_running_town_ends_with_a_report_of_all_that_was_asked() {
-    let dev = Dev::start(&["--gatekeepers", "2"]);
-    let ready = dev.ready();
+async fn load_reports_every_scheduled_request_when_it_ends() {
+    let dev = DevProcess::start(&["--gatekeepers", "2"]);
+    let ready = dev.wait_until_ready();
     let text = |v: &Value| v.as_str().expect("a string").to_string();
     let (json, html) = (dev.folder.path().join("r.json"), dev.folder.path().join("r.html"));
     let out = Command::new(env!("CARGO_BIN_EXE_frostctl"))
@@ -308,14 +321,18 @@
         let all = report["protocols"][p]["answers"].as_object().expect("answers");
         all.values().map(|n| n.as_u64().expect("a count")).sum()
     };
-    // A seed asks the same at any speed, and each request has one final answer.
+    // The schedule depends on the seed alone, not on the speed of the machine, and each request has one final
+    // answer.
     let shops = shops(100.0, LoadProfile::WithinQuota, &example_plans(), 2, 2).expect("shops");
-    let due =
+    let scheduled =
         Schedule::new(&shops, GRPC_FRACTION, 7).expect("a schedule").take_while(|a| a.at <= 3.0).count();
-    assert_eq!(count("RESP2") + count("gRPC"), due as u64, "{report}");
+    assert_eq!(count("RESP2") + count("gRPC"), scheduled as u64, "{report}");
     assert!(report["served_part"].as_f64().is_some_and(|part| part > 0.6), "{report}");
     assert!(std::fs::read_to_string(html).expect("written").contains("<svg"));
     let args = ["load", "--target", "127.0.0.1:1", "--overload", "0"];
-    let said = Command::new(env!("CARGO_BIN_EXE_frostctl")).args(args).output().expect("run");
-    assert!(!said.status.success() && String::from_utf8_lossy(&said.stderr).contains("0.01"), "{said:?}");
+    let output = Command::new(env!("CARGO_BIN_EXE_frostctl")).args(args).output().expect("run");
+    assert!(
+        !output.status.success() && String::from_utf8_lossy(&output.stderr).contains("0.01"),
+        "{output:?}"
+    );
 }
