--- a/crates/ctl/src/audit.rs
+++ b/crates/ctl/src/audit.rs
@@ -112,7 +112,7 @@
     /// Lists the gatekeepers that are behind, unknown or fenced off, with the escalation step of each, and
     /// alarms. Exit code 3: there is one.
     List,
-    /// Fences a gatekeeper off until a given time, as far as the minimum of gatekeepers in service allows.
+    /// Fences a gatekeeper off until a given time, within the limits on fence-offs.
     /// Exit code 4: refused.
     Out(Override),
     /// Keeps a gatekeeper in service until a given time, whatever versions it applies. Exit code 4: refused.
@@ -325,8 +325,8 @@
 }
 
 async fn verify(agent: &mut AgentClient<Channel>, json: bool) -> Result<ExitCode, String> {
-    // The checkpoints are read before the rows: rows are only ever added, so the later read holds all rows
-    // that the checkpoints cover.
+    // The checkpoints are read before the rows: rows continue to be added, so the history that is read later is
+    // never shorter than the checkpoints require.
     let response = fetch_audit(agent).await?;
     let decision: Decision = serde_json::from_str(&response.decision).unwrap_or_default();
     let (all, base) = fetch_history(agent).await?;
