--- a/crates/checks/src/answer.rs
+++ b/crates/checks/src/answer.rs
@@ -1,4 +1,4 @@
-//! One answer of all decisions.
+//! Combines the decisions on a call's descriptors into one response.
 
 use crate::read::CheckRequest;
 use crate::{FailureMode, Plan};
@@ -9,44 +9,45 @@
     Code, DescriptorStatus, RateLimit,
 };
 
-/// What came of one descriptor.
+/// The decision on one descriptor.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CheckResult {
-    /// It matches no plan.
+    /// The descriptor matches no plan and has no limit.
     Unmatched,
-    /// Another of its call is over, so it was not asked for.
+    /// Not checked, because another descriptor of the call is over its limit.
     NotAsked,
     /// A gatekeeper granted the units.
     Granted {
-        /// Left to the shop, in thousandths; none where nothing holds it.
+        /// Units that the shop has left, in thousandths; `None` if no limit applies.
         remaining_milli: Option<u64>,
-        /// Until its store is full, in ms.
+        /// Time until the token bucket is full, in ms.
         reset_ms: u64,
     },
-    /// A gatekeeper refused.
+    /// A gatekeeper refused the units.
     OverLimit {
-        /// Left to the shop, in thousandths.
+        /// Units that the shop has left, in thousandths; `None` if unknown.
         remaining_milli: Option<u64>,
-        /// Until the units fit, in ms.
+        /// Time until the requested units are available, in ms.
         reset_ms: u64,
     },
-    /// Nobody decided: by the failure mode.
+    /// No gatekeeper decided; the failure mode determines the answer.
     Undecided(FailureMode),
 }
 
 impl CheckResult {
-    /// Whether it stands in the way of the call.
+    /// Whether this decision makes the whole call over limit.
     #[must_use]
     pub fn is_over_limit(&self) -> bool {
         matches!(self, CheckResult::OverLimit { .. } | CheckResult::Undecided(FailureMode::Deny))
     }
 }
 
-/// When to come back where nobody decided.
-const UNDECIDED_MS: u64 = 1000;
+/// Retry delay sent with a denied check that no gatekeeper decided.
+const UNDECIDED_RETRY_MS: u64 = 1000;
 
-/// A rate as whole requests for the shortest unit in which it is one, else for a minute.
-fn limit(name: &str, rate_milli: u64) -> Option<RateLimit> {
+/// Converts a rate to whole requests per second where it is a whole number, else per minute, rounded up.
+/// Returns `None` for a rate of 0.
+fn current_rate_limit(name: &str, rate_milli: u64) -> Option<RateLimit> {
     if rate_milli == 0 {
         return None;
     }
@@ -62,39 +63,43 @@
     })
 }
 
-/// Puts an answer together: over the limit if any descriptor is, with headers of the tightest one.
+/// Builds the response to a call from its descriptors' decisions, in the order of the descriptors.
+///
+/// The call is over limit if any descriptor is. The `x-ratelimit-...` headers describe the descriptor with the
+/// fewest units left.
 pub fn build_response<'a>(
-    found: impl IntoIterator<Item = (CheckResult, Option<(&'a CheckRequest, &'a Plan)>)>,
+    results: impl IntoIterator<Item = (CheckResult, Option<(&'a CheckRequest, &'a Plan)>)>,
 ) -> RateLimitResponse {
     let mut statuses = Vec::new();
-    let (mut over, mut by_mode, mut back_ms) = (false, None, 0);
-    // The descriptor with the least left: what its headers would say.
+    let (mut is_over_limit, mut undecided_mode, mut retry_after_ms) = (false, None, 0);
+    // Remaining units, limit and reset time in ms of the descriptor with the fewest units left.
     let mut tightest: Option<(u64, u64, u64)> = None;
-    for (found, of) in found {
-        let current_limit = of.and_then(|(ask, plan)| limit(&ask.plan, plan.rate_milli));
-        let (code, remaining, reset) = match found {
+    for (result, of) in results {
+        let current_limit = of.and_then(|(check, plan)| current_rate_limit(&check.plan, plan.rate_milli));
+        let (code, remaining, reset) = match result {
             CheckResult::Unmatched | CheckResult::NotAsked => (Code::Ok, None, None),
             CheckResult::Granted { remaining_milli, reset_ms } => (Code::Ok, remaining_milli, Some(reset_ms)),
             CheckResult::OverLimit { remaining_milli, reset_ms } => {
                 (Code::OverLimit, remaining_milli, Some(reset_ms))
             }
             CheckResult::Undecided(mode) => {
-                by_mode = Some(by_mode.map_or(mode, |m| if m == FailureMode::Deny { m } else { mode }));
+                undecided_mode =
+                    Some(undecided_mode.map_or(mode, |m| if m == FailureMode::Deny { m } else { mode }));
                 match mode {
                     FailureMode::Allow => (Code::Ok, None, None),
-                    FailureMode::Deny => (Code::OverLimit, Some(0), Some(UNDECIDED_MS)),
+                    FailureMode::Deny => (Code::OverLimit, Some(0), Some(UNDECIDED_RETRY_MS)),
                 }
             }
         };
-        if found.is_over_limit() {
-            over = true;
-            back_ms = back_ms.max(reset.unwrap_or(0));
+        if result.is_over_limit() {
+            is_over_limit = true;
+            retry_after_ms = retry_after_ms.max(reset.unwrap_or(0));
         }
         if let (Some((_, plan)), Some(left), Some(reset)) = (of, remaining, reset) {
-            let most = plan.burst_milli.max(plan.rate_milli) / 1000;
-            let it = (left / 1000, most, reset);
-            if tightest.is_none_or(|known| it.0 < known.0) {
-                tightest = Some(it);
+            let max_units = plan.burst_milli.max(plan.rate_milli) / 1000;
+            let candidate = (left / 1000, max_units, reset);
+            if tightest.is_none_or(|known| candidate.0 < known.0) {
+                tightest = Some(candidate);
             }
         }
         statuses.push(DescriptorStatus {
@@ -112,18 +117,18 @@
     let mut header = |key: &str, value: String| {
         headers.push(HeaderValue { key: key.into(), value, raw_value: Vec::new() });
     };
-    if let Some((left, most, reset)) = tightest {
-        header("x-ratelimit-limit", most.to_string());
+    if let Some((left, max_units, reset)) = tightest {
+        header("x-ratelimit-limit", max_units.to_string());
         header("x-ratelimit-remaining", left.to_string());
         header("x-ratelimit-reset", reset.div_ceil(1000).to_string());
     }
-    if over {
-        header("retry-after", back_ms.div_ceil(1000).max(1).to_string());
+    if is_over_limit {
+        header("retry-after", retry_after_ms.div_ceil(1000).max(1).to_string());
     }
-    if let Some(mode) = by_mode {
+    if let Some(mode) = undecided_mode {
         header("x-frostvale-undecided", if mode == FailureMode::Deny { "deny" } else { "allow" }.into());
     }
-    let overall = if over { Code::OverLimit } else { Code::Ok };
+    let overall = if is_over_limit { Code::OverLimit } else { Code::Ok };
     RateLimitResponse {
         overall_code: overall.into(),
         statuses,
--- a/crates/checks/src/lib.rs
+++ b/crates/checks/src/lib.rs
@@ -1,12 +1,11 @@
-//! A call to the rate limit service, as far as it needs no input or output.
+//! The part of a rate limit call's handling that performs no I/O.
 //!
-//! # Why
-//!
-//! One quota holds for a shop only if all that take from it meet in the same place. Gatekeepers agree on a shop's
-//! store through the shop's set (`first`, `spread`): one of the set keeps the store, and each of the set has a slice
-//! of the ceiling. A check decided by any other gatekeeper would be a second store beside the first. So [`read`]
-//! finds out what is asked for, [`route`] which gatekeepers may decide it, and [`answer`] makes one verdict of
-//! theirs: all descriptors of a call are granted, or none is charged.
+//! A shop has one quota only if all of its requests and checks are charged to the same token bucket. Gatekeepers
+//! locate the bucket through the shop's set (`first`, `spread`): one gatekeeper of the set is the quota owner and
+//! holds the bucket, and each gatekeeper of the set has a local share of the ceiling. A check decided by a
+//! gatekeeper outside the set would use a second bucket beside the first. [`read`] therefore parses and validates
+//! the call, [`route`] selects the gatekeepers that may decide it, and [`answer`] combines their decisions into one
+//! response: either all descriptors of a call are granted, or none is charged.
 
 pub mod answer;
 pub mod read;
@@ -14,44 +13,45 @@
 
 use std::collections::BTreeMap;
 
-/// A plan, as gatekeepers tell of it. Units in thousandths, rates a second; 0 where there is none.
+/// A plan as reported by the gatekeepers, in thousandths of a unit. A rate, burst or ceiling of 0 means none is set.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Plan {
-    /// Its number at the gatekeepers.
+    /// The plan's number in the gatekeepers' configuration.
     pub number: u32,
-    /// Units a second.
+    /// Sustained rate, in thousandths of a unit per second.
     pub rate_milli: u64,
-    /// The most that a store holds.
+    /// Capacity of a shop's token bucket, in thousandths of a unit.
     pub burst_milli: u64,
-    /// Units a second of the hard ceiling.
+    /// Rate of the hard ceiling, in thousandths of a unit per second.
     pub ceiling_rate_milli: u64,
 }
 
-/// What the gatekeepers of a tier have in common.
+/// Configuration shared by all gatekeepers of a tier.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Tier {
-    /// How many gatekeepers there are.
+    /// Number of gatekeepers.
     pub gatekeepers: u32,
-    /// By name.
+    /// Plans by name. While this is empty, any plan name is accepted.
     pub plans: BTreeMap<String, Plan>,
-    /// By number.
+    /// Class names; the index is the class number. While this is empty, any class name counts as number 0.
     pub classes: Vec<String>,
-    /// The most units of one request, in thousandths; 0 where nothing is said.
+    /// Largest number of units that one request may ask for, in thousandths; 0 if unknown.
     pub largest_milli: u64,
 }
 
-/// What is answered where nobody decided.
+/// The answer to a check that no gatekeeper decided.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum FailureMode {
-    /// OK.
+    /// Answer OK.
     Allow,
-    /// Over the limit.
+    /// Answer over limit.
     #[default]
     Deny,
 }
 
 impl Plan {
-    /// What is answered for this plan where nobody decided: a hard ceiling is never left to chance.
+    /// Returns the failure mode of this plan. A plan with a hard ceiling always denies, since an undecided check
+    /// could exceed the ceiling; any other plan uses the configured mode.
     #[must_use]
     pub fn failure_mode(&self, configured: FailureMode) -> FailureMode {
         if self.ceiling_rate_milli > 0 { FailureMode::Deny } else { configured }
--- a/crates/checks/src/read.rs
+++ b/crates/checks/src/read.rs
@@ -1,33 +1,34 @@
-//! What a call asks for. A call that can't be read is turned away whole, with the entry that is wrong named.
+//! Parses and validates rate limit calls. An invalid call is rejected as a whole, with an error that names the
+//! invalid field.
 
 use crate::Tier;
 use frostvale_proto::envoy::extensions::common::ratelimit::v3::RateLimitDescriptor;
 use frostvale_proto::envoy::service::ratelimit::v3::RateLimitRequest;
 use std::fmt;
 
-/// Descriptors in one call, at the most.
+/// Maximum number of descriptors in one call.
 pub const MAX_DESCRIPTORS: usize = 16;
-/// Entries in one descriptor, at the most.
+/// Maximum number of entries in one descriptor.
 pub const MAX_ENTRIES: usize = 32;
-/// Bytes of a key or a value, at the most.
+/// Maximum length of an entry's key or value, in bytes.
 pub const MAX_TEXT_BYTES: usize = 256;
-/// Customers are numbers below this (PROTOCOL: a number below 2^33 in 16 hex digits).
-const SHOPS: u64 = 1 << 33;
+/// Exclusive upper bound of shop numbers (PROTOCOL: a number below 2^33 in 16 hex digits).
+const SHOP_NUMBER_LIMIT: u64 = 1 << 33;
 
-/// The names that entries go by, and the domains that are answered for.
+/// Configured keys of descriptor entries, and the domains that have limits.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EntryKeys {
-    /// The domains with limits; any other is answered OK.
+    /// Domains with limits; calls of any other domain are answered OK.
     pub domains: Vec<String>,
-    /// The entry that names the shop.
+    /// Key of the entry with the shop's id.
     pub shop: String,
-    /// The entry that names the plan.
+    /// Key of the entry with the plan's name.
     pub plan: String,
-    /// The entry that names the class.
+    /// Key of the entry with the class's name.
     pub class: String,
-    /// The entry with the first gatekeeper of the shop's set.
+    /// Key of the entry with the first gatekeeper of the shop's set.
     pub first: String,
-    /// The entry with the number of gatekeepers in it.
+    /// Key of the entry with the number of gatekeepers in the set.
     pub spread: String,
 }
 
@@ -45,22 +46,22 @@
     }
 }
 
-/// What one descriptor asks for.
+/// A check parsed from one descriptor.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CheckRequest {
-    /// 16 hex digits, lower case.
+    /// The shop's id: 16 hex digits, lower case.
     pub shop: String,
     /// The plan's name.
     pub plan: String,
-    /// The class's number.
+    /// The class's number; 0 if the descriptor names no class.
     pub class: u32,
-    /// In thousandths.
+    /// Requested units, in thousandths.
     pub units_milli: u64,
-    /// The set, where the descriptor names it: first and spread.
+    /// The shop's set (`first`, `spread`), if the descriptor names it.
     pub set: Option<(u32, u32)>,
 }
 
-/// Why a call can't be answered.
+/// Error for an invalid call. The text names the invalid field and the accepted values.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct InvalidRequest(pub String);
 
@@ -72,33 +73,34 @@
 
 impl std::error::Error for InvalidRequest {}
 
-/// Reads a call: for each descriptor what it asks for, or none where it matches no plan.
+/// Parses a call into one check for each descriptor, in order; `None` for a descriptor that matches no plan and
+/// for every descriptor of a domain without limits.
 ///
 /// # Errors
-/// With the field that is wrong and what it may be. Nothing of the call is to be asked for then.
+/// Returns the invalid field and its accepted values. No descriptor of the call may be checked in that case.
 pub fn parse_request(
     call: &RateLimitRequest,
     names: &EntryKeys,
     tier: &Tier,
 ) -> Result<Vec<Option<CheckRequest>>, InvalidRequest> {
-    let bad = |text: String| Err(InvalidRequest(text));
+    let invalid = |text: String| Err(InvalidRequest(text));
     if call.domain.is_empty() {
-        return bad("domain: empty; it names whose limits are asked for".into());
+        return invalid("domain: empty; it names whose limits are asked for".into());
     }
     if call.descriptors.is_empty() || call.descriptors.len() > MAX_DESCRIPTORS {
-        return bad(format!("descriptors: {} of them; 1 to {MAX_DESCRIPTORS}", call.descriptors.len()));
+        return invalid(format!("descriptors: {} of them; 1 to {MAX_DESCRIPTORS}", call.descriptors.len()));
     }
-    let known = names.domains.contains(&call.domain);
-    let mut asks = Vec::with_capacity(call.descriptors.len());
+    let has_limits = names.domains.contains(&call.domain);
+    let mut checks = Vec::with_capacity(call.descriptors.len());
     for (k, descriptor) in call.descriptors.iter().enumerate() {
-        let ask = one(descriptor, call.hits_addend, names, tier)
-            .map_err(|what| InvalidRequest(format!("descriptors[{k}].{what}")))?;
-        asks.push(ask.filter(|_| known));
+        let check = parse_descriptor(descriptor, call.hits_addend, names, tier)
+            .map_err(|error| InvalidRequest(format!("descriptors[{k}].{error}")))?;
+        checks.push(check.filter(|_| has_limits));
     }
-    Ok(asks)
+    Ok(checks)
 }
 
-fn one(
+fn parse_descriptor(
     descriptor: &RateLimitDescriptor,
     call_addend: u32,
     names: &EntryKeys,
@@ -116,16 +118,16 @@
         if entry.value.len() > MAX_TEXT_BYTES {
             return Err(format!("entries[{k}].value: {} bytes; at most {MAX_TEXT_BYTES}", entry.value.len()));
         }
-        let place = match &entry.key {
+        let slot = match &entry.key {
             key if *key == names.shop => &mut shop,
             key if *key == names.plan => &mut plan,
             key if *key == names.class => &mut class,
             key if *key == names.first => &mut first,
             key if *key == names.spread => &mut spread,
-            // Callers describe their requests in other ways too; these are not ours to judge.
+            // Descriptors may carry other entries, which do not concern the limits.
             _ => continue,
         };
-        if place.replace((k, entry.value.as_str())).is_some() {
+        if slot.replace((k, entry.value.as_str())).is_some() {
             return Err(format!("entries[{k}].key: {:?} stands twice", entry.key));
         }
     }
@@ -137,8 +139,8 @@
         return Ok(None);
     }
     let Some((at, text)) = shop else { return Err(format!("entries: a plan and no {:?}", names.shop)) };
-    let sound = text.len() == 16 && text.bytes().all(|b| b.is_ascii_hexdigit());
-    if !sound || u64::from_str_radix(text, 16).is_ok_and(|n| n >= SHOPS) {
+    let is_valid = text.len() == 16 && text.bytes().all(|b| b.is_ascii_hexdigit());
+    if !is_valid || u64::from_str_radix(text, 16).is_ok_and(|n| n >= SHOP_NUMBER_LIMIT) {
         return Err(format!("entries[{at}].value: no shop; 16 hex digits, a number below 2^33"));
     }
     let class = match class {
@@ -152,7 +154,7 @@
             }
         },
     };
-    let most = if tier.gatekeepers > 0 { tier.gatekeepers } else { u32::MAX };
+    let max_gatekeepers = if tier.gatekeepers > 0 { tier.gatekeepers } else { u32::MAX };
     let number = |(at, text): (usize, &str), low: u32, high: u32| {
         let value =
             text.parse::<u32>().ok().filter(|n| text.as_bytes()[0] != b'+' && (low..=high).contains(n));
@@ -160,16 +162,18 @@
     };
     let set = match (first, spread) {
         (None, None) => None,
-        (Some(first), Some(spread)) => Some((number(first, 0, most - 1)?, number(spread, 1, most)?)),
+        (Some(first), Some(spread)) => {
+            Some((number(first, 0, max_gatekeepers - 1)?, number(spread, 1, max_gatekeepers)?))
+        }
         (Some((at, _)), None) | (None, Some((at, _))) => {
             let (one, other) = (&names.first, &names.spread);
             return Err(format!("entries[{at}].key: {one:?} and {other:?} go together"));
         }
     };
     let hits = descriptor.hits_addend.unwrap_or(u64::from(call_addend)).max(1);
-    let largest = if tier.largest_milli > 0 { tier.largest_milli / 1000 } else { 1_000_000 }.max(1);
-    if hits > largest {
-        return Err(format!("hits_addend: {hits}; 0 to {largest} (0 counts as 1)"));
+    let max_units = if tier.largest_milli > 0 { tier.largest_milli / 1000 } else { 1_000_000 }.max(1);
+    if hits > max_units {
+        return Err(format!("hits_addend: {hits}; 0 to {max_units} (0 counts as 1)"));
     }
     Ok(Some(CheckRequest {
         shop: text.to_ascii_lowercase(),
--- a/crates/checks/src/route.rs
+++ b/crates/checks/src/route.rs
@@ -1,15 +1,18 @@
-//! Which gatekeeper decides a check.
+//! Selects the gatekeepers that may decide a check.
 //!
-//! Only one of the shop's set may. Plans without a ceiling go to the one that keeps the shop's store, where it can be
-//! had: it decides at once, with no note to anybody. Each gatekeeper of the set may hold a slice of a ceiling, though, so
-//! checks of plans with one go round the set, and use all slices alike.
+//! Only gatekeepers of the shop's set may decide it. A check of a plan without a ceiling goes to the shop's quota
+//! owner if that is available, because the owner decides at once and without a peer message. Each gatekeeper of the
+//! set may hold a local share of a ceiling, so checks of plans with a ceiling are distributed round-robin over the
+//! set, which uses all shares evenly.
 
 use std::collections::HashMap;
 
-/// Shops whose sets are remembered, in each of two generations.
+/// Maximum number of shops in each of the two generations of [`ShopSets`].
 pub const MAX_SHOP_SETS: usize = 100_000;
 
-/// The sets of shops, as gatekeepers last saw them.
+/// The sets of shops as last reported by gatekeepers.
+///
+/// Memory is bounded by two generations: when the young one is full, it replaces the old one.
 #[derive(Default)]
 pub struct ShopSets {
     young: HashMap<u64, (u32, u32)>,
@@ -17,7 +20,7 @@
 }
 
 impl ShopSets {
-    /// A gatekeeper saw a shop's request with this set. What can't be a set is passed over.
+    /// Records the set that a gatekeeper received with a shop's request. Ignores an invalid shop id or set.
     pub fn record(&mut self, shop: &str, first: u32, spread: u32, gatekeepers: u32) {
         let Ok(shop) = u64::from_str_radix(shop, 16) else { return };
         if first >= gatekeepers || spread == 0 || spread > gatekeepers {
@@ -29,40 +32,42 @@
         self.young.insert(shop, (first, spread));
     }
 
-    /// The set of a shop, if one was seen.
+    /// Returns the last recorded set of a shop (`first`, `spread`).
     #[must_use]
     pub fn get(&self, shop: &str) -> Option<(u32, u32)> {
         let shop = u64::from_str_radix(shop, 16).ok()?;
         self.young.get(&shop).or_else(|| self.old.get(&shop)).copied()
     }
 
-    /// The sets themselves, so many at the most.
+    /// Returns the distinct sets, at most `limit` of them.
     #[must_use]
-    pub fn distinct(&self, most: usize) -> std::collections::BTreeSet<(u32, u32)> {
+    pub fn distinct(&self, limit: usize) -> std::collections::BTreeSet<(u32, u32)> {
         let mut all = std::collections::BTreeSet::new();
         for set in self.young.values().chain(self.old.values()) {
-            if all.len() < most {
+            if all.len() < limit {
                 all.insert(*set);
             }
         }
         all
     }
 
-    /// Shops remembered.
+    /// Number of recorded shops; one that is in both generations counts twice.
     #[must_use]
     pub fn len(&self) -> usize {
         self.young.len() + self.old.len()
     }
 
-    /// Whether none is.
+    /// Whether no shop is recorded.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 }
 
-/// The gatekeepers that may decide, in the order in which they are to be tried. `turn` goes up with each check;
-/// `usable` says which can be asked.
+/// Returns the gatekeepers that may decide a check, in the order in which to try them.
+///
+/// `ceiling` is whether the plan has a ceiling. `turn` increases with each check and advances the round-robin order.
+/// `usable` returns whether a gatekeeper can be reached.
 #[must_use]
 pub fn candidates(
     shop: &str,
@@ -76,14 +81,14 @@
         return Vec::new();
     }
     let spread = spread.clamp(1, gatekeepers);
-    let begin = if ceiling {
+    let start = if ceiling {
         turn % spread
     } else {
-        let keeper = frostvale::quota_owner_of(shop, first, spread, gatekeepers);
-        (keeper + gatekeepers - first % gatekeepers) % gatekeepers
+        let owner = frostvale::quota_owner_of(shop, first, spread, gatekeepers);
+        (owner + gatekeepers - first % gatekeepers) % gatekeepers
     };
     (0..spread)
-        .map(|k| (first % gatekeepers + (begin + k) % spread) % gatekeepers)
+        .map(|k| (first % gatekeepers + (start + k) % spread) % gatekeepers)
         .filter(|g| usable(*g))
         .collect()
 }
@@ -95,7 +100,7 @@
 
     proptest! {
         #[test]
-        fn only_the_set_decides_each_of_it_once(
+        fn candidates_are_the_usable_gatekeepers_of_the_set_once_each(
             shop in 0u64..1 << 33, first in 0u32..20, spread in 0u32..30, gatekeepers in 1u32..20,
             ceiling: bool, turn: u32, dead in 0u32..20,
         ) {
@@ -112,18 +117,18 @@
     }
 
     #[test]
-    fn a_ceiling_goes_round_the_set_and_other_plans_go_to_the_keeper() {
+    fn candidates_rotate_for_a_ceiling_and_start_at_the_quota_owner_otherwise() {
         let shop = "00000000b4d65521";
         let firsts: Vec<u32> =
             (0..6).map(|turn| candidates(shop, (1, 3), 4, true, turn, |_| true)[0]).collect();
         assert_eq!(firsts, [1, 2, 3, 1, 2, 3]);
-        let keeper = frostvale::quota_owner_of(shop, 1, 3, 4);
-        assert!((0..6).all(|turn| candidates(shop, (1, 3), 4, false, turn, |_| true)[0] == keeper));
-        assert_ne!(candidates(shop, (1, 3), 4, false, 0, |g| g != keeper)[0], keeper);
+        let owner = frostvale::quota_owner_of(shop, 1, 3, 4);
+        assert!((0..6).all(|turn| candidates(shop, (1, 3), 4, false, turn, |_| true)[0] == owner));
+        assert_ne!(candidates(shop, (1, 3), 4, false, 0, |g| g != owner)[0], owner);
     }
 
     #[test]
-    fn sets_are_bounded_and_the_latest_stays() {
+    fn shop_sets_are_bounded_and_keep_the_latest_valid_set() {
         let mut sets = ShopSets::default();
         for k in 0..3 * MAX_SHOP_SETS as u64 {
             sets.record(&format!("{k:016x}"), 0, 2, 3);
--- a/crates/checks/tests/read.rs
+++ b/crates/checks/tests/read.rs
@@ -1,4 +1,4 @@
-//! What is read of a call, and what is made of the decisions.
+//! Tests of parsing calls and of building responses.
 
 use frostvale_checks::answer::{CheckResult, build_response};
 use frostvale_checks::read::{CheckRequest, EntryKeys, MAX_DESCRIPTORS, MAX_ENTRIES, parse_request};
@@ -39,30 +39,38 @@
     RateLimitRequest { domain: "frostvale".into(), descriptors, hits_addend: 0 }
 }
 
-fn one(entries: &[(&str, &str)]) -> Result<Vec<Option<CheckRequest>>, String> {
+fn parse_one(entries: &[(&str, &str)]) -> Result<Vec<Option<CheckRequest>>, String> {
     parse_request(&call(vec![descriptor(entries)]), &EntryKeys::default(), &tier()).map_err(|e| e.0)
 }
 
 #[test]
-fn a_descriptor_says_whose_units_and_how_many() {
-    let asks =
-        one(&[("shop", SHOP), ("plan", "basico"), ("class", "mix-record"), ("first", "2"), ("spread", "2")]);
-    let ask = asks.expect("sound")[0].clone().expect("matched");
-    assert_eq!((ask.shop.as_str(), ask.class, ask.units_milli, ask.set), (SHOP, 1, 1000, Some((2, 2))));
+fn parse_request_reads_shop_class_units_and_set() {
+    let checks = parse_one(&[
+        ("shop", SHOP),
+        ("plan", "basico"),
+        ("class", "mix-record"),
+        ("first", "2"),
+        ("spread", "2"),
+    ]);
+    let check = checks.expect("sound")[0].clone().expect("matched");
+    assert_eq!(
+        (check.shop.as_str(), check.class, check.units_milli, check.set),
+        (SHOP, 1, 1000, Some((2, 2)))
+    );
     let mut own = call(vec![descriptor(&[("shop", SHOP), ("plan", "basico")]); 2]);
     own.hits_addend = 3;
     own.descriptors[1].hits_addend = Some(2);
-    let asks = parse_request(&own, &EntryKeys::default(), &tier()).expect("sound");
-    let units: Vec<u64> = asks.into_iter().flatten().map(|a| a.units_milli).collect();
-    assert_eq!(units, [3000, 2000], "a descriptor's own addend stands over the call's");
+    let checks = parse_request(&own, &EntryKeys::default(), &tier()).expect("sound");
+    let units: Vec<u64> = checks.into_iter().flatten().map(|check| check.units_milli).collect();
+    assert_eq!(units, [3000, 2000], "a descriptor's own addend overrides the call's");
 }
 
 #[test]
-fn what_matches_no_plan_has_no_limit() {
+fn parse_request_returns_none_when_no_plan_or_domain_matches() {
     for entries in
         [&[("shop", SHOP)][..], &[("remote_address", "10.0.0.1")], &[("shop", SHOP), ("plan", "gold")]]
     {
-        assert_eq!(one(entries), Ok(vec![None]), "{entries:?}");
+        assert_eq!(parse_one(entries), Ok(vec![None]), "{entries:?}");
     }
     let mut elsewhere = call(vec![descriptor(&[("shop", SHOP), ("plan", "basico")])]);
     elsewhere.domain = "another".into();
@@ -70,7 +78,7 @@
 }
 
 #[test]
-fn what_cannot_be_read_is_named_with_what_it_may_be() {
+fn parse_request_names_the_invalid_field_and_its_accepted_values() {
     let long = "x".repeat(257);
     let bad: &[(&[(&str, &str)], &str)] = &[
         (&[], "descriptors[0].entries: 0 of them; 1 to 32"),
@@ -89,8 +97,8 @@
         (&[("plan", "basico"), ("shop", SHOP), ("first", ""), ("spread", "1")], "no number from 0 to 2"),
     ];
     for (entries, word) in bad {
-        let said = one(entries).expect_err("bad");
-        assert!(said.contains(word), "{entries:?}: {said}");
+        let error = parse_one(entries).expect_err("bad");
+        assert!(error.contains(word), "{entries:?}: {error}");
     }
     let refused =
         |call: RateLimitRequest| parse_request(&call, &EntryKeys::default(), &tier()).expect_err("bad").0;
@@ -108,12 +116,12 @@
 }
 
 #[test]
-fn the_answer_is_over_if_any_is_and_says_when_to_come_back() {
-    let (ask, plan) = (
+fn response_is_over_limit_when_any_descriptor_is_and_has_retry_after() {
+    let (check, plan) = (
         CheckRequest { shop: SHOP.into(), plan: "basico".into(), class: 0, units_milli: 1000, set: None },
         tier().plans["basico"].clone(),
     );
-    let of = Some((&ask, &plan));
+    let of = Some((&check, &plan));
     let granted = CheckResult::Granted { remaining_milli: Some(2500), reset_ms: 900 };
     let over = CheckResult::OverLimit { remaining_milli: Some(400), reset_ms: 1400 };
     let header = |a: &frostvale_proto::envoy::service::ratelimit::v3::RateLimitResponse, key: &str| {
@@ -123,7 +131,7 @@
     assert_eq!(good.overall_code(), Code::Ok);
     assert_eq!(good.statuses[0].limit_remaining, 2);
     let limit = good.statuses[0].current_limit.clone().expect("a limit");
-    assert_eq!((limit.requests_per_unit, limit.unit()), (84, Unit::Minute), "1.4 a second");
+    assert_eq!((limit.requests_per_unit, limit.unit()), (84, Unit::Minute), "1.4 per second");
     assert_eq!(header(&good, "retry-after"), None);
     let bad = build_response([(granted, of), (over, of)]);
     assert_eq!(bad.overall_code(), Code::OverLimit);
@@ -139,14 +147,14 @@
 }
 
 #[test]
-fn a_plan_with_a_ceiling_denies_whatever_is_configured() {
+fn failure_mode_is_deny_for_a_plan_with_a_ceiling() {
     assert_eq!(tier().plans["ferreteria"].failure_mode(FailureMode::Allow), FailureMode::Deny);
     assert_eq!(tier().plans["basico"].failure_mode(FailureMode::Allow), FailureMode::Allow);
 }
 
 proptest! {
     #[test]
-    fn any_call_is_read_or_refused_and_what_is_read_is_in_range(
+    fn parse_request_returns_only_checks_in_range_for_any_call(
         domain in "[a-z]{0,10}",
         entries in prop::collection::vec(prop::collection::vec(
             (prop_oneof!["shop", "plan", "class", "first", "spread", "[a-z]{0,3}"],
@@ -158,13 +166,13 @@
             .map(|e| descriptor(&e.iter().map(|(k, v)| (k.as_str(), v.as_str())).collect::<Vec<_>>()))
             .collect();
         let call = RateLimitRequest { domain, descriptors, hits_addend: addend };
-        if let Ok(asks) = parse_request(&call, &EntryKeys::default(), &tier()) {
-            prop_assert_eq!(asks.len(), call.descriptors.len());
-            for ask in asks.into_iter().flatten() {
-                prop_assert!(tier().plans.contains_key(&ask.plan));
-                prop_assert!((1000..=4000).contains(&ask.units_milli));
-                prop_assert!(ask.set.is_none_or(|(f, s)| f < 3 && (1..=3).contains(&s)));
-                prop_assert!(u64::from_str_radix(&ask.shop, 16).is_ok_and(|n| n < 1 << 33));
+        if let Ok(checks) = parse_request(&call, &EntryKeys::default(), &tier()) {
+            prop_assert_eq!(checks.len(), call.descriptors.len());
+            for check in checks.into_iter().flatten() {
+                prop_assert!(tier().plans.contains_key(&check.plan));
+                prop_assert!((1000..=4000).contains(&check.units_milli));
+                prop_assert!(check.set.is_none_or(|(f, s)| f < 3 && (1..=3).contains(&s)));
+                prop_assert!(u64::from_str_radix(&check.shop, 16).is_ok_and(|n| n < 1 << 33));
             }
         }
     }
--- a/crates/outside/src/lib.rs
+++ b/crates/outside/src/lib.rs
@@ -1,19 +1,21 @@
-//! Consulting an outside rate limit service before a request is sent on.
+//! Policy for consulting an outside rate limit service before a request is forwarded.
 //!
-//! # Why
+//! A service that hangs delays every request of its plans by the whole deadline and fills memory with waiting
+//! requests; when it recovers, all of them reach it at once. Therefore each request waits for at most a configured
+//! fraction of its latency target, the number of calls in flight is limited, and a circuit breaker stops calls to a
+//! failing service until single trial calls have succeeded.
 //!
-//! Another service's verdict is worth waiting for only while it comes fast. One that hangs holds up every request
-//! of its plans for the whole of its deadline, and fills the memory with requests that wait; one that comes back is
-//! met by all of them at once. So each request waits a stated part of its aim at the most, only so many wait at
-//! once, and a circuit breaker stops asking a service that fails, until a single request has tried it again.
+//! The policy performs no I/O and reads no clock. The caller passes the time in milliseconds with each event and
+//! carries out the returned decision. Random numbers come only from the policy's own seeded generator.
 //!
-//! No input or output and no clock: the host hands in the time in milliseconds with each event, carries out what it
-//! is told, and draws nothing at random itself.
+//! States of the circuit breaker:
 //!
-//! The breaker: *closed*, all ask. Of the last [`BREAKER_WINDOW_CALLS`] calls at least [`MIN_BREAKER_CALLS`] were seen and half failed:
-//! *open*, none asks, for a time that doubles with each failure up to a bound, scattered so that gatekeepers do not
-//! try again in step. Then *half-open*: one request at a time asks, the others are decided by the failure mode.
-//! After [`CLOSING_SUCCESSES`] good answers in a row it is closed; after a bad one, open again.
+//! - *Closed*: every request calls the service. The breaker opens when at least [`MIN_BREAKER_CALLS`] of the last
+//!   [`BREAKER_WINDOW_CALLS`] calls are recorded and at least half of them failed.
+//! - *Open*: no request calls the service. The pause doubles with each failed trial up to a limit, and has jitter so
+//!   that gatekeepers do not retry in step.
+//! - *Half-open*: one request at a time calls the service; the others are decided by the failure mode. After
+//!   [`CLOSING_SUCCESSES`] successes in a row the breaker closes; after a failure it opens again.
 
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -21,38 +23,38 @@
 use std::fmt;
 use std::sync::Arc;
 
-/// The calls that the breaker looks back on.
+/// Size of the closed breaker's sliding window, in calls.
 pub const BREAKER_WINDOW_CALLS: usize = 20;
-/// Fewer calls than this say nothing.
+/// Minimum number of calls in the window before the breaker may open.
 pub const MIN_BREAKER_CALLS: usize = 5;
-/// Good answers in a row that close a half-open breaker.
+/// Number of successes in a row that close a half-open breaker.
 pub const CLOSING_SUCCESSES: u32 = 3;
 
-/// What is done without a verdict.
+/// What happens to a request when there is no verdict.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FailureMode {
-    /// The request goes on.
+    /// The request is forwarded.
     Allow,
-    /// It is refused.
+    /// The request is refused.
     Deny,
 }
 
-/// How the service is consulted.
+/// Settings of the policy.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Settings {
-    /// By the plan's number: whether it is asked for, and what is done without a verdict.
+    /// Failure mode by plan number; `None` for a plan whose requests do not consult the service.
     pub plans: Vec<Option<FailureMode>>,
-    /// The part of a request's aim that it may wait for a verdict, over 0 and at most 0.5.
+    /// Maximum wait for a verdict as a fraction of the request's latency target, over 0 and at most 0.5.
     pub deadline_part: f64,
-    /// Calls in hand at once; what comes on top is decided by the failure mode.
+    /// Maximum number of calls in flight, 1 to 100,000; requests above it are decided by the failure mode.
     pub in_hand: usize,
-    /// The first pause of an open breaker and the longest, in ms.
+    /// First pause of an open breaker, in ms, 10 to 60,000.
     pub open_ms: f64,
-    /// The longest pause.
+    /// Longest pause of an open breaker, in ms, `open_ms` to 600,000.
     pub open_most_ms: f64,
-    /// A verdict is kept for this long at the most, in ms, and only where the answer says for how long.
+    /// Maximum time that a verdict is cached, in ms, 0 to 60,000. A verdict without a lifetime is not cached.
     pub keep_ms: f64,
-    /// Shops whose verdicts are kept.
+    /// Maximum number of cached verdicts, 0 to 1,000,000.
     pub keep_most: usize,
 }
 
@@ -70,7 +72,7 @@
     }
 }
 
-/// Which setting can't be used.
+/// Error for a setting out of range: its name and the accepted range.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SettingsError(pub String);
 
@@ -83,10 +85,10 @@
 impl std::error::Error for SettingsError {}
 
 impl Settings {
-    /// Whether they can be acted on.
+    /// Checks that all settings are in range.
     ///
     /// # Errors
-    /// With the field and the range that it may have.
+    /// Returns the first field that is out of range, with its range.
     pub fn check(&self) -> Result<(), SettingsError> {
         let bad = |text: &str| Err(SettingsError(text.into()));
         if !(self.deadline_part > 0.0 && self.deadline_part <= 0.5) {
@@ -111,110 +113,118 @@
     }
 }
 
-/// What is to be done with a request.
+/// The decision on a request.
 #[derive(Debug, Clone, PartialEq)]
 pub enum OutsideDecision {
-    /// It goes on to the module.
+    /// The request proceeds to the gatekeeper's own limits.
     Pass,
-    /// It is refused at once; `pause` is when to come back in ms, 0 where nothing is known.
+    /// The request is refused at once.
     Deny {
-        /// When to come back, in ms; 0 gives no advice.
+        /// Time after which the client may retry, in ms; 0 if unknown.
         pause: f64,
     },
-    /// The service is asked, and waited for no longer than this.
+    /// The service is to be called, with a limit on the wait.
     Ask {
-        /// The number of the call.
+        /// Number of the call, to be passed with its verdict or timeout.
         call: u64,
-        /// How long to wait, in ms.
+        /// Maximum wait, in ms.
         within: f64,
     },
 }
 
-/// What the service said.
+/// The outcome of a call to the service.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Verdict {
-    /// The units are granted; `ahead` more until `ahead_ms` from now, where the answer grants any.
+    /// The requested units are granted, possibly with further units in advance.
     Ok {
-        /// Units granted ahead.
+        /// Units granted in advance for later requests; 0 if none.
         ahead: f64,
-        /// For how long, in ms.
+        /// Lifetime of the units granted in advance, in ms.
         ahead_ms: f64,
     },
-    /// Over the limit; come back after so many ms, where the answer says so, else 0.
+    /// The shop is over its limit.
     Over {
-        /// When to come back, in ms.
+        /// Time after which the client may retry, in ms; 0 if the answer does not state it.
         reset_ms: f64,
     },
-    /// No verdict: refused, reset, spoilt or silent.
+    /// No verdict: connection refused or reset, malformed answer, or timeout.
     Failed,
 }
 
-/// The breaker's state.
+/// State of the circuit breaker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BreakerState {
-    /// All ask.
+    /// Every request calls the service.
     Closed,
-    /// None asks.
+    /// No request calls the service.
     Open,
-    /// One asks at a time.
+    /// One request at a time calls the service.
     HalfOpen,
 }
 
-/// What has happened since the start.
+/// Counters since the start.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct CallCounts {
-    /// Calls begun.
+    /// Calls started.
     pub asked: u64,
-    /// Of them without a verdict in time.
+    /// Calls that ended without a verdict in time.
     pub failed: u64,
     /// Requests decided by the failure mode.
     pub by_mode: u64,
-    /// Requests decided by a verdict kept from before.
+    /// Requests decided by a cached verdict.
     pub kept: u64,
 }
 
-struct Call {
+/// A call in flight.
+struct PendingCall {
     request: u64,
     shop: Arc<str>,
     mode: FailureMode,
-    trial: bool,
+    /// Whether the half-open breaker let it through as a trial.
+    is_trial: bool,
 }
 
-/// A verdict kept.
-struct Kept {
+/// A cached verdict on a shop.
+struct CachedVerdict {
+    /// Time at which it expires, in ms.
     until: f64,
-    /// Units granted ahead; none means that the shop is over its limit.
+    /// Units that remain of those granted in advance; `None` means that the shop is over its limit.
     ahead: Option<f64>,
 }
 
-/// Decides when to ask and what to do without an answer.
+/// Decides when to call the service and how to decide requests without an answer. The window, the calls in flight
+/// and the cache are bounded.
 pub struct OutsidePolicy {
     settings: Settings,
     rng: Pcg64Mcg,
-    calls: BTreeMap<u64, Call>,
+    calls: BTreeMap<u64, PendingCall>,
     last_call: u64,
     breaker: BreakerState,
-    /// The last calls, true where they failed.
+    /// Outcomes of the last calls, oldest first; `true` for a failure.
     window: VecDeque<bool>,
-    /// When an open breaker lets one try, and how long the pause was.
+    /// Time at which an open breaker becomes half-open, in ms.
     open_until: f64,
-    pause: f64,
-    trying: bool,
-    good: u32,
-    kept: HashMap<Arc<str>, Kept>,
-    ages: VecDeque<(f64, Arc<str>)>,
+    /// Pause of the open breaker before jitter, in ms.
+    open_pause_ms: f64,
+    /// Whether a trial call of the half-open breaker is in flight.
+    has_trial: bool,
+    /// Successful trials in a row.
+    successes: u32,
+    cache: HashMap<Arc<str>, CachedVerdict>,
+    /// Expiry times of cache entries in order of insertion; an overwritten entry has more than one.
+    expiries: VecDeque<(f64, Arc<str>)>,
     counts: CallCounts,
 }
 
 impl OutsidePolicy {
-    /// Begins with a closed breaker.
+    /// Creates a policy with a closed breaker and an empty cache.
     ///
     /// # Errors
-    /// When the settings can't be acted on.
+    /// Returns an error if a setting is out of range.
     pub fn new(settings: Settings, seed: u64) -> Result<OutsidePolicy, SettingsError> {
         settings.check()?;
         Ok(OutsidePolicy {
-            pause: settings.open_ms,
+            open_pause_ms: settings.open_ms,
             settings,
             rng: Pcg64Mcg::seed_from_u64(seed),
             calls: BTreeMap::new(),
@@ -222,52 +232,52 @@
             breaker: BreakerState::Closed,
             window: VecDeque::new(),
             open_until: 0.0,
-            trying: false,
-            good: 0,
-            kept: HashMap::new(),
-            ages: VecDeque::new(),
+            has_trial: false,
+            successes: 0,
+            cache: HashMap::new(),
+            expiries: VecDeque::new(),
             counts: CallCounts::default(),
         })
     }
 
-    /// The breaker's state.
+    /// Returns the breaker's state.
     #[must_use]
     pub fn breaker(&self) -> BreakerState {
         self.breaker
     }
 
-    /// What has happened since the start.
+    /// Returns the counters since the start.
     #[must_use]
     pub fn counts(&self) -> CallCounts {
         self.counts
     }
 
-    /// Calls that are waited for.
+    /// Returns the number of calls in flight.
     #[must_use]
     pub fn in_flight(&self) -> usize {
         self.calls.len()
     }
 
-    /// Shops whose verdicts are kept.
+    /// Returns the number of shops with a cached verdict, including expired ones that are not yet evicted.
     #[must_use]
     pub fn cached_shops(&self) -> usize {
-        self.kept.len()
+        self.cache.len()
     }
 
-    /// Whether a call is still waited for.
+    /// Returns whether a call is still in flight.
     #[must_use]
     pub fn is_pending(&self, call: u64) -> bool {
         self.calls.contains_key(&call)
     }
 
-    /// Whether requests of this plan are asked for at all.
+    /// Returns whether requests of this plan consult the service.
     #[must_use]
     pub fn consults_plan(&self, plan: usize) -> bool {
         self.settings.plans.get(plan).is_some_and(Option::is_some)
     }
 
-    /// A request has come. `aim` is its class's, `left` what its client still waits, both in ms. `linked` is false
-    /// where there is nobody to ask through.
+    /// Decides a new request. `aim` is the latency target of its class and `left` the time that its client still
+    /// waits, both in ms. `linked` is false if there is no agent through which to call the service.
     #[allow(clippy::too_many_arguments)]
     pub fn ask(
         &mut self,
@@ -282,14 +292,14 @@
         let Some(mode) = self.settings.plans.get(plan).copied().flatten() else {
             return OutsideDecision::Pass;
         };
-        self.forget(now);
-        if let Some(kept) = self.kept.get_mut(shop)
-            && kept.until > now
+        self.evict_expired(now);
+        if let Some(cached) = self.cache.get_mut(shop)
+            && cached.until > now
         {
-            match &mut kept.ahead {
+            match &mut cached.ahead {
                 None => {
                     self.counts.kept += 1;
-                    return OutsideDecision::Deny { pause: (kept.until - now).ceil() };
+                    return OutsideDecision::Deny { pause: (cached.until - now).ceil() };
                 }
                 Some(ahead) if *ahead >= units => {
                     *ahead -= units;
@@ -301,22 +311,23 @@
         }
         if self.breaker == BreakerState::Open && now >= self.open_until {
             self.breaker = BreakerState::HalfOpen;
-            (self.trying, self.good) = (false, 0);
+            (self.has_trial, self.successes) = (false, 0);
         }
-        let trial = self.breaker == BreakerState::HalfOpen;
-        let barred = self.breaker == BreakerState::Open || (trial && self.trying);
+        let is_trial = self.breaker == BreakerState::HalfOpen;
+        let is_blocked = self.breaker == BreakerState::Open || (is_trial && self.has_trial);
         let within = (self.settings.deadline_part * aim).min(left / 2.0);
-        if barred || !linked || self.calls.len() >= self.settings.in_hand || within < 1.0 {
-            return self.by_mode(mode);
+        if is_blocked || !linked || self.calls.len() >= self.settings.in_hand || within < 1.0 {
+            return self.apply_failure_mode(mode);
         }
-        self.trying |= trial;
+        self.has_trial |= is_trial;
         self.last_call += 1;
         self.counts.asked += 1;
-        self.calls.insert(self.last_call, Call { request, shop: shop.clone(), mode, trial });
+        self.calls.insert(self.last_call, PendingCall { request, shop: shop.clone(), mode, is_trial });
         OutsideDecision::Ask { call: self.last_call, within }
     }
 
-    /// The service has spoken. Gives the request and what is to be done with it, unless the call was over already.
+    /// Records the outcome of a call. Returns the request and the decision on it, or `None` if the call has already
+    /// ended.
     pub fn record_verdict(
         &mut self,
         now: f64,
@@ -324,36 +335,38 @@
         verdict: Verdict,
     ) -> Option<(u64, OutsideDecision)> {
         let call = self.calls.remove(&call)?;
-        self.learn(now, verdict == Verdict::Failed, call.trial);
-        let step = match verdict {
+        self.record_outcome(now, verdict == Verdict::Failed, call.is_trial);
+        let decision = match verdict {
             Verdict::Ok { ahead, ahead_ms } => {
                 if ahead > 0.0 {
-                    self.keep(now, call.shop, ahead_ms, Some(ahead));
+                    self.cache_verdict(now, call.shop, ahead_ms, Some(ahead));
                 }
                 OutsideDecision::Pass
             }
             Verdict::Over { reset_ms } => {
-                self.keep(now, call.shop, reset_ms, None);
+                self.cache_verdict(now, call.shop, reset_ms, None);
                 OutsideDecision::Deny { pause: reset_ms.max(0.0).ceil() }
             }
-            Verdict::Failed => self.by_mode(call.mode),
+            Verdict::Failed => self.apply_failure_mode(call.mode),
         };
-        Some((call.request, step))
+        Some((call.request, decision))
     }
 
-    /// A call's time is up.
+    /// Ends a call whose wait is over; it counts as a failure. Returns the same as [`Self::record_verdict`].
     pub fn time_out(&mut self, now: f64, call: u64) -> Option<(u64, OutsideDecision)> {
         self.record_verdict(now, call, Verdict::Failed)
     }
 
-    /// Who would carry the answers has gone: nothing that is in hand comes any more. Says nothing of the service.
+    /// Ends all calls in flight because the connection to the agent is lost; the failure mode decides their requests.
+    /// They do not count as failures, since the service itself may be healthy.
     pub fn link_lost(&mut self) -> Vec<(u64, OutsideDecision)> {
         let calls = std::mem::take(&mut self.calls);
-        self.trying = false;
-        calls.into_values().map(|c| (c.request, self.by_mode(c.mode))).collect()
+        self.has_trial = false;
+        calls.into_values().map(|c| (c.request, self.apply_failure_mode(c.mode))).collect()
     }
 
-    fn by_mode(&mut self, mode: FailureMode) -> OutsideDecision {
+    /// Decides a request that gets no verdict.
+    fn apply_failure_mode(&mut self, mode: FailureMode) -> OutsideDecision {
         self.counts.by_mode += 1;
         match mode {
             FailureMode::Allow => OutsideDecision::Pass,
@@ -361,26 +374,27 @@
         }
     }
 
-    fn learn(&mut self, now: f64, failed: bool, trial: bool) {
+    /// Updates the breaker and the counters with the outcome of a call.
+    fn record_outcome(&mut self, now: f64, failed: bool, is_trial: bool) {
         self.counts.failed += u64::from(failed);
-        if trial {
+        if is_trial {
             if self.breaker != BreakerState::HalfOpen {
                 return;
             }
-            self.trying = false;
+            self.has_trial = false;
             if failed {
-                self.pause = (self.pause * 2.0).min(self.settings.open_most_ms);
-                return self.open(now);
+                self.open_pause_ms = (self.open_pause_ms * 2.0).min(self.settings.open_most_ms);
+                return self.open_breaker(now);
             }
-            self.good += 1;
-            if self.good >= CLOSING_SUCCESSES {
+            self.successes += 1;
+            if self.successes >= CLOSING_SUCCESSES {
                 self.breaker = BreakerState::Closed;
-                self.pause = self.settings.open_ms;
+                self.open_pause_ms = self.settings.open_ms;
                 self.window.clear();
             }
             return;
         }
-        // What was asked before it opened says nothing new.
+        // The outcome of a call that was started before the breaker opened is out of date.
         if self.breaker != BreakerState::Closed {
             return;
         }
@@ -388,39 +402,43 @@
         if self.window.len() > BREAKER_WINDOW_CALLS {
             self.window.pop_front();
         }
-        let bad = self.window.iter().filter(|failed| **failed).count();
-        if self.window.len() >= MIN_BREAKER_CALLS && 2 * bad >= self.window.len() {
-            self.open(now);
+        let failures = self.window.iter().filter(|failed| **failed).count();
+        if self.window.len() >= MIN_BREAKER_CALLS && 2 * failures >= self.window.len() {
+            self.open_breaker(now);
         }
     }
 
-    fn open(&mut self, now: f64) {
+    /// Opens the breaker for the current pause with 25 % jitter.
+    fn open_breaker(&mut self, now: f64) {
         self.breaker = BreakerState::Open;
-        self.open_until = now + self.pause * self.rng.random_range(0.75..1.25);
+        self.open_until = now + self.open_pause_ms * self.rng.random_range(0.75..1.25);
         self.window.clear();
     }
 
-    fn keep(&mut self, now: f64, shop: Arc<str>, ms: f64, ahead: Option<f64>) {
+    /// Caches a verdict for at most `keep_ms`.
+    fn cache_verdict(&mut self, now: f64, shop: Arc<str>, ms: f64, ahead: Option<f64>) {
         let ms = ms.min(self.settings.keep_ms);
         if ms.is_nan() || ms <= 0.0 {
             return;
         }
-        self.forget(now);
-        // The entry of a shop that is asked for again is written over; its old age falls due and finds it young.
-        if self.ages.len() >= self.settings.keep_most {
+        self.evict_expired(now);
+        // A new verdict on a shop overwrites its entry. The old expiry time remains in the queue; when it is due, the
+        // entry is not expired yet and stays.
+        if self.expiries.len() >= self.settings.keep_most {
             return;
         }
         let until = now + ms;
-        self.ages.push_back((until, shop.clone()));
-        self.kept.insert(shop, Kept { until, ahead });
+        self.expiries.push_back((until, shop.clone()));
+        self.cache.insert(shop, CachedVerdict { until, ahead });
     }
 
-    /// Forgets what is past. Ages stand in no strict order, but none is over `keep_ms`.
-    fn forget(&mut self, now: f64) {
-        while self.ages.front().is_some_and(|(until, _)| *until <= now) {
-            let Some((_, shop)) = self.ages.pop_front() else { return };
-            if self.kept.get(&shop).is_some_and(|kept| kept.until <= now) {
-                self.kept.remove(&shop);
+    /// Evicts expired cache entries. The expiry times are not strictly ordered, but each is at most `keep_ms` after
+    /// its insertion.
+    fn evict_expired(&mut self, now: f64) {
+        while self.expiries.front().is_some_and(|(until, _)| *until <= now) {
+            let Some((_, shop)) = self.expiries.pop_front() else { return };
+            if self.cache.get(&shop).is_some_and(|cached| cached.until <= now) {
+                self.cache.remove(&shop);
             }
         }
     }
--- a/crates/outside/tests/breaker.rs
+++ b/crates/outside/tests/breaker.rs
@@ -1,4 +1,4 @@
-//! Consulting an outside service, in simulated time.
+//! Tests of the policy for consulting an outside service, in simulated time.
 
 use frostvale_outside::{
     BreakerState, CLOSING_SUCCESSES, FailureMode, MIN_BREAKER_CALLS, OutsideDecision, OutsidePolicy,
@@ -14,7 +14,7 @@
     Settings { plans: vec![Some(mode), None], in_hand: 50, ..Settings::default() }
 }
 
-fn consult(mode: FailureMode) -> OutsidePolicy {
+fn policy(mode: FailureMode) -> OutsidePolicy {
     OutsidePolicy::new(settings(mode), 7).expect("sound")
 }
 
@@ -25,12 +25,12 @@
 fn call(step: &OutsideDecision) -> u64 {
     match step {
         OutsideDecision::Ask { call, .. } => *call,
-        other => panic!("not asked: {other:?}"),
+        other => panic!("the service is not called: {other:?}"),
     }
 }
 
-/// Has the breaker open.
-fn broken(c: &mut OutsidePolicy, now: f64) {
+/// Opens the breaker by letting the minimum number of calls time out.
+fn open_breaker(c: &mut OutsidePolicy, now: f64) {
     for k in 0..MIN_BREAKER_CALLS as u64 {
         let step = c.ask(now, k, &shop(k), 0, 1.0, AIM, true);
         c.time_out(now + 80.0, call(&step));
@@ -39,22 +39,26 @@
 }
 
 #[test]
-fn a_request_waits_its_part_of_the_aim_and_no_longer() {
-    let mut c = consult(FailureMode::Allow);
-    assert_eq!(c.ask(0.0, 1, &shop(1), 1, 1.0, AIM, true), OutsideDecision::Pass, "a plan that asks nobody");
+fn request_waits_at_most_its_fraction_of_the_latency_target() {
+    let mut c = policy(FailureMode::Allow);
+    assert_eq!(
+        c.ask(0.0, 1, &shop(1), 1, 1.0, AIM, true),
+        OutsideDecision::Pass,
+        "a plan that does not consult the service"
+    );
     assert_eq!(c.ask(0.0, 1, &shop(1), 0, 1.0, AIM, true), OutsideDecision::Ask { call: 1, within: 80.0 });
-    // With little left of its client's time, half of that.
+    // When the client waits only a little longer, the limit is half of that time.
     assert_eq!(
         c.ask(0.0, 2, &shop(1), 0, 1.0, (400.0, 20.0), true),
         OutsideDecision::Ask { call: 2, within: 10.0 }
     );
-    assert_eq!(c.time_out(80.0, 1), Some((1, OutsideDecision::Pass)), "by its mode");
-    assert_eq!(c.record_verdict(81.0, 1, Verdict::Over { reset_ms: 5.0 }), None, "late verdicts are void");
+    assert_eq!(c.time_out(80.0, 1), Some((1, OutsideDecision::Pass)), "decided by the failure mode");
+    assert_eq!(c.record_verdict(81.0, 1, Verdict::Over { reset_ms: 5.0 }), None, "a late verdict is ignored");
 }
 
 #[test]
-fn one_call_that_hangs_does_not_open_the_breaker() {
-    let mut c = consult(FailureMode::Deny);
+fn breaker_stays_closed_when_one_call_times_out() {
+    let mut c = policy(FailureMode::Deny);
     for k in 0..100 {
         let step = c.ask(k as f64, k, &shop(k), 0, 1.0, AIM, true);
         if k == 50 {
@@ -67,9 +71,9 @@
 }
 
 #[test]
-fn when_all_hang_none_waits_once_the_breaker_is_open() {
-    let mut c = consult(FailureMode::Allow);
-    broken(&mut c, 0.0);
+fn open_breaker_decides_at_once_when_all_calls_time_out() {
+    let mut c = policy(FailureMode::Allow);
+    open_breaker(&mut c, 0.0);
     for k in 0..1000 {
         assert_eq!(c.ask(100.0, 100 + k, &shop(k), 0, 1.0, AIM, true), OutsideDecision::Pass);
     }
@@ -80,9 +84,9 @@
 }
 
 #[test]
-fn one_at_a_time_tries_again_and_several_good_ones_close_it() {
-    let mut c = consult(FailureMode::Deny);
-    broken(&mut c, 0.0);
+fn half_open_breaker_allows_one_call_at_a_time_and_closes_after_successes() {
+    let mut c = policy(FailureMode::Deny);
+    open_breaker(&mut c, 0.0);
     let now = 80.0 + 1.25 * 500.0;
     let mut trial = c.ask(now, 1, &shop(1), 0, 1.0, AIM, true);
     assert_eq!(c.breaker(), BreakerState::HalfOpen);
@@ -98,9 +102,9 @@
 }
 
 #[test]
-fn each_failed_trial_doubles_the_pause_up_to_its_bound() {
-    let mut c = consult(FailureMode::Allow);
-    broken(&mut c, 0.0);
+fn failed_trial_doubles_the_pause_up_to_its_limit() {
+    let mut c = policy(FailureMode::Allow);
+    open_breaker(&mut c, 0.0);
     let mut now = 80.0;
     let mut pauses = Vec::new();
     for _ in 0..8 {
@@ -123,14 +127,14 @@
 }
 
 #[test]
-fn a_service_that_flaps_opens_it_and_costs_no_more_than_the_window() {
-    let mut c = consult(FailureMode::Allow);
+fn breaker_opens_within_one_window_when_every_other_call_times_out() {
+    let mut c = policy(FailureMode::Allow);
     let mut waited = 0;
     for k in 0..1000u64 {
         let now = k as f64;
         let step = c.ask(now, k, &shop(k), 0, 1.0, AIM, true);
         if let OutsideDecision::Ask { call, .. } = step {
-            // Every other call hangs.
+            // Every other call times out.
             if k % 2 == 0 {
                 waited += 1;
                 c.time_out(now, call);
@@ -139,22 +143,22 @@
             }
         }
     }
-    assert!(waited < 20, "{waited} of 1000 requests waited in vain");
+    assert!(waited < 20, "{waited} of 1000 requests waited without a verdict");
 }
 
 #[test]
-fn calls_in_hand_are_bounded_and_the_rest_goes_by_the_mode() {
-    let mut c = consult(FailureMode::Deny);
+fn failure_mode_decides_requests_above_the_limit_of_calls_in_flight() {
+    let mut c = policy(FailureMode::Deny);
     for k in 0..50 {
         assert!(matches!(c.ask(0.0, k, &shop(k), 0, 1.0, AIM, true), OutsideDecision::Ask { .. }));
     }
     assert_eq!(c.ask(0.0, 50, &shop(50), 0, 1.0, AIM, true), OutsideDecision::Deny { pause: 0.0 });
-    assert_eq!(c.breaker(), BreakerState::Closed, "that says nothing of the service");
+    assert_eq!(c.breaker(), BreakerState::Closed, "a full limit is no failure of the service");
 }
 
 #[test]
-fn without_an_agent_nobody_waits_and_the_service_is_not_blamed() {
-    let mut c = consult(FailureMode::Allow);
+fn lost_agent_link_decides_by_failure_mode_and_records_no_failure() {
+    let mut c = policy(FailureMode::Allow);
     assert_eq!(c.ask(0.0, 1, &shop(1), 0, 1.0, AIM, false), OutsideDecision::Pass);
     for k in 0..10 {
         c.ask(0.0, k, &shop(k), 0, 1.0, AIM, true);
@@ -166,42 +170,42 @@
 }
 
 #[test]
-fn a_trial_that_is_cut_off_with_its_agent_does_not_bar_the_next() {
-    let mut c = consult(FailureMode::Allow);
-    broken(&mut c, 0.0);
+fn next_trial_is_allowed_when_the_link_is_lost_during_a_trial() {
+    let mut c = policy(FailureMode::Allow);
+    open_breaker(&mut c, 0.0);
     assert!(matches!(c.ask(1000.0, 1, &shop(1), 0, 1.0, AIM, true), OutsideDecision::Ask { .. }));
     c.link_lost();
     assert!(matches!(c.ask(1000.0, 2, &shop(2), 0, 1.0, AIM, true), OutsideDecision::Ask { .. }));
 }
 
 #[test]
-fn verdicts_are_kept_only_as_long_as_they_say_and_bounded() {
-    let mut c = consult(FailureMode::Deny);
+fn verdicts_are_cached_for_their_lifetime_and_at_most_keep_ms() {
+    let mut c = policy(FailureMode::Deny);
     let first = c.ask(0.0, 1, &shop(1), 0, 1.0, AIM, true);
     c.record_verdict(0.0, call(&first), Verdict::Over { reset_ms: 300.0 });
     assert_eq!(
         c.ask(100.0, 2, &shop(1), 0, 1.0, AIM, true),
         OutsideDecision::Deny { pause: 200.0 },
-        "not asked again"
+        "the service is not called again"
     );
     assert!(matches!(c.ask(301.0, 3, &shop(1), 0, 1.0, AIM, true), OutsideDecision::Ask { .. }));
-    // An answer that does not say for how long is kept for none.
+    // An answer without a lifetime is not cached.
     let plain = c.ask(400.0, 4, &shop(2), 0, 1.0, AIM, true);
     c.record_verdict(400.0, call(&plain), OK);
     assert!(matches!(c.ask(401.0, 5, &shop(2), 0, 1.0, AIM, true), OutsideDecision::Ask { .. }));
-    // Three units ahead: three pass, the fourth asks.
+    // With three units granted in advance, three requests pass and the fourth calls the service.
     let ahead = c.ask(500.0, 6, &shop(3), 0, 1.0, AIM, true);
     c.record_verdict(500.0, call(&ahead), Verdict::Ok { ahead: 3.0, ahead_ms: 1e9 });
     for _ in 0..3 {
         assert_eq!(c.ask(501.0, 7, &shop(3), 0, 1.0, AIM, true), OutsideDecision::Pass);
     }
     assert!(matches!(c.ask(502.0, 8, &shop(3), 0, 1.0, AIM, true), OutsideDecision::Ask { .. }));
-    // A shop's kept verdicts end with keep_ms at the latest.
+    // A cached verdict expires after keep_ms at the latest.
     assert!(matches!(c.ask(1600.0, 9, &shop(3), 0, 1.0, AIM, true), OutsideDecision::Ask { .. }));
 }
 
 #[test]
-fn kept_verdicts_do_not_grow_without_bound() {
+fn cached_verdicts_are_bounded() {
     let mut c =
         OutsidePolicy::new(Settings { keep_most: 100, in_hand: 1000, ..settings(FailureMode::Deny) }, 7)
             .expect("sound");
@@ -214,7 +218,7 @@
 }
 
 #[test]
-fn settings_out_of_range_are_named() {
+fn new_names_the_setting_that_is_out_of_range() {
     let bad = [
         (Settings { deadline_part: 0.0, ..Settings::default() }, "deadline_part"),
         (Settings { deadline_part: f64::NAN, ..Settings::default() }, "deadline_part"),
@@ -224,14 +228,14 @@
         (Settings { keep_ms: -1.0, ..Settings::default() }, "keep_ms"),
     ];
     for (settings, word) in bad {
-        let said = OutsidePolicy::new(settings, 1).err().expect("refused").0;
-        assert!(said.contains(word), "{said}");
+        let error = OutsidePolicy::new(settings, 1).err().expect("refused").0;
+        assert!(error.contains(word), "{error}");
     }
 }
 
 proptest! {
-    /// Whatever the service does, each request gets exactly one step that ends its wait, within its deadline, and
-    /// no more calls are in hand than there may be.
+    /// For any behavior of the service, each request gets exactly one final decision within its deadline, and the
+    /// number of calls in flight stays within its limit.
     #[test]
     fn every_request_is_decided_once_and_in_time(
         events in prop::collection::vec((0u8..6, 0u64..30, 0u32..200), 1..400),
@@ -253,13 +257,13 @@
             match c.ask(now, request, &shop(n), 0, 1.0, AIM, kind != 5) {
                 OutsideDecision::Ask { call, within } => {
                     prop_assert!(within <= 0.2 * AIM.0 + 1e-9);
-                    let said = match kind {
+                    let outcome = match kind {
                         0 => Some(OK),
                         1 => Some(Verdict::Over { reset_ms: f64::from(gap) }),
                         2 => Some(Verdict::Failed),
                         _ => None,
                     };
-                    match said {
+                    match outcome {
                         Some(verdict) => {
                             prop_assert!(c.record_verdict(now, call, verdict).is_some_and(|(r, _)| r == request));
                             prop_assert!(decided.insert(request));
