--- a/crates/charts/src/lib.rs
+++ b/crates/charts/src/lib.rs
@@ -1,49 +1,49 @@
-//! Plots and self-contained HTML pages, for every tool that reports figures over time.
+//! SVG plots and self-contained HTML pages for tools that report values over time.
 
 use plotters::prelude::*;
 
 pub use plotters::style::RGBColor;
 
-/// What went well.
+/// Colour of successful requests.
 pub const GREEN: RGBColor = RGBColor(0, 120, 60);
-/// What was turned away.
+/// Colour of refused requests.
 pub const AMBER: RGBColor = RGBColor(200, 130, 0);
-/// What failed.
+/// Colour of failed requests.
 pub const RED: RGBColor = RGBColor(200, 30, 30);
-/// A first figure that is neither.
+/// Colour of a series that is no outcome.
 pub const BLUE: RGBColor = RGBColor(40, 80, 180);
-/// A second one.
+/// Colour of a second series that is no outcome.
 pub const PURPLE: RGBColor = RGBColor(150, 40, 150);
 
-const WIDTH: u32 = 860;
-const HEIGHT: u32 = 240;
+const WIDTH_PX: u32 = 860;
+const HEIGHT_PX: u32 = 240;
 
-/// A line of a plot: its name, colour and points.
+/// A line of a plot: its label, colour and points (x, y).
 pub type Line<'a> = (&'a str, RGBColor, Vec<(f64, f64)>);
 
-/// One value a second, from second 0, as points.
+/// Converts a series with one value per second, starting at second 0, to points.
 pub fn seconds(values: impl IntoIterator<Item = f64>) -> Vec<(f64, f64)> {
     values.into_iter().enumerate().map(|(k, v)| (k as f64, v)).collect()
 }
 
-/// A plot as SVG; `axes` are what x and y count.
+/// Draws a line plot as SVG. `axes` are the descriptions of the x and the y axis. Both axes start at 0.
 ///
 /// # Errors
-/// When it can't be drawn.
+/// Returns an error if the plot cannot be drawn.
 pub fn plot(title: &str, axes: (&str, &str), lines: &[Line<'_>]) -> Result<String, String> {
     let mut svg = String::new();
     let points = || lines.iter().flat_map(|l| &l.2);
-    let right = points().map(|p| p.0).fold(1.0, f64::max);
-    let top = points().map(|p| p.1).filter(|y| y.is_finite()).fold(1e-6, f64::max) * 1.1;
-    let mut drawn = || -> Result<(), Box<dyn std::error::Error>> {
-        let area = SVGBackend::with_string(&mut svg, (WIDTH, HEIGHT)).into_drawing_area();
+    let max_x = points().map(|p| p.0).fold(1.0, f64::max);
+    let max_y = points().map(|p| p.1).filter(|y| y.is_finite()).fold(1e-6, f64::max) * 1.1;
+    let mut draw = || -> Result<(), Box<dyn std::error::Error>> {
+        let area = SVGBackend::with_string(&mut svg, (WIDTH_PX, HEIGHT_PX)).into_drawing_area();
         area.fill(&WHITE)?;
         let mut chart = ChartBuilder::on(&area)
             .caption(title, ("sans-serif", 16))
             .margin(6)
             .x_label_area_size(28)
             .y_label_area_size(56)
-            .build_cartesian_2d(0.0..right, 0.0..top)?;
+            .build_cartesian_2d(0.0..max_x, 0.0..max_y)?;
         chart.configure_mesh().x_desc(axes.0).y_desc(axes.1).max_light_lines(1).draw()?;
         for (name, colour, points) in lines {
             let colour = *colour;
@@ -56,12 +56,12 @@
         area.present()?;
         Ok(())
     };
-    drawn().map_err(|e| format!("a plot can't be drawn: {e}"))?;
+    draw().map_err(|e| format!("cannot draw plot {title:?}: {e}"))?;
     Ok(svg)
 }
 
-/// A page of a title, the text of a report, plots, and the figures as JSON for other programs. It needs no other
-/// file and no network.
+/// Builds an HTML page from a title, the text of a report, SVG plots, and the values as JSON for other
+/// programs. The page refers to no other file and needs no network.
 #[must_use]
 pub fn page(title: &str, text: &str, plots: &str, json: &str) -> String {
     let (title, text) = (escape(title), escape(text));
@@ -74,7 +74,7 @@
     )
 }
 
-/// Text as it may stand in a page.
+/// Escapes text for use in HTML.
 #[must_use]
 pub fn escape(text: &str) -> String {
     text.replace('&', "&amp;").replace('<', "&lt;").replace('>', "&gt;").replace('"', "&quot;")
--- a/crates/checks/src/answer.rs
+++ b/crates/checks/src/answer.rs
@@ -65,8 +65,8 @@
 
 /// Builds the response to a call from its descriptors' decisions, in the order of the descriptors.
 ///
-/// The call is over limit if any descriptor is. The `x-ratelimit-...` headers describe the descriptor with the
-/// fewest units left.
+/// The call is over limit if any descriptor is. The `x-ratelimit-...` headers describe the descriptor with
+/// the fewest units left.
 pub fn build_response<'a>(
     results: impl IntoIterator<Item = (CheckResult, Option<(&'a CheckRequest, &'a Plan)>)>,
 ) -> RateLimitResponse {
--- a/crates/checks/src/lib.rs
+++ b/crates/checks/src/lib.rs
@@ -1,11 +1,12 @@
 //! The part of a rate limit call's handling that performs no I/O.
 //!
-//! A shop has one quota only if all of its requests and checks are charged to the same token bucket. Gatekeepers
-//! locate the bucket through the shop's set (`first`, `spread`): one gatekeeper of the set is the quota owner and
-//! holds the bucket, and each gatekeeper of the set has a local share of the ceiling. A check decided by a
-//! gatekeeper outside the set would use a second bucket beside the first. [`read`] therefore parses and validates
-//! the call, [`route`] selects the gatekeepers that may decide it, and [`answer`] combines their decisions into one
-//! response: either all descriptors of a call are granted, or none is charged.
+//! A shop has one quota only if all of its requests and checks are charged to the same token bucket.
+//! Gatekeepers locate the bucket through the shop's set (`first`, `spread`): one gatekeeper of the set is the
+//! quota owner and holds the bucket, and each gatekeeper of the set has a local share of the ceiling. A check
+//! decided by a gatekeeper outside the set would use a second bucket beside the first. [`read`] therefore
+//! parses and validates the call, [`route`] selects the gatekeepers that may decide it, and [`answer`]
+//! combines their decisions into one response: either all descriptors of a call are granted, or none is
+//! charged.
 
 pub mod answer;
 pub mod read;
@@ -13,7 +14,8 @@
 
 use std::collections::BTreeMap;
 
-/// A plan as reported by the gatekeepers, in thousandths of a unit. A rate, burst or ceiling of 0 means none is set.
+/// A plan as reported by the gatekeepers, in thousandths of a unit. A rate, burst or ceiling of 0 means none
+/// is set.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Plan {
     /// The plan's number in the gatekeepers' configuration.
@@ -50,8 +52,8 @@
 }
 
 impl Plan {
-    /// Returns the failure mode of this plan. A plan with a hard ceiling always denies, since an undecided check
-    /// could exceed the ceiling; any other plan uses the configured mode.
+    /// Returns the failure mode of this plan. A plan with a hard ceiling always denies, since an undecided
+    /// check could exceed the ceiling; any other plan uses the configured mode.
     #[must_use]
     pub fn failure_mode(&self, configured: FailureMode) -> FailureMode {
         if self.ceiling_rate_milli > 0 { FailureMode::Deny } else { configured }
--- a/crates/checks/src/read.rs
+++ b/crates/checks/src/read.rs
@@ -1,5 +1,5 @@
-//! Parses and validates rate limit calls. An invalid call is rejected as a whole, with an error that names the
-//! invalid field.
+//! Parses and validates rate limit calls. An invalid call is rejected as a whole, with an error that names
+//! the invalid field.
 
 use crate::Tier;
 use frostvale_proto::envoy::extensions::common::ratelimit::v3::RateLimitDescriptor;
@@ -73,8 +73,8 @@
 
 impl std::error::Error for InvalidRequest {}
 
-/// Parses a call into one check for each descriptor, in order; `None` for a descriptor that matches no plan and
-/// for every descriptor of a domain without limits.
+/// Parses a call into one check for each descriptor, in order; `None` for a descriptor that matches no plan
+/// and for every descriptor of a domain without limits.
 ///
 /// # Errors
 /// Returns the invalid field and its accepted values. No descriptor of the call may be checked in that case.
--- a/crates/checks/src/route.rs
+++ b/crates/checks/src/route.rs
@@ -1,9 +1,9 @@
 //! Selects the gatekeepers that may decide a check.
 //!
-//! Only gatekeepers of the shop's set may decide it. A check of a plan without a ceiling goes to the shop's quota
-//! owner if that is available, because the owner decides at once and without a peer message. Each gatekeeper of the
-//! set may hold a local share of a ceiling, so checks of plans with a ceiling are distributed round-robin over the
-//! set, which uses all shares evenly.
+//! Only gatekeepers of the shop's set may decide it. A check of a plan without a ceiling goes to the shop's
+//! quota owner if that is available, because the owner decides at once and without a peer message. Each
+//! gatekeeper of the set may hold a local share of a ceiling, so checks of plans with a ceiling are
+//! distributed round-robin over the set, which uses all shares evenly.
 
 use std::collections::HashMap;
 
@@ -66,8 +66,8 @@
 
 /// Returns the gatekeepers that may decide a check, in the order in which to try them.
 ///
-/// `ceiling` is whether the plan has a ceiling. `turn` increases with each check and advances the round-robin order.
-/// `usable` returns whether a gatekeeper can be reached.
+/// `ceiling` is whether the plan has a ceiling. `turn` increases with each check and advances the round-robin
+/// order. `usable` returns whether a gatekeeper can be reached.
 #[must_use]
 pub fn candidates(
     shop: &str,
--- a/crates/growth/src/lib.rs
+++ b/crates/growth/src/lib.rs
@@ -1,4 +1,5 @@
-//! How far what one gatekeeper needs may grow with the fleet: days on real processes, and the operators' bounds.
+//! Measures how the resource use of one gatekeeper grows with the fleet, on real processes, and checks it
+//! against the operators' bounds.
 
 pub mod day;
 pub mod report;
--- a/crates/growth/src/report.rs
+++ b/crates/growth/src/report.rs
@@ -1,10 +1,11 @@
-//! The days as a table for the terminal and as a page with plots.
+//! Formats the days as a table for the terminal and as an HTML page with plots.
 
 use crate::table::{Day, Row};
 use frostvale_charts::{BLUE, RED, page, plot};
 use std::fmt::Write;
 
-/// The table: one block for each day after the first, which is the usual size.
+/// Formats the table. The first day is the one at the usual size, without bounds; each further day has its
+/// bounds.
 #[must_use]
 pub fn text(days: &[Day]) -> String {
     let Some((usual, others)) = days.split_first() else { return String::new() };
@@ -17,19 +18,21 @@
         let _ = writeln!(text, "{} servers, {} gatekeepers", day.size.servers, day.size.gatekeepers);
         for row in Row::ALL {
             let (figure, bound) = (row.of(&day.figures), row.bound(&usual.figures, day.size.servers));
-            let verdict = if row.holds(&day.figures, bound) { "" } else { "  BROKEN" };
+            let verdict = if row.is_within(&day.figures, bound) { "" } else { "  BROKEN" };
             let _ = writeln!(text, "  {:<24} {figure:>10.3} of {bound:>10.3}{verdict}", row.name());
         }
     }
     text
 }
 
-/// A page with one plot for each row: the figure and its bound over the servers.
+/// Builds a page with one plot for each row: the figure and its bound against the number of servers.
 ///
 /// # Errors
-/// When a plot can't be drawn.
+/// Returns an error if there is no day, or a plot cannot be drawn.
 pub fn html(days: &[Day]) -> Result<String, String> {
-    let Some((usual, _)) = days.split_first() else { return Err("no day was played".into()) };
+    let Some((usual, _)) = days.split_first() else {
+        return Err("no day was run".into());
+    };
     let mut plots = String::new();
     for row in Row::ALL {
         let over_servers = |value: &dyn Fn(&Day) -> f64| {
@@ -37,7 +40,7 @@
         };
         let figures = over_servers(&|day| row.of(&day.figures));
         let bounds = over_servers(&|day| row.bound(&usual.figures, day.size.servers));
-        let lines = [("seen", BLUE, figures), ("bound", RED, bounds)];
+        let lines = [("measured", BLUE, figures), ("bound", RED, bounds)];
         plots += &plot(row.name(), ("servers", row.name()), &lines)?;
     }
     let json = serde_json::to_string(days).map_err(|e| e.to_string())?;
--- a/crates/growth/src/table.rs
+++ b/crates/growth/src/table.rs
@@ -1,48 +1,48 @@
-//! The operators' growth table: what a gatekeeper needs in the mean over a day, and how far that may grow with the fleet
-//! over the same day at the usual size.
+//! The operators' growth table: the mean resource use of a gatekeeper over a day, and its bound for a larger
+//! fleet relative to the same day at the usual size.
 
 use serde::Serialize;
 
-/// How large a fleet is.
+/// The size of a fleet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 pub struct FleetSize {
-    /// Servers that discovery lists.
+    /// Number of servers that discovery lists.
     pub servers: usize,
-    /// Gatekeeper processes.
+    /// Number of gatekeeper processes.
     pub gatekeepers: usize,
 }
 
-/// What one gatekeeper needed in the mean over a day.
+/// Resource use over a day, as the mean over the gatekeepers, and the served fraction.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize)]
 pub struct Figures {
-    /// Processor time, in seconds.
+    /// CPU time, in seconds.
     pub cpu_s: f64,
-    /// The largest resident memory, in MB.
+    /// Peak resident memory, in MB.
     pub memory_mb: f64,
-    /// The most open descriptors.
+    /// Peak number of open file descriptors.
     pub descriptors: f64,
-    /// Connections made to servers.
+    /// Number of connections opened to servers.
     pub connections: f64,
-    /// Bytes of lists from discovery while it tells changes, in KB.
+    /// Size of the endpoint lists that discovery sent during the day, in KB.
     pub list_kb: f64,
-    /// The part of all requests that was served.
+    /// Fraction of all requests that was served.
     pub served: f64,
 }
 
 /// A row of the table.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 pub enum Row {
-    /// Processor time.
+    /// CPU time.
     Cpu,
     /// Peak memory.
     Memory,
-    /// Descriptors.
+    /// Open file descriptors.
     Descriptors,
-    /// Connections made to servers.
+    /// Connections opened to servers.
     Connections,
-    /// Bytes of lists.
+    /// Size of the endpoint lists.
     Lists,
-    /// The share served.
+    /// Fraction of requests served.
     Served,
 }
 
@@ -51,7 +51,7 @@
     pub const ALL: [Row; 6] =
         [Row::Cpu, Row::Memory, Row::Descriptors, Row::Connections, Row::Lists, Row::Served];
 
-    /// What it counts, with its unit.
+    /// Returns the row's name with its unit.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Its figure.
+    /// Returns the row's figure.
     #[must_use]
     pub fn of(self, figures: &Figures) -> f64 {
         match self {
@@ -77,7 +77,8 @@
         }
     }
 
-    /// The most that a fleet with so many servers may need, or the least that it may serve.
+    /// Returns the bound for a fleet with `servers` servers: an upper bound of the resource use, or a lower
+    /// bound of the served fraction.
     #[must_use]
     pub fn bound(self, usual: &Figures, servers: usize) -> f64 {
         let thousands = servers as f64 / 1000.0;
@@ -92,9 +93,9 @@
         }
     }
 
-    /// Whether a figure keeps its bound.
+    /// Returns whether the figure is within its bound.
     #[must_use]
-    pub fn holds(self, figures: &Figures, bound: f64) -> bool {
+    pub fn is_within(self, figures: &Figures, bound: f64) -> bool {
         match self {
             Row::Served => self.of(figures) >= bound,
             _ => self.of(figures) <= bound,
@@ -102,20 +103,20 @@
     }
 }
 
-/// One day: a size and what was seen.
+/// The result of one day.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
 pub struct Day {
-    /// The fleet.
+    /// Size of the fleet.
     pub size: FleetSize,
-    /// What one gatekeeper needed.
+    /// Measured figures.
     pub figures: Figures,
 }
 
-/// The rows that a day breaks, against the day at the usual size.
+/// Returns the rows whose figures are outside their bounds, relative to the day at the usual size.
 #[must_use]
-pub fn broken(usual: &Figures, day: &Day) -> Vec<Row> {
-    let breaks = |row: &Row| !row.holds(&day.figures, row.bound(usual, day.size.servers));
-    Row::ALL.into_iter().filter(breaks).collect()
+pub fn exceeded_rows(usual: &Figures, day: &Day) -> Vec<Row> {
+    let is_exceeded = |row: &Row| !row.is_within(&day.figures, row.bound(usual, day.size.servers));
+    Row::ALL.into_iter().filter(is_exceeded).collect()
 }
 
 #[cfg(test)]
@@ -132,13 +133,13 @@
     };
 
     #[test]
-    fn a_day_like_the_usual_one_breaks_nothing() {
+    fn exceeded_rows_is_empty_for_the_usual_figures() {
         let size = FleetSize { servers: 200, gatekeepers: 8 };
-        assert!(broken(&USUAL, &Day { size, figures: USUAL }).is_empty());
+        assert!(exceeded_rows(&USUAL, &Day { size, figures: USUAL }).is_empty());
     }
 
     #[test]
-    fn bounds_grow_with_the_servers_as_the_table_has_it() {
+    fn bound_grows_with_servers_as_in_the_operators_table() {
         let bounds = Row::ALL.map(|row| row.bound(&USUAL, 2000));
         let expected = [1.48, 31.0, 140.0, 290.0, 1464.0, 0.765];
         for (bound, expected) in bounds.iter().zip(expected) {
@@ -147,7 +148,7 @@
     }
 
     #[test]
-    fn each_row_is_broken_by_its_own_figure() {
+    fn exceeded_rows_has_each_row_whose_figure_is_out_of_bounds() {
         let size = FleetSize { servers: 3200, gatekeepers: 8 };
         let over = Figures {
             cpu_s: 1.6,
@@ -157,6 +158,6 @@
             list_kb: 2100.0,
             served: 0.7,
         };
-        assert_eq!(broken(&USUAL, &Day { size, figures: over }), Row::ALL);
+        assert_eq!(exceeded_rows(&USUAL, &Day { size, figures: over }), Row::ALL);
     }
 }
--- a/crates/growth/src/usage.rs
+++ b/crates/growth/src/usage.rs
@@ -1,19 +1,19 @@
-//! What the kernel says of a process: processor time, peak memory, open descriptors.
+//! Reads the CPU time, peak memory and open file descriptors of a process from `/proc`.
 
 use std::fs;
 
-/// What a process has used so far.
+/// Resource use of a process so far.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Usage {
-    /// Processor time of all its threads, in seconds.
+    /// CPU time of all its current threads, in seconds.
     pub cpu_s: f64,
-    /// The largest resident memory, in MB.
+    /// Peak resident memory, in MB.
     pub memory_mb: f64,
-    /// Open descriptors now.
+    /// Number of open file descriptors at present.
     pub descriptors: usize,
 }
 
-/// Reads a process's usage; none once it has gone.
+/// Reads the resource use of a process; `None` if the process does not exist.
 #[must_use]
 pub fn read(pid: u32) -> Option<Usage> {
     let status = fs::read_to_string(format!("/proc/{pid}/status")).ok()?;
@@ -35,7 +35,7 @@
 #[cfg(test)]
 mod tests {
     #[test]
-    fn the_own_process_is_read_and_one_that_is_not_there_is_not() {
+    fn read_returns_usage_of_this_process_and_none_for_a_missing_one() {
         let own = super::read(std::process::id()).expect("it runs");
         assert!(own.cpu_s > 0.0 && own.memory_mb > 0.0 && own.descriptors > 0, "{own:?}");
         assert_eq!(super::read(u32::MAX), None);
--- a/crates/load/src/engine.rs
+++ b/crates/load/src/engine.rs
@@ -1,4 +1,5 @@
-//! Plays a schedule over sockets. Each first try is sent when it is due, whatever became of those before it.
+//! Sends the requests of a schedule over sockets. Each first attempt is sent when it is due, regardless of
+//! the outcome of earlier requests.
 
 use crate::schedule::{Arrival, Plan, RequestKind, Schedule, Shop, retry_delay_ms};
 use crate::stats::{AnswerKind, LoadStats};
@@ -14,158 +15,162 @@
 use tokio::time::{sleep, sleep_until, timeout};
 use tonic::transport::Channel;
 
-/// Requests in hand at the most; what is due beyond them is counted as not sent.
-const IN_HAND: usize = 10_000;
-/// Connections to the rate limit service: each carries so many calls at once.
+/// Maximum number of requests in flight; a request due above it is counted as not sent.
+const MAX_IN_FLIGHT: usize = 10_000;
+/// Number of connections to the rate limit service, since the number of concurrent calls per connection is
+/// limited.
 const CHANNELS: usize = 4;
-/// How long a reader waits for its formula, a mixer for its mix, and a web store for its check, in ms.
-const PATIENCE: [u64; 3] = [800, 2000, 1000];
+/// Client timeouts in ms: reading a formula, recording a mix, and a rate limit call of a web shop.
+const CLIENT_TIMEOUT_MS: [u64; 3] = [800, 2000, 1000];
 
-/// What is played, and against what.
+/// Parameters of a load run.
 pub struct LoadRun {
-    /// Who asks.
+    /// Shops that send requests.
     pub shops: Vec<Shop>,
-    /// Their plans.
+    /// Plans; [`Shop::plan`] is an index into them.
     pub plans: Vec<Plan>,
-    /// The gatekeepers, by number.
+    /// Addresses of the gatekeepers' RESP2 ports, by gatekeeper number.
     pub gatekeepers: Vec<SocketAddr>,
-    /// The rate limit service; without it all is RESP2.
+    /// Address of the rate limit service; without it all requests are sent as RESP2.
     pub rls: Option<SocketAddr>,
-    /// The part that comes as rate limit calls.
+    /// Fraction of requests that are sent as rate limit calls.
     pub grpc: f64,
-    /// Of the schedule and of clients' pauses.
+    /// Seed of the schedule and of the clients' retry delays.
     pub seed: u64,
 }
 
-/// The tally, shared with who shows it.
+/// Statistics shared with the code that displays them.
 pub type SharedStats = Arc<Mutex<LoadStats>>;
 
-/// Locks the tally.
-pub fn lock_stats(tally: &SharedStats) -> MutexGuard<'_, LoadStats> {
-    tally.lock().unwrap_or_else(PoisonError::into_inner)
+/// Locks the statistics, also after a panic of another holder.
+pub fn lock_stats(stats: &SharedStats) -> MutexGuard<'_, LoadStats> {
+    stats.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-struct Town {
+/// State shared by the tasks of a load run.
+struct LoadClient {
     plans: Vec<String>,
     shops: Vec<Customer>,
-    kinds: Vec<usize>,
+    /// Index of the plan of each shop.
+    shop_plans: Vec<usize>,
     pools: Vec<ClientPool>,
     rls: Vec<RateLimitServiceClient<Channel>>,
-    in_hand: AtomicUsize,
-    tally: SharedStats,
+    in_flight: AtomicUsize,
+    stats: SharedStats,
     seed: u64,
 }
 
-/// Plays for so long; ends once the last request has its answer.
+/// Sends requests for `duration` and returns once the last request in flight has ended.
 ///
 /// # Errors
-/// When there is nothing to play, or an address can't be used.
-pub async fn run_load(play: LoadRun, most: Duration, tally: SharedStats) -> Result<(), String> {
-    if play.gatekeepers.is_empty() {
+/// Returns an error if no gatekeeper is given, the shops have no demand, or an address cannot be used.
+pub async fn run_load(run: LoadRun, duration: Duration, stats: SharedStats) -> Result<(), String> {
+    if run.gatekeepers.is_empty() {
         return Err("no gatekeeper is named".into());
     }
-    let grpc = if play.rls.is_some() { play.grpc } else { 0.0 };
-    let schedule = Schedule::new(&play.shops, grpc, play.seed)?;
+    let grpc = if run.rls.is_some() { run.grpc } else { 0.0 };
+    let schedule = Schedule::new(&run.shops, grpc, run.seed)?;
     let customer = |s: &Shop| Customer {
         id: s.id.clone(),
-        plan: play.plans[s.plan].name.clone(),
+        plan: run.plans[s.plan].name.clone(),
         first: s.first,
         spread: s.spread,
     };
-    let clients = play.rls.map(|at| (0..CHANNELS).map(|_| rls_client(at)).collect::<Result<Vec<_>, _>>());
-    let town = Arc::new(Town {
-        plans: play.plans.iter().map(|p| p.name.clone()).collect(),
-        shops: play.shops.iter().map(customer).collect(),
-        kinds: play.shops.iter().map(|s| s.plan).collect(),
-        pools: play.gatekeepers.iter().map(|at| ClientPool::new(*at)).collect(),
+    let clients = run.rls.map(|at| (0..CHANNELS).map(|_| rls_client(at)).collect::<Result<Vec<_>, _>>());
+    let client = Arc::new(LoadClient {
+        plans: run.plans.iter().map(|p| p.name.clone()).collect(),
+        shops: run.shops.iter().map(customer).collect(),
+        shop_plans: run.shops.iter().map(|s| s.plan).collect(),
+        pools: run.gatekeepers.iter().map(|at| ClientPool::new(*at)).collect(),
         rls: clients.transpose()?.unwrap_or_default(),
-        in_hand: AtomicUsize::new(0),
-        tally,
-        seed: play.seed,
+        in_flight: AtomicUsize::new(0),
+        stats,
+        seed: run.seed,
     });
-    let begun = tokio::time::Instant::now();
+    let start = tokio::time::Instant::now();
     for (number, arrival) in schedule.enumerate() {
-        if arrival.at > most.as_secs_f64() {
+        if arrival.at > duration.as_secs_f64() {
             break;
         }
-        let due = begun + Duration::from_secs_f64(arrival.at);
+        let due = start + Duration::from_secs_f64(arrival.at);
         if due > tokio::time::Instant::now() {
             sleep_until(due).await;
         }
-        if town.in_hand.fetch_add(1, Ordering::Relaxed) >= IN_HAND {
-            town.in_hand.fetch_sub(1, Ordering::Relaxed);
-            lock_stats(&town.tally).record_answer(
-                town.kinds[arrival.shop],
+        if client.in_flight.fetch_add(1, Ordering::Relaxed) >= MAX_IN_FLIGHT {
+            client.in_flight.fetch_sub(1, Ordering::Relaxed);
+            lock_stats(&client.stats).record_answer(
+                client.shop_plans[arrival.shop],
                 arrival.kind,
                 AnswerKind::Unsent,
                 0.0,
             );
             continue;
         }
-        let town = town.clone();
+        let client = client.clone();
         tokio::spawn(async move {
-            let end = town.request(number, arrival, due.into_std()).await;
-            lock_stats(&town.tally).record_answer(
-                town.kinds[arrival.shop],
+            let outcome = client.send_request(number, arrival, due.into_std()).await;
+            lock_stats(&client.stats).record_answer(
+                client.shop_plans[arrival.shop],
                 arrival.kind,
-                end,
+                outcome,
                 due.elapsed().as_secs_f64(),
             );
-            town.in_hand.fetch_sub(1, Ordering::Relaxed);
+            client.in_flight.fetch_sub(1, Ordering::Relaxed);
         });
     }
-    while town.in_hand.load(Ordering::Relaxed) > 0 {
+    while client.in_flight.load(Ordering::Relaxed) > 0 {
         sleep(Duration::from_millis(5)).await;
     }
     Ok(())
 }
 
-impl Town {
-    /// One request as a plain client sends it, to its end.
-    async fn request(&self, number: usize, arrival: Arrival, due: Instant) -> AnswerKind {
+impl LoadClient {
+    /// Sends one request with its retries, as an ordinary client does, and returns the final outcome.
+    async fn send_request(&self, number: usize, arrival: Arrival, due: Instant) -> AnswerKind {
         let shop = &self.shops[arrival.shop];
         debug_assert!(self.plans.contains(&shop.plan));
         if arrival.kind == RequestKind::Check {
-            return self.check(number, shop).await;
+            return self.send_check(number, shop).await;
         }
-        let mix = arrival.kind == RequestKind::Mix;
-        let patience = Duration::from_millis(PATIENCE[usize::from(mix)]);
-        let (class, key) = if mix { ("mix-record", Some(unique_id())) } else { ("formula-read", None) };
-        let mut lots = rand::rngs::StdRng::seed_from_u64(self.seed ^ number as u64);
-        let mut tries = 0;
+        let is_mix = arrival.kind == RequestKind::Mix;
+        let client_timeout = Duration::from_millis(CLIENT_TIMEOUT_MS[usize::from(is_mix)]);
+        let (class, key) = if is_mix { ("mix-record", Some(unique_id())) } else { ("formula-read", None) };
+        let mut rng = rand::rngs::StdRng::seed_from_u64(self.seed ^ number as u64);
+        let mut attempts = 0;
         loop {
-            tries += 1;
-            let left = patience.saturating_sub(due.elapsed());
+            attempts += 1;
+            let left = client_timeout.saturating_sub(due.elapsed());
             if left.is_zero() {
                 return AnswerKind::Silent;
             }
-            // A front deals a shop's tries among its set.
-            let at = (u64::from(shop.first) + u64::from(arrival.turn) + u64::from(tries) - 1)
+            // A load balancer in front distributes a shop's attempts over its set.
+            let at = (u64::from(shop.first) + u64::from(arrival.turn) + u64::from(attempts) - 1)
                 % u64::from(shop.spread)
                 + u64::from(shop.first);
             let pool = &self.pools[at as usize % self.pools.len()];
-            let answer = pool.send_attempt(shop, class, key.as_deref(), 1, left, tries > 1).await;
-            let told = match answer {
+            let answer = pool.send_attempt(shop, class, key.as_deref(), 1, left, attempts > 1).await;
+            let retry_after_ms = match answer {
                 Ok(Answer::Served(_)) => return AnswerKind::Served,
                 Ok(Answer::Failed(_)) => return AnswerKind::Failed,
-                Ok(Answer::Busy(told)) => told,
+                Ok(Answer::Busy(retry_after_ms)) => retry_after_ms,
                 Err(_) => return AnswerKind::Silent,
             };
-            let left = patience.saturating_sub(due.elapsed()).as_secs_f64() * 1000.0;
-            match retry_delay_ms(tries, told, left, lots.random()) {
+            let left = client_timeout.saturating_sub(due.elapsed()).as_secs_f64() * 1000.0;
+            match retry_delay_ms(attempts, retry_after_ms, left, rng.random()) {
                 Some(pause) => sleep(Duration::from_secs_f64(pause / 1000.0)).await,
-                None if told.is_some() => return AnswerKind::Quota,
+                None if retry_after_ms.is_some() => return AnswerKind::Quota,
                 None => return AnswerKind::Busy,
             }
-            lock_stats(&self.tally).record_retry(arrival.kind);
+            lock_stats(&self.stats).record_retry(arrival.kind);
         }
     }
 
-    /// One rate limit call. A web store does not ask again: it queues the order and shows when it may.
-    async fn check(&self, number: usize, shop: &Customer) -> AnswerKind {
+    /// Sends one rate limit call. A web shop does not retry: it queues the order and shows when it can be
+    /// sent.
+    async fn send_check(&self, number: usize, shop: &Customer) -> AnswerKind {
         let mut client = self.rls[number % self.rls.len()].clone();
-        let patience = Duration::from_millis(PATIENCE[2]);
-        match timeout(patience, client.should_rate_limit(rate_limit_call(shop, true, 1))).await {
+        let client_timeout = Duration::from_millis(CLIENT_TIMEOUT_MS[2]);
+        match timeout(client_timeout, client.should_rate_limit(rate_limit_call(shop, true, 1))).await {
             Ok(Ok(answer)) if answer.get_ref().overall_code() == Code::Ok => AnswerKind::Served,
             Ok(Ok(_)) => AnswerKind::Over,
             Ok(Err(_)) => AnswerKind::Failed,
--- a/crates/load/src/lib.rs
+++ b/crates/load/src/lib.rs
@@ -1,11 +1,10 @@
-//! The project's load tool: who asks for what and when ([`schedule`]), what came of it ([`stats`]), the playing of it
-//! over sockets ([`engine`]) and what is told of it ([`report`]).
+//! Load generator: the schedule of requests ([`schedule`]), sending them over sockets ([`engine`]),
+//! statistics of their outcomes ([`stats`]), and reports ([`report`]).
 //!
-//! # Why an open loop
-//!
-//! A client that waits for its answer before it asks again asks less of a town that stalls, and so hides the stall: its
-//! histogram holds one slow answer where a thousand shops would have waited. Here the times of all first tries are drawn
-//! ahead from the seed, and each answer's time counts from when its request was due.
+//! The load is open-loop. A closed-loop client, which waits for each answer before it sends the next request,
+//! sends less to a system that stalls and so hides the stall (coordinated omission): its histogram holds one
+//! slow answer where a thousand shops would have waited. Here the times of all first attempts are drawn from
+//! the seed, independently of the answers, and each latency counts from the time when the request was due.
 
 pub mod engine;
 pub mod report;
--- a/crates/load/src/schedule.rs
+++ b/crates/load/src/schedule.rs
@@ -1,32 +1,34 @@
-//! Who asks for what, and when. No input or output, no clock: the same seed gives the same schedule.
+//! Generates the shops and the schedule of their requests. Performs no I/O and reads no clock: the same seed
+//! gives the same schedule.
 
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use rand_distr::{Distribution, Exp, weighted::WeightedAliasIndex};
 
-/// How busy shops are against each other: the k-th has 1 / k^S of the first's demand (Zipf's law).
+/// Exponent S of the distribution of demand over shops: the k-th shop has 1 / k^S of the first one's demand
+/// (Zipf's law).
 pub const ZIPF_EXPONENT: f64 = 0.8;
-/// The part of the demand that a town with room serves, where no overload is asked for.
+/// Minimum fraction of the demand that fits the quotas under [`LoadProfile::WithinQuota`].
 pub const SERVED_FRACTION: f64 = 0.9;
-/// Shops at the most.
-const SHOPS_MOST: usize = 200_000;
-/// The part of arrivals that come as rate limit calls.
+/// Maximum number of shops.
+const MAX_SHOPS: usize = 200_000;
+/// Default fraction of arrivals that are rate limit calls.
 pub const GRPC_FRACTION: f64 = 0.25;
-/// The part of RESP2 requests that record a mix.
-const MIX_PART: f64 = 1.0 / 3.0;
+/// Fraction of RESP2 requests that record a mix.
+const MIX_FRACTION: f64 = 1.0 / 3.0;
 
-/// A plan as it matters here.
+/// The properties of a plan that determine the load.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Plan {
-    /// Its name.
+    /// The plan's name.
     pub name: String,
-    /// Units a second that one shop of it may have.
+    /// Quota of one shop, in units per second.
     pub rate: f64,
-    /// Shops of it among a hundred.
+    /// Relative number of shops with this plan; percent in [`example_plans`].
     pub part: u32,
 }
 
-/// The brief's four plans: many small shops, few large ones.
+/// Returns four example plans with many small shops and few large ones.
 #[must_use]
 pub fn example_plans() -> Vec<Plan> {
     let plan = |name: &str, rate, part| Plan { name: name.into(), rate, part };
@@ -38,37 +40,39 @@
     ]
 }
 
-/// A shop and what it asks for.
+/// A shop and its demand.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Shop {
-    /// 16 hex digits.
+    /// The shop's id: 16 hex digits.
     pub id: String,
-    /// Its plan, by its place among the plans.
+    /// Index of the shop's plan.
     pub plan: usize,
-    /// Its set.
+    /// First gatekeeper of the shop's set.
     pub first: u32,
-    /// How many gatekeepers the set has.
+    /// Number of gatekeepers in the set.
     pub spread: u32,
-    /// Requests a second.
+    /// Demand, in requests per second.
     pub demand: f64,
 }
 
-/// How the load is meant.
+/// How the demand relates to the quotas.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum LoadProfile {
-    /// So many shops that about nine in ten requests fit their quotas, some shops busier than their plan.
+    /// Enough shops that about nine in ten requests fit their quotas; some shops ask for more than their plan
+    /// allows.
     WithinQuota,
-    /// Every shop asks for so many times its quota, 0.01 to 1000.
+    /// Every shop asks for this multiple of its quota, 0.01 to 1000.
     Overload(f64),
 }
 
-/// Shops whose demand adds up to `rate` requests a second, over so many gatekeepers.
+/// Generates shops whose demand adds up to `rate` requests per second. Their sets have `spread` of the
+/// `gatekeepers`.
 ///
 /// # Errors
-/// When no such shops can be had: then the text says what to change.
+/// Returns an error that names the argument to change if no such shops exist.
 pub fn shops(
     rate: f64,
-    aim: LoadProfile,
+    profile: LoadProfile,
     plans: &[Plan],
     gatekeepers: u32,
     spread: u32,
@@ -76,45 +80,54 @@
     if plans.is_empty() || plans.iter().any(|p| p.rate <= 0.0 || p.part == 0) {
         return Err("plans: at least one, each with a rate and a part over 0".into());
     }
-    match aim {
-        LoadProfile::Overload(times) => {
-            if !(0.01..=1000.0).contains(&times) {
-                return Err(format!("overload {times}: 0.01 to 1000 times the quota"));
+    match profile {
+        LoadProfile::Overload(factor) => {
+            if !(0.01..=1000.0).contains(&factor) {
+                return Err(format!("overload {factor}: 0.01 to 1000 times the quota"));
             }
             let mean = plans.iter().map(|p| p.rate * f64::from(p.part)).sum::<f64>()
                 / plans.iter().map(|p| f64::from(p.part)).sum::<f64>();
-            let count = ((rate / (times * mean)).round() as usize).clamp(plans.len(), SHOPS_MOST);
-            let mut all = named(count, plans, gatekeepers, spread);
+            let count = ((rate / (factor * mean)).round() as usize).clamp(plans.len(), MAX_SHOPS);
+            let mut all = unloaded_shops(count, plans, gatekeepers, spread);
             let quota: f64 = all.iter().map(|s| plans[s.plan].rate).sum();
             all.iter_mut().for_each(|s| s.demand = rate * plans[s.plan].rate / quota);
             Ok(all)
         }
         LoadProfile::WithinQuota => {
-            // More shops have more quota together: the least number that does.
+            // The total quota grows with the number of shops; binary search finds the smallest sufficient
+            // number.
             let fits = |count: usize| {
-                served_fraction(&zipf(rate, count, plans, gatekeepers, spread), plans) >= SERVED_FRACTION
+                served_fraction(&shops_with_zipf_demand(rate, count, plans, gatekeepers, spread), plans)
+                    >= SERVED_FRACTION
             };
-            let (mut few, mut many) = (plans.len(), plans.len());
-            while !fits(many) {
-                if many >= SHOPS_MOST {
+            let (mut low, mut high) = (plans.len(), plans.len());
+            while !fits(high) {
+                if high >= MAX_SHOPS {
                     return Err(format!(
-                        "rate {rate}: more than {SHOPS_MOST} shops of these plans would be needed"
+                        "rate {rate}: more than {MAX_SHOPS} shops of these plans would be needed"
                     ));
                 }
-                (few, many) = (many, (many * 2).min(SHOPS_MOST));
+                (low, high) = (high, (high * 2).min(MAX_SHOPS));
             }
-            while many - few > 1 {
-                let middle = few.midpoint(many);
-                if fits(middle) { many = middle } else { few = middle }
+            while high - low > 1 {
+                let middle = low.midpoint(high);
+                if fits(middle) { high = middle } else { low = middle }
             }
-            Ok(zipf(rate, many, plans, gatekeepers, spread))
+            Ok(shops_with_zipf_demand(rate, high, plans, gatekeepers, spread))
         }
     }
 }
 
-fn zipf(rate: f64, count: usize, plans: &[Plan], gatekeepers: u32, spread: u32) -> Vec<Shop> {
-    let mut all = named(count, plans, gatekeepers, spread);
-    // The busiest have the largest plans, as they would.
+/// Generates shops with Zipf-distributed demand.
+fn shops_with_zipf_demand(
+    rate: f64,
+    count: usize,
+    plans: &[Plan],
+    gatekeepers: u32,
+    spread: u32,
+) -> Vec<Shop> {
+    let mut all = unloaded_shops(count, plans, gatekeepers, spread);
+    // The busiest shops have the largest plans, as in practice.
     all.sort_by(|a, b| plans[b.plan].rate.total_cmp(&plans[a.plan].rate));
     let weight = |k: usize| ((k + 1) as f64).powf(-ZIPF_EXPONENT);
     let sum: f64 = (0..count).map(weight).sum();
@@ -122,16 +135,18 @@
     all
 }
 
-fn named(count: usize, plans: &[Plan], gatekeepers: u32, spread: u32) -> Vec<Shop> {
+/// Generates shops without demand, their plans mixed in proportion to `Plan::part`.
+fn unloaded_shops(count: usize, plans: &[Plan], gatekeepers: u32, spread: u32) -> Vec<Shop> {
     let parts: u32 = plans.iter().map(|p| p.part).sum();
     let gatekeepers = gatekeepers.max(1);
     let shop = |k: usize| {
-        // A step that shares no factor with the parts takes the plans in their parts, well mixed.
+        // A step of 37, which has no common factor with the sum of the parts (100 for the example plans),
+        // visits all values and so mixes the plans in proportion to their parts.
         let mut left = (k as u32 % parts).wrapping_mul(37) % parts;
         let plan = plans.iter().position(|p| {
-            let here = left < p.part;
+            let is_match = left < p.part;
             left = left.saturating_sub(p.part);
-            here
+            is_match
         });
         Shop {
             id: format!("{:016x}", 0x1000 + k as u64 * 7919),
@@ -144,61 +159,61 @@
     (0..count).map(shop).collect()
 }
 
-/// The part of the demand that fits the shops' quotas.
+/// Returns the fraction of the demand that fits the shops' quotas.
 #[must_use]
 pub fn served_fraction(shops: &[Shop], plans: &[Plan]) -> f64 {
     let all: f64 = shops.iter().map(|s| s.demand).sum();
     shops.iter().map(|s| s.demand.min(plans[s.plan].rate)).sum::<f64>() / all
 }
 
-/// How a request comes.
+/// The kind of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestKind {
-    /// A formula is read.
+    /// RESP2 request that reads a formula.
     Read,
-    /// A mix is recorded.
+    /// RESP2 request that records a mix.
     Mix,
-    /// A rate limit call.
+    /// gRPC rate limit call.
     Check,
 }
 
-/// A first try.
+/// The first attempt of a request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Arrival {
-    /// When it is due, in seconds from the beginning.
+    /// Time when it is due, in seconds from the start.
     pub at: f64,
-    /// Whose, by its place among the shops.
+    /// Index of the shop.
     pub shop: usize,
-    /// How it comes.
+    /// Kind of the request.
     pub kind: RequestKind,
-    /// Which gatekeeper of the shop's set it comes to, from 0.
+    /// Position in the shop's set of the gatekeeper that receives it, from 0.
     pub turn: u32,
 }
 
-/// The first tries, one after the other, without end.
+/// An endless iterator over first attempts in order of time, with exponentially distributed intervals.
 pub struct Schedule {
     rng: StdRng,
-    pause: Exp<f64>,
-    pick: WeightedAliasIndex<f64>,
+    interval: Exp<f64>,
+    shop_choice: WeightedAliasIndex<f64>,
     spreads: Vec<u32>,
-    grpc: f64,
+    grpc_fraction: f64,
     at: f64,
 }
 
 impl Schedule {
-    /// Of these shops; `grpc` is the part that comes as rate limit calls.
+    /// Creates the schedule of these shops; `grpc_fraction` of the arrivals are rate limit calls.
     ///
     /// # Errors
-    /// When the shops ask for nothing.
-    pub fn new(shops: &[Shop], grpc: f64, seed: u64) -> Result<Schedule, String> {
+    /// Returns an error if the shops have no demand.
+    pub fn new(shops: &[Shop], grpc_fraction: f64, seed: u64) -> Result<Schedule, String> {
         let rate: f64 = shops.iter().map(|s| s.demand).sum();
         Ok(Schedule {
             rng: StdRng::seed_from_u64(seed),
-            pause: Exp::new(rate).map_err(|e| format!("rate {rate}: {e}"))?,
-            pick: WeightedAliasIndex::new(shops.iter().map(|s| s.demand).collect())
+            interval: Exp::new(rate).map_err(|e| format!("rate {rate}: {e}"))?,
+            shop_choice: WeightedAliasIndex::new(shops.iter().map(|s| s.demand).collect())
                 .map_err(|e| format!("shops: {e}"))?,
             spreads: shops.iter().map(|s| s.spread).collect(),
-            grpc,
+            grpc_fraction,
             at: 0.0,
         })
     }
@@ -208,11 +223,11 @@
     type Item = Arrival;
 
     fn next(&mut self) -> Option<Arrival> {
-        self.at += self.pause.sample(&mut self.rng);
-        let shop = self.pick.sample(&mut self.rng);
-        let kind = if self.rng.random_bool(self.grpc) {
+        self.at += self.interval.sample(&mut self.rng);
+        let shop = self.shop_choice.sample(&mut self.rng);
+        let kind = if self.rng.random_bool(self.grpc_fraction) {
             RequestKind::Check
-        } else if self.rng.random_bool(MIX_PART) {
+        } else if self.rng.random_bool(MIX_FRACTION) {
             RequestKind::Mix
         } else {
             RequestKind::Read
@@ -222,17 +237,19 @@
     }
 }
 
-/// Tries of one request at the most, with the first.
+/// Maximum number of attempts of one request, including the first.
 pub const MAX_TRIES: u32 = 3;
-/// A client's own pause before its second try, in ms; twice as long before each further one.
-const PAUSE_MS: f64 = 150.0;
+/// Base delay of a client's exponential backoff before its second attempt, in ms; it doubles before each
+/// further one.
+const BACKOFF_MS: f64 = 150.0;
 
-/// When a client that was refused comes again, in ms from the refusal: when it was told to, else after a pause of its
-/// own, between half of it and the whole by lot. None if that would be past its patience, or it has tried enough.
-pub fn retry_delay_ms(tries: u32, told_ms: Option<u64>, left_ms: f64, lot: f64) -> Option<f64> {
-    let own = PAUSE_MS * f64::from(1u32 << tries.min(16)) / 2.0;
-    let pause = told_ms.map_or(own * (0.5 + lot / 2.0), |ms| ms as f64);
-    (tries < MAX_TRIES && pause < left_ms).then_some(pause)
+/// Returns the delay in ms from a refusal to the client's next attempt: the advised delay, else the client's
+/// own backoff with jitter, between half of it and the whole. `random` is uniform in 0 to 1. Returns `None`
+/// if the delay exceeds the client's remaining time or the client has made [`MAX_TRIES`] attempts.
+pub fn retry_delay_ms(attempts: u32, advised_ms: Option<u64>, left_ms: f64, random: f64) -> Option<f64> {
+    let backoff_ms = BACKOFF_MS * f64::from(1u32 << attempts.min(16)) / 2.0;
+    let delay = advised_ms.map_or(backoff_ms * (0.5 + random / 2.0), |ms| ms as f64);
+    (attempts < MAX_TRIES && delay < left_ms).then_some(delay)
 }
 
 #[cfg(test)]
@@ -244,7 +261,7 @@
         #![proptest_config(ProptestConfig::with_cases(24))]
 
         #[test]
-        fn shops_fit_whatever_the_rate(rate in 1.0f64..20_000.0, gatekeepers in 1u32..100, spread in 1u32..5) {
+        fn shops_fit_quotas_at_any_rate(rate in 1.0f64..20_000.0, gatekeepers in 1u32..100, spread in 1u32..5) {
             let plans = example_plans();
             let all = shops(rate, LoadProfile::WithinQuota, &plans, gatekeepers, spread).expect("shops");
             let sum: f64 = all.iter().map(|s| s.demand).sum();
@@ -259,18 +276,18 @@
         }
 
         #[test]
-        fn an_overload_is_the_same_for_every_shop(rate in 50.0f64..20_000.0, times in 0.1f64..50.0) {
+        fn overload_factor_is_equal_for_every_shop(rate in 50.0f64..20_000.0, times in 0.1f64..50.0) {
             let plans = example_plans();
             let all = shops(rate, LoadProfile::Overload(times), &plans, 3, 2).expect("shops");
             let of = |s: &Shop| s.demand / plans[s.plan].rate;
             let first = of(&all[0]);
             prop_assert!(all.iter().all(|s| (of(s) / first - 1.0).abs() < 1e-9));
-            // Few shops can't have just any demand together.
+            // With few shops, rounding their number prevents an exact factor.
             prop_assert!(all.len() < 30 || (first / times - 1.0).abs() < 0.35, "{first} for {times}, {}", all.len());
         }
 
         #[test]
-        fn a_client_comes_when_it_is_told_and_never_past_its_patience(
+        fn retry_delay_is_the_advised_one_and_within_the_remaining_time(
             tries in 1u32..9, told in proptest::option::of(0u64..5000), left in 0.0f64..3000.0, lot in 0.0f64..1.0,
         ) {
             match retry_delay_ms(tries, told, left, lot) {
@@ -284,7 +301,7 @@
     }
 
     #[test]
-    fn a_seed_gives_one_schedule_at_its_rate() {
+    fn schedule_is_determined_by_its_seed_and_keeps_the_rate() {
         let all = shops(500.0, LoadProfile::WithinQuota, &example_plans(), 3, 2).expect("shops");
         let play =
             |seed| Schedule::new(&all, GRPC_FRACTION, seed).expect("sound").take(20_000).collect::<Vec<_>>();
--- a/crates/log/src/lib.rs
+++ b/crates/log/src/lib.rs
@@ -1,8 +1,9 @@
-//! Log lines on standard error: text for people or one JSON object a line, with the fields that [`tracing`] gives.
+//! Writes [`tracing`] events to standard error, as text or as one JSON object per line.
 //!
-//! What is written is rare by design: nothing a request, nothing a client can cause at will. Lines that repeat within a
-//! second are merged and counted, and a second has 200 at the most ([`rate_limit`]). A program calls [`init`] once and
-//! [`flush_summaries`] now and then, so that what was kept back is told also when nothing follows.
+//! Log lines are rare by design: none is written per request, and none can be triggered by a client at will.
+//! Repeated lines within a second are merged and counted, and at most 200 lines are written per second
+//! ([`rate_limit`]). A program calls [`init`] once and [`flush_summaries`] periodically, so that the counts
+//! of merged lines are also written when no further line follows.
 
 pub mod rate_limit;
 
@@ -22,13 +23,14 @@
 use tracing_subscriber::registry::LookupSpan;
 use tracing_subscriber::util::SubscriberInitExt;
 
-/// How lines are written.
+/// Format of log lines.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum Format {
     /// `program: message; field=value`.
     #[default]
     Text,
-    /// One object a line: `ts` (UTC), `level`, `program`, `target`, `message`, the event's fields, and `span`.
+    /// One object per line: `ts` (UTC), `level`, `program`, `target`, `message`, the event's fields, and
+    /// `spans`.
     Json,
 }
 
@@ -44,17 +46,17 @@
     }
 }
 
-static LINES: OnceLock<Lines> = OnceLock::new();
+static LAYER: OnceLock<LogLayer> = OnceLock::new();
 
-/// Whether levels can be read; see [`init`].
+/// Checks that a level specification is valid; see [`init`].
 ///
 /// # Errors
-/// With what may stand there.
+/// Returns the invalid specification and the accepted forms.
 pub fn check(levels: &str) -> Result<(), String> {
-    targets(levels).map(drop)
+    parse_targets(levels).map(drop)
 }
 
-fn targets(levels: &str) -> Result<Targets, String> {
+fn parse_targets(levels: &str) -> Result<Targets, String> {
     levels.parse().map_err(|e| {
         format!(
             "{levels:?}: {e}; error, warn, info, debug or trace, also by target: info,frostvale_agent=debug"
@@ -62,55 +64,57 @@
     })
 }
 
-/// Begins to write. `who` is a field of every JSON line, and its value. `levels` is a level, or levels by target: `info`, `info,frostvale_agent::rls=debug`.
+/// Installs the global subscriber. `who` is the name and value of a field of every JSON line, left out if the
+/// value is empty. `levels` is a level, or levels by target: `info`, `info,frostvale_agent::rls=debug`.
 ///
 /// # Errors
-/// When the levels can't be read, or it was begun already.
+/// Returns an error if `levels` is invalid or a global subscriber is already installed.
 pub fn init(
     program: &'static str,
     who: (&'static str, &str),
     format: Format,
     levels: &str,
 ) -> Result<(), String> {
-    let targets = targets(levels).map_err(|e| format!("log level {e}"))?;
+    let targets = parse_targets(levels).map_err(|e| format!("log level {e}"))?;
     let who = (who.0, who.1.to_string());
-    let lines = LINES.get_or_init(|| Lines { program, who, format, limit: Mutex::default() });
-    let layer = lines.with_filter(targets);
+    let log = LAYER.get_or_init(|| LogLayer { program, who, format, limit: Mutex::default() });
+    let layer = log.with_filter(targets);
     tracing_subscriber::registry().with(layer).try_init().map_err(|e| e.to_string())
 }
 
-/// Tells what was kept back, once its second is over.
+/// Writes the summaries of the current window if its second is over.
 pub fn flush_summaries() {
-    if let Some(lines) = LINES.get() {
-        lines.say_again(|limit, now| limit.close_expired_window(now));
+    if let Some(log) = LAYER.get() {
+        log.write_summaries_of(|limit, now| limit.close_expired_window(now));
     }
 }
 
-/// Tells what was kept back, at the end.
+/// Writes the summaries of the current window before the program ends.
 pub fn finish() {
-    if let Some(lines) = LINES.get() {
-        lines.say_again(|limit, now| limit.close_window(now));
+    if let Some(log) = LAYER.get() {
+        log.write_summaries_of(|limit, now| limit.close_window(now));
     }
 }
 
-struct Lines {
+/// The layer that formats and writes events.
+struct LogLayer {
     program: &'static str,
     who: (&'static str, String),
     format: Format,
     limit: Mutex<RateLimiter>,
 }
 
-/// The fields of a span, kept with it.
-struct Fields(Map<String, Value>);
+/// The fields of a span, stored in its extensions.
+struct SpanFields(Map<String, Value>);
 
 #[derive(Default)]
-struct Read {
+struct FieldVisitor {
     message: String,
     fields: Map<String, Value>,
 }
 
-impl Read {
-    fn put(&mut self, field: &Field, value: Value) {
+impl FieldVisitor {
+    fn insert(&mut self, field: &Field, value: Value) {
         match (field.name(), value) {
             ("message", Value::String(text)) => self.message = text,
             (name, value) => drop(self.fields.insert(name.to_string(), value)),
@@ -118,103 +122,111 @@
     }
 }
 
-impl Visit for Read {
+impl Visit for FieldVisitor {
     fn record_debug(&mut self, field: &Field, value: &dyn Debug) {
-        self.put(field, Value::String(format!("{value:?}")));
+        self.insert(field, Value::String(format!("{value:?}")));
     }
 
     fn record_str(&mut self, field: &Field, value: &str) {
-        self.put(field, Value::String(value.to_string()));
+        self.insert(field, Value::String(value.to_string()));
     }
 
     fn record_i64(&mut self, field: &Field, value: i64) {
-        self.put(field, value.into());
+        self.insert(field, value.into());
     }
 
     fn record_u64(&mut self, field: &Field, value: u64) {
-        self.put(field, value.into());
+        self.insert(field, value.into());
     }
 
     fn record_f64(&mut self, field: &Field, value: f64) {
-        self.put(field, value.into());
+        self.insert(field, value.into());
     }
 
     fn record_bool(&mut self, field: &Field, value: bool) {
-        self.put(field, value.into());
+        self.insert(field, value.into());
     }
 }
 
-impl<S> Layer<S> for &'static Lines
+impl<S> Layer<S> for &'static LogLayer
 where
     S: Subscriber + for<'a> LookupSpan<'a>,
 {
     fn on_new_span(&self, attrs: &Attributes<'_>, id: &Id, ctx: Context<'_, S>) {
-        let mut read = Read::default();
-        attrs.record(&mut read);
+        let mut visitor = FieldVisitor::default();
+        attrs.record(&mut visitor);
         if let Some(span) = ctx.span(id) {
-            span.extensions_mut().insert(Fields(read.fields));
+            span.extensions_mut().insert(SpanFields(visitor.fields));
         }
     }
 
     fn on_record(&self, id: &Id, values: &Record<'_>, ctx: Context<'_, S>) {
-        let mut read = Read::default();
-        values.record(&mut read);
+        let mut visitor = FieldVisitor::default();
+        values.record(&mut visitor);
         if let Some(span) = ctx.span(id)
-            && let Some(Fields(kept)) = span.extensions_mut().get_mut::<Fields>()
+            && let Some(SpanFields(fields)) = span.extensions_mut().get_mut::<SpanFields>()
         {
-            kept.extend(read.fields);
+            fields.extend(visitor.fields);
         }
     }
 
     fn on_event(&self, event: &Event<'_>, ctx: Context<'_, S>) {
-        let mut read = Read::default();
-        event.record(&mut read);
+        let mut visitor = FieldVisitor::default();
+        event.record(&mut visitor);
         let mut spans = Vec::new();
         for span in ctx.event_scope(event).into_iter().flat_map(|scope| scope.from_root()) {
-            let mut it = span.extensions().get::<Fields>().map(|f| f.0.clone()).unwrap_or_default();
-            it.insert("name".into(), span.name().into());
-            spans.push(Value::Object(it));
+            let mut fields = span.extensions().get::<SpanFields>().map(|f| f.0.clone()).unwrap_or_default();
+            fields.insert("name".into(), span.name().into());
+            spans.push(Value::Object(fields));
         }
         let meta = event.metadata();
-        self.take(*meta.level(), meta.target(), &read.message, read.fields, spans);
+        self.write_event(*meta.level(), meta.target(), &visitor.message, visitor.fields, spans);
     }
 }
 
-impl Lines {
-    fn take(&self, level: Level, target: &str, message: &str, fields: Map<String, Value>, spans: Vec<Value>) {
+impl LogLayer {
+    fn write_event(
+        &self,
+        level: Level,
+        target: &str,
+        message: &str,
+        fields: Map<String, Value>,
+        spans: Vec<Value>,
+    ) {
         let mut text = message.to_string();
         for (name, value) in &fields {
-            let word = value.as_str().map_or_else(|| value.to_string(), |s| printable(s, ' '));
-            let _ = write!(text, "; {name}={word}");
+            let value_text = value.as_str().map_or_else(|| value.to_string(), |s| printable(s, ' '));
+            let _ = write!(text, "; {name}={value_text}");
         }
         let mut hasher = DefaultHasher::new();
         (level.as_str(), target, &text).hash(&mut hasher);
         let key = hasher.finish();
         let now = unix_ms();
         let mut limit = self.limit.lock().unwrap_or_else(PoisonError::into_inner);
-        let told = limit.close_expired_window(now);
-        self.tell(told, now);
+        let summaries = limit.close_expired_window(now);
+        self.write_summaries(summaries, now);
         if limit.admit(key, || text.clone()) == LineDecision::Merge {
             return;
         }
         drop(limit);
         match self.format {
-            Format::Text => self.write(&format!("{}: {}", self.program, printable(&text, ' '))),
+            Format::Text => self.write_line(&format!("{}: {}", self.program, printable(&text, ' '))),
             Format::Json => {
-                let mut line = self.head(now, level.as_str(), target, message);
+                let mut line = self.common_fields(now, level.as_str(), target, message);
                 for (name, value) in fields {
-                    // What the line itself says goes first.
+                    // Fields of the line take precedence over fields of the event with the same name.
                     line.entry(name).or_insert(value);
                 }
                 if !spans.is_empty() {
                     line.insert("spans".into(), Value::Array(spans));
                 }
-                self.write(&Value::Object(line).to_string());
+                self.write_line(&Value::Object(line).to_string());
             }
         }
     }
 
-    fn head(&self, now: u64, level: &str, target: &str, message: &str) -> Map<String, Value> {
+    /// Fields that each JSON line has.
+    fn common_fields(&self, now: u64, level: &str, target: &str, message: &str) -> Map<String, Value> {
         let mut line = Map::new();
         for (name, value) in [
             ("ts", timestamp(now)),
@@ -231,14 +243,14 @@
         line
     }
 
-    fn say_again(&self, end: impl FnOnce(&mut RateLimiter, u64) -> Vec<Summary>) {
+    fn write_summaries_of(&self, close: impl FnOnce(&mut RateLimiter, u64) -> Vec<Summary>) {
         let now = unix_ms();
-        let told = end(&mut self.limit.lock().unwrap_or_else(PoisonError::into_inner), now);
-        self.tell(told, now);
+        let summaries = close(&mut self.limit.lock().unwrap_or_else(PoisonError::into_inner), now);
+        self.write_summaries(summaries, now);
     }
 
-    fn tell(&self, told: Vec<Summary>, now: u64) {
-        for Summary { line, count } in told {
+    fn write_summaries(&self, summaries: Vec<Summary>, now: u64) {
+        for Summary { line, count } in summaries {
             let message = match &line {
                 Some(line) => format!("{count} more of: {line}"),
                 None => {
@@ -249,26 +261,27 @@
                 }
             };
             match self.format {
-                Format::Text => self.write(&format!("{}: {}", self.program, printable(&message, ' '))),
+                Format::Text => self.write_line(&format!("{}: {}", self.program, printable(&message, ' '))),
                 Format::Json => {
-                    let mut line = self.head(now, "INFO", "frostvale_log", &message);
+                    let mut line = self.common_fields(now, "INFO", "frostvale_log", &message);
                     line.insert("repeated".into(), json!(count));
-                    self.write(&Value::Object(line).to_string());
+                    self.write_line(&Value::Object(line).to_string());
                 }
             }
         }
     }
 
-    fn write(&self, line: &str) {
+    fn write_line(&self, line: &str) {
         let mut out = std::io::stderr().lock();
-        // Nobody is left to be told of a log that can't be written.
+        // A failure to write to standard error cannot be reported anywhere else.
         let _ = out.write_all(format!("{line}\n").as_bytes());
     }
 }
 
-/// One line of text stays one line, whatever a peer put into it.
-fn printable(text: &str, instead: char) -> String {
-    text.chars().map(|c| if c.is_control() { instead } else { c }).collect()
+/// Replaces control characters, so that text from a peer can neither split a line nor contain terminal
+/// escapes.
+fn printable(text: &str, replacement: char) -> String {
+    text.chars().map(|c| if c.is_control() { replacement } else { c }).collect()
 }
 
 fn unix_ms() -> u64 {
@@ -276,7 +289,7 @@
     u64::try_from(unix.as_millis()).unwrap_or(0)
 }
 
-/// RFC 3339 in UTC, with milliseconds.
+/// Formats a time as RFC 3339 in UTC, with milliseconds.
 fn timestamp(unix_ms: u64) -> String {
     humantime::format_rfc3339_millis(UNIX_EPOCH + Duration::from_millis(unix_ms)).to_string()
 }
@@ -286,7 +299,7 @@
     use super::*;
 
     #[test]
-    fn a_line_stays_one_line() {
+    fn printable_replaces_control_characters() {
         assert_eq!(printable("a\nb\u{1b}[2J", ' '), "a b [2J");
     }
 }
--- a/crates/outside/src/lib.rs
+++ b/crates/outside/src/lib.rs
@@ -1,19 +1,19 @@
 //! Policy for consulting an outside rate limit service before a request is forwarded.
 //!
 //! A service that hangs delays every request of its plans by the whole deadline and fills memory with waiting
-//! requests; when it recovers, all of them reach it at once. Therefore each request waits for at most a configured
-//! fraction of its latency target, the number of calls in flight is limited, and a circuit breaker stops calls to a
-//! failing service until single trial calls have succeeded.
+//! requests; when it recovers, all of them reach it at once. Therefore each request waits for at most a
+//! configured fraction of its latency target, the number of calls in flight is limited, and a circuit breaker
+//! stops calls to a failing service until single trial calls have succeeded.
 //!
-//! The policy performs no I/O and reads no clock. The caller passes the time in milliseconds with each event and
-//! carries out the returned decision. Random numbers come only from the policy's own seeded generator.
+//! The policy performs no I/O and reads no clock. The caller passes the time in milliseconds with each event
+//! and carries out the returned decision. Random numbers come only from the policy's own seeded generator.
 //!
 //! States of the circuit breaker:
 //!
-//! - *Closed*: every request calls the service. The breaker opens when at least [`MIN_BREAKER_CALLS`] of the last
-//!   [`BREAKER_WINDOW_CALLS`] calls are recorded and at least half of them failed.
-//! - *Open*: no request calls the service. The pause doubles with each failed trial up to a limit, and has jitter so
-//!   that gatekeepers do not retry in step.
+//! - *Closed*: every request calls the service. The breaker opens when at least [`MIN_BREAKER_CALLS`] of the
+//!   last [`BREAKER_WINDOW_CALLS`] calls are recorded and at least half of them failed.
+//! - *Open*: no request calls the service. The pause doubles with each failed trial up to a limit, and has
+//!   jitter so that gatekeepers do not retry in step.
 //! - *Half-open*: one request at a time calls the service; the others are decided by the failure mode. After
 //!   [`CLOSING_SUCCESSES`] successes in a row the breaker closes; after a failure it opens again.
 
@@ -192,8 +192,8 @@
     ahead: Option<f64>,
 }
 
-/// Decides when to call the service and how to decide requests without an answer. The window, the calls in flight
-/// and the cache are bounded.
+/// Decides when to call the service and how to decide requests without an answer. The window, the calls in
+/// flight and the cache are bounded.
 pub struct OutsidePolicy {
     settings: Settings,
     rng: Pcg64Mcg,
@@ -276,8 +276,8 @@
         self.settings.plans.get(plan).is_some_and(Option::is_some)
     }
 
-    /// Decides a new request. `aim` is the latency target of its class and `left` the time that its client still
-    /// waits, both in ms. `linked` is false if there is no agent through which to call the service.
+    /// Decides a new request. `aim` is the latency target of its class and `left` the time that its client
+    /// still waits, both in ms. `linked` is false if there is no agent through which to call the service.
     #[allow(clippy::too_many_arguments)]
     pub fn ask(
         &mut self,
@@ -326,8 +326,8 @@
         OutsideDecision::Ask { call: self.last_call, within }
     }
 
-    /// Records the outcome of a call. Returns the request and the decision on it, or `None` if the call has already
-    /// ended.
+    /// Records the outcome of a call. Returns the request and the decision on it, or `None` if the call has
+    /// already ended.
     pub fn record_verdict(
         &mut self,
         now: f64,
@@ -357,8 +357,8 @@
         self.record_verdict(now, call, Verdict::Failed)
     }
 
-    /// Ends all calls in flight because the connection to the agent is lost; the failure mode decides their requests.
-    /// They do not count as failures, since the service itself may be healthy.
+    /// Ends all calls in flight because the connection to the agent is lost; the failure mode decides their
+    /// requests. They do not count as failures, since the service itself may be healthy.
     pub fn link_lost(&mut self) -> Vec<(u64, OutsideDecision)> {
         let calls = std::mem::take(&mut self.calls);
         self.has_trial = false;
@@ -422,8 +422,8 @@
             return;
         }
         self.evict_expired(now);
-        // A new verdict on a shop overwrites its entry. The old expiry time remains in the queue; when it is due, the
-        // entry is not expired yet and stays.
+        // A new verdict on a shop overwrites its entry. The old expiry time remains in the queue; when it is
+        // due, the entry is not expired yet and stays.
         if self.expiries.len() >= self.settings.keep_most {
             return;
         }
@@ -432,8 +432,8 @@
         self.cache.insert(shop, CachedVerdict { until, ahead });
     }
 
-    /// Evicts expired cache entries. The expiry times are not strictly ordered, but each is at most `keep_ms` after
-    /// its insertion.
+    /// Evicts expired cache entries. The expiry times are not strictly ordered, but each is at most `keep_ms`
+    /// after its insertion.
     fn evict_expired(&mut self, now: f64) {
         while self.expiries.front().is_some_and(|(until, _)| *until <= now) {
             let Some((_, shop)) = self.expiries.pop_front() else { return };
--- a/crates/outside/tests/breaker.rs
+++ b/crates/outside/tests/breaker.rs
@@ -234,8 +234,8 @@
 }
 
 proptest! {
-    /// For any behavior of the service, each request gets exactly one final decision within its deadline, and the
-    /// number of calls in flight stays within its limit.
+    /// For any behavior of the service, each request gets exactly one final decision within its deadline, and
+    /// the number of calls in flight stays within its limit.
     #[test]
     fn every_request_is_decided_once_and_in_time(
         events in prop::collection::vec((0u8..6, 0u64..30, 0u32..200), 1..400),
--- a/crates/proto/src/lib.rs
+++ b/crates/proto/src/lib.rs
@@ -1,55 +1,56 @@
-//! Messages of frostvale, generated from `proto/` (see `examples/generate.rs`; a test holds both to agree):
+//! Protocol Buffers messages of frostvale, generated from `proto/` by `examples/generate.rs`. A test verifies
+//! that the generated code is up to date.
 //!
-//! - [`link`]: the socket between a gatekeeper and its host's agent;
-//! - `agent` (with the feature `rls`): what operators ask of an agent;
+//! - [`link`]: messages on the socket between a gatekeeper and its host's agent;
+//! - `agent` (with the feature `rls`): the operators' interface of an agent;
 //! - `envoy` (with the feature `rls`): Envoy's rate limit service, as its public API defines it
-//!   (`envoy/service/ratelimit/v3/rls.proto`), trimmed to what is used.
+//!   (`envoy/service/ratelimit/v3/rls.proto`), reduced to the parts in use.
 
-/// The socket between a gatekeeper and its host's agent.
+/// Messages on the socket between a gatekeeper and its host's agent.
 #[allow(missing_docs, clippy::all, clippy::pedantic)]
 pub mod link {
     include!("gen/frostvale.link.v1.rs");
 }
 
-/// What operators ask of an agent.
+/// The operators' interface of an agent.
 #[cfg(feature = "rls")]
 #[allow(missing_docs, clippy::all, clippy::pedantic)]
 pub mod agent {
     include!("gen/frostvale.agent.v1.rs");
 }
 
-/// Envoy's public API, as far as the rate limit service uses it.
+/// The parts of Envoy's public API that the rate limit service uses.
 #[cfg(feature = "rls")]
 #[allow(missing_docs, clippy::all, clippy::pedantic)]
 pub mod envoy {
-    /// Of `envoy.config.core`.
+    /// Package `envoy.config`.
     pub mod config {
-        /// Of `envoy.config.core`.
+        /// Package `envoy.config.core`.
         pub mod core {
-            /// `envoy.config.core.v3`.
+            /// Package `envoy.config.core.v3`.
             pub mod v3 {
                 include!("gen/envoy.config.core.v3.rs");
             }
         }
     }
-    /// Of `envoy.extensions`.
+    /// Package `envoy.extensions`.
     pub mod extensions {
-        /// Of `envoy.extensions.common`.
+        /// Package `envoy.extensions.common`.
         pub mod common {
-            /// Of `envoy.extensions.common.ratelimit`.
+            /// Package `envoy.extensions.common.ratelimit`.
             pub mod ratelimit {
-                /// `envoy.extensions.common.ratelimit.v3`.
+                /// Package `envoy.extensions.common.ratelimit.v3`.
                 pub mod v3 {
                     include!("gen/envoy.extensions.common.ratelimit.v3.rs");
                 }
             }
         }
     }
-    /// Of `envoy.service`.
+    /// Package `envoy.service`.
     pub mod service {
-        /// Of `envoy.service.ratelimit`.
+        /// Package `envoy.service.ratelimit`.
         pub mod ratelimit {
-            /// `envoy.service.ratelimit.v3`.
+            /// Package `envoy.service.ratelimit.v3`.
             pub mod v3 {
                 include!("gen/envoy.service.ratelimit.v3.rs");
             }
@@ -57,6 +58,6 @@
     }
 }
 
-/// The descriptors of the rate limit service, for gRPC reflection.
+/// Serialized file descriptors of the rate limit service, for gRPC reflection.
 #[cfg(feature = "rls")]
 pub const RLS_DESCRIPTORS: &[u8] = include_bytes!("gen/rls.bin");
