--- a/crates/checks/src/answer.rs
+++ b/crates/checks/src/answer.rs
@@ -51,13 +51,13 @@
     if rate_milli == 0 {
         return None;
     }
-    let (per, unit) = if rate_milli.is_multiple_of(1000) {
+    let (requests, unit) = if rate_milli.is_multiple_of(1000) {
         (rate_milli / 1000, Unit::Second)
     } else {
         ((rate_milli * 60).div_ceil(1000), Unit::Minute)
     };
     Some(RateLimit {
-        requests_per_unit: u32::try_from(per).unwrap_or(u32::MAX),
+        requests_per_unit: u32::try_from(requests).unwrap_or(u32::MAX),
         unit: unit.into(),
         name: name.to_string(),
     })
--- a/crates/checks/src/read.rs
+++ b/crates/checks/src/read.rs
@@ -131,9 +131,9 @@
             return Err(format!("entries[{k}].key: {:?} stands twice", entry.key));
         }
     }
-    let Some((at_plan, plan)) = plan else { return Ok(None) };
+    let Some((plan_index, plan)) = plan else { return Ok(None) };
     if plan.is_empty() {
-        return Err(format!("entries[{at_plan}].value: empty; a plan's name"));
+        return Err(format!("entries[{plan_index}].value: empty; a plan's name"));
     }
     if !tier.plans.contains_key(plan) && !tier.plans.is_empty() {
         return Ok(None);
@@ -155,10 +155,10 @@
         },
     };
     let max_gatekeepers = if tier.gatekeepers > 0 { tier.gatekeepers } else { u32::MAX };
-    let number = |(at, text): (usize, &str), low: u32, high: u32| {
+    let number = |(index, text): (usize, &str), low: u32, high: u32| {
         let value =
             text.parse::<u32>().ok().filter(|n| text.as_bytes()[0] != b'+' && (low..=high).contains(n));
-        value.ok_or_else(|| format!("entries[{at}].value: no number from {low} to {high}"))
+        value.ok_or_else(|| format!("entries[{index}].value: no number from {low} to {high}"))
     };
     let set = match (first, spread) {
         (None, None) => None,
@@ -166,8 +166,8 @@
             Some((number(first, 0, max_gatekeepers - 1)?, number(spread, 1, max_gatekeepers)?))
         }
         (Some((at, _)), None) | (None, Some((at, _))) => {
-            let (one, other) = (&names.first, &names.spread);
-            return Err(format!("entries[{at}].key: {one:?} and {other:?} go together"));
+            let (first_key, spread_key) = (&names.first, &names.spread);
+            return Err(format!("entries[{at}].key: {first_key:?} and {spread_key:?} go together"));
         }
     };
     let hits = descriptor.hits_addend.unwrap_or(u64::from(call_addend)).max(1);
--- a/crates/checks/tests/read.rs
+++ b/crates/checks/tests/read.rs
@@ -52,7 +52,7 @@
         ("first", "2"),
         ("spread", "2"),
     ]);
-    let check = checks.expect("sound")[0].clone().expect("matched");
+    let check = checks.expect("valid call")[0].clone().expect("the descriptor matches a plan");
     assert_eq!(
         (check.shop.as_str(), check.class, check.units_milli, check.set),
         (SHOP, 1, 1000, Some((2, 2)))
@@ -60,7 +60,7 @@
     let mut own = call(vec![descriptor(&[("shop", SHOP), ("plan", "basico")]); 2]);
     own.hits_addend = 3;
     own.descriptors[1].hits_addend = Some(2);
-    let checks = parse_request(&own, &EntryKeys::default(), &tier()).expect("sound");
+    let checks = parse_request(&own, &EntryKeys::default(), &tier()).expect("valid call");
     let units: Vec<u64> = checks.into_iter().flatten().map(|check| check.units_milli).collect();
     assert_eq!(units, [3000, 2000], "a descriptor's own addend overrides the call's");
 }
@@ -72,15 +72,15 @@
     {
         assert_eq!(parse_one(entries), Ok(vec![None]), "{entries:?}");
     }
-    let mut elsewhere = call(vec![descriptor(&[("shop", SHOP), ("plan", "basico")])]);
-    elsewhere.domain = "another".into();
-    assert_eq!(parse_request(&elsewhere, &EntryKeys::default(), &tier()), Ok(vec![None]));
+    let mut other_domain = call(vec![descriptor(&[("shop", SHOP), ("plan", "basico")])]);
+    other_domain.domain = "another".into();
+    assert_eq!(parse_request(&other_domain, &EntryKeys::default(), &tier()), Ok(vec![None]));
 }
 
 #[test]
 fn parse_request_names_the_invalid_field_and_its_accepted_values() {
     let long = "x".repeat(257);
-    let bad: &[(&[(&str, &str)], &str)] = &[
+    let cases: &[(&[(&str, &str)], &str)] = &[
         (&[], "descriptors[0].entries: 0 of them; 1 to 32"),
         (&[("", "x")], "descriptors[0].entries[0].key: 0 bytes; 1 to 256"),
         (&[("other", &long)], "descriptors[0].entries[0].value: 257 bytes; at most 256"),
@@ -96,23 +96,24 @@
         (&[("plan", "basico"), ("shop", SHOP), ("first", "+1"), ("spread", "1")], "no number from 0 to 2"),
         (&[("plan", "basico"), ("shop", SHOP), ("first", ""), ("spread", "1")], "no number from 0 to 2"),
     ];
-    for (entries, word) in bad {
-        let error = parse_one(entries).expect_err("bad");
-        assert!(error.contains(word), "{entries:?}: {error}");
+    for (entries, expected) in cases {
+        let error = parse_one(entries).expect_err("the call is invalid");
+        assert!(error.contains(expected), "{entries:?}: {error}");
     }
-    let refused =
-        |call: RateLimitRequest| parse_request(&call, &EntryKeys::default(), &tier()).expect_err("bad").0;
-    let sound = descriptor(&[("shop", SHOP), ("plan", "basico")]);
+    let error = |call: RateLimitRequest| {
+        parse_request(&call, &EntryKeys::default(), &tier()).expect_err("the call is invalid").0
+    };
+    let valid = descriptor(&[("shop", SHOP), ("plan", "basico")]);
     assert!(
-        refused(RateLimitRequest { domain: String::new(), ..call(vec![sound.clone()]) }).contains("domain")
+        error(RateLimitRequest { domain: String::new(), ..call(vec![valid.clone()]) }).contains("domain")
     );
-    assert!(refused(call(vec![])).contains("descriptors: 0 of them; 1 to 16"));
-    assert!(refused(call(vec![sound.clone(); MAX_DESCRIPTORS + 1])).contains("descriptors: 17"));
+    assert!(error(call(vec![])).contains("descriptors: 0 of them; 1 to 16"));
+    assert!(error(call(vec![valid.clone(); MAX_DESCRIPTORS + 1])).contains("descriptors: 17"));
     let many = vec![("other", "x"); MAX_ENTRIES + 1];
-    assert!(refused(call(vec![descriptor(&many)])).contains("entries: 33"));
-    let mut much = call(vec![sound]);
-    much.hits_addend = 5;
-    assert!(refused(much).contains("descriptors[0].hits_addend: 5; 0 to 4"));
+    assert!(error(call(vec![descriptor(&many)])).contains("entries: 33"));
+    let mut too_many_hits = call(vec![valid]);
+    too_many_hits.hits_addend = 5;
+    assert!(error(too_many_hits).contains("descriptors[0].hits_addend: 5; 0 to 4"));
 }
 
 #[test]
--- a/crates/ctl/src/load.rs
+++ b/crates/ctl/src/load.rs
@@ -132,7 +132,8 @@
         let tally: SharedStats = Arc::new(Mutex::new(LoadStats::new(plans.len())));
         let names = plans.iter().map(|p| p.name.clone()).collect();
         let most = Duration::from_secs(show.duration.map_or(u64::from(u32::MAX), u64::from));
-        let played = LoadRun { shops, plans, gatekeepers, rls, grpc: shape.grpc_part, seed: shape.seed };
+        let played =
+            LoadRun { shops, plans, gatekeepers, rls, grpc_fraction: shape.grpc_part, seed: shape.seed };
         Ok(RunningLoad {
             task: tokio::spawn(run_load(played, most, tally.clone())),
             tally,
--- a/crates/growth/src/day.rs
+++ b/crates/growth/src/day.rs
@@ -38,9 +38,9 @@
     /// How long the clients send requests, in seconds.
     pub seconds: u32,
     /// Request rate per gatekeeper, in requests per second.
-    pub rate_each: f64,
+    pub rate_per_gatekeeper: f64,
     /// Fraction of the servers that the release replaces each second, 0 to 0.3.
-    pub release_part: f64,
+    pub release_fraction: f64,
     /// Seed of the load and the release.
     pub seed: u64,
 }
@@ -49,7 +49,7 @@
 ///
 /// # Errors
 /// Returns an error if the cluster does not start, the load cannot run, or a gatekeeper has ended.
-pub async fn play_day(size: FleetSize, plan: DayPlan) -> Result<Day, String> {
+pub async fn run_day(size: FleetSize, plan: DayPlan) -> Result<Day, String> {
     let cores = (CORES_PER_GATEKEEPER * size.gatekeepers / size.servers).max(1);
     let formula = ServerOptions { cores, ids: false, ..ServerOptions::default() };
     let (gatekeepers, servers) = (size.gatekeepers, size.servers);
@@ -91,11 +91,16 @@
 async fn run_day_load(cluster: &LocalCluster, plan: DayPlan) -> Result<SharedStats, String> {
     let plans = example_plans();
     let count = u32::try_from(cluster.gatekeepers.len()).unwrap_or(u32::MAX);
-    let shops =
-        shops(plan.rate_each * f64::from(count), LoadProfile::WithinQuota, &plans, count, SPREAD.min(count))?;
+    let shops = shops(
+        plan.rate_per_gatekeeper * f64::from(count),
+        LoadProfile::WithinQuota,
+        &plans,
+        count,
+        SPREAD.min(count),
+    )?;
     let stats: SharedStats = Arc::new(Mutex::new(LoadStats::new(plans.len())));
     let gatekeepers = cluster.gatekeepers.iter().map(|g| g.resp).collect();
-    let load = LoadRun { shops, plans, gatekeepers, rls: None, grpc: 0.0, seed: plan.seed };
+    let load = LoadRun { shops, plans, gatekeepers, rls: None, grpc_fraction: 0.0, seed: plan.seed };
     run_load(load, Duration::from_secs(plan.seconds.into()), stats.clone()).await?;
     Ok(stats)
 }
@@ -105,7 +110,7 @@
     let mut rng = StdRng::seed_from_u64(plan.seed);
     let mut order: Vec<(String, Target)> = discovery.targets();
     order.shuffle(&mut rng);
-    let step = ((order.len() as f64 * plan.release_part).round() as usize).min(order.len());
+    let step = ((order.len() as f64 * plan.release_fraction).round() as usize).min(order.len());
     let mut draining: Vec<usize> = Vec::new();
     let mut next = 0;
     loop {
--- a/crates/growth/src/main.rs
+++ b/crates/growth/src/main.rs
@@ -2,7 +2,7 @@
 //! operators' bounds.
 
 use clap::Parser;
-use frostvale_growth::day::{DayPlan, play_day};
+use frostvale_growth::day::{DayPlan, run_day};
 use frostvale_growth::report;
 use frostvale_growth::table::{Day, FleetSize, exceeded_rows};
 use std::path::PathBuf;
@@ -63,8 +63,8 @@
 async fn run(args: Args) -> Result<bool, String> {
     let plan = DayPlan {
         seconds: args.seconds,
-        rate_each: f64::from(args.rate),
-        release_part: f64::from(args.release) / 100.0,
+        rate_per_gatekeeper: f64::from(args.rate),
+        release_fraction: f64::from(args.release) / 100.0,
         seed: args.seed,
     };
     println!(
@@ -73,7 +73,7 @@
     );
     let mut days: Vec<Day> = Vec::new();
     for size in args.sizes {
-        days.push(play_day(size, plan).await?);
+        days.push(run_day(size, plan).await?);
     }
     print!("{}", report::text(&days));
     if let Some(file) = args.html {
--- a/crates/growth/src/report.rs
+++ b/crates/growth/src/report.rs
@@ -44,5 +44,5 @@
         plots += &plot(row.name(), ("servers", row.name()), &lines)?;
     }
     let json = serde_json::to_string(days).map_err(|e| e.to_string())?;
-    Ok(page("Growth of what a gatekeeper needs", &text(days), &plots, &json))
+    Ok(page("Growth of a gatekeeper's resource use", &text(days), &plots, &json))
 }
--- a/crates/load/src/engine.rs
+++ b/crates/load/src/engine.rs
@@ -34,7 +34,7 @@
     /// Address of the rate limit service; without it all requests are sent as RESP2.
     pub rls: Option<SocketAddr>,
     /// Fraction of requests that are sent as rate limit calls.
-    pub grpc: f64,
+    pub grpc_fraction: f64,
     /// Seed of the schedule and of the clients' retry delays.
     pub seed: u64,
 }
@@ -66,22 +66,23 @@
 /// Returns an error if no gatekeeper is given, the shops have no demand, or an address cannot be used.
 pub async fn run_load(run: LoadRun, duration: Duration, stats: SharedStats) -> Result<(), String> {
     if run.gatekeepers.is_empty() {
-        return Err("no gatekeeper is named".into());
+        return Err("cannot start load: no gatekeeper is given".into());
     }
-    let grpc = if run.rls.is_some() { run.grpc } else { 0.0 };
-    let schedule = Schedule::new(&run.shops, grpc, run.seed)?;
+    let grpc_fraction = if run.rls.is_some() { run.grpc_fraction } else { 0.0 };
+    let schedule = Schedule::new(&run.shops, grpc_fraction, run.seed)?;
     let customer = |s: &Shop| Customer {
         id: s.id.clone(),
         plan: run.plans[s.plan].name.clone(),
         first: s.first,
         spread: s.spread,
     };
-    let clients = run.rls.map(|at| (0..CHANNELS).map(|_| rls_client(at)).collect::<Result<Vec<_>, _>>());
+    let clients =
+        run.rls.map(|address| (0..CHANNELS).map(|_| rls_client(address)).collect::<Result<Vec<_>, _>>());
     let client = Arc::new(LoadClient {
         plans: run.plans.iter().map(|p| p.name.clone()).collect(),
         shops: run.shops.iter().map(customer).collect(),
         shop_plans: run.shops.iter().map(|s| s.plan).collect(),
-        pools: run.gatekeepers.iter().map(|at| ClientPool::new(*at)).collect(),
+        pools: run.gatekeepers.iter().map(|address| ClientPool::new(*address)).collect(),
         rls: clients.transpose()?.unwrap_or_default(),
         in_flight: AtomicUsize::new(0),
         stats,
@@ -144,10 +145,10 @@
                 return AnswerKind::Silent;
             }
             // A load balancer in front distributes a shop's attempts over its set.
-            let at = (u64::from(shop.first) + u64::from(arrival.turn) + u64::from(attempts) - 1)
+            let gatekeeper = (u64::from(shop.first) + u64::from(arrival.turn) + u64::from(attempts) - 1)
                 % u64::from(shop.spread)
                 + u64::from(shop.first);
-            let pool = &self.pools[at as usize % self.pools.len()];
+            let pool = &self.pools[gatekeeper as usize % self.pools.len()];
             let answer = pool.send_attempt(shop, class, key.as_deref(), 1, left, attempts > 1).await;
             let retry_after_ms = match answer {
                 Ok(Answer::Served(_)) => return AnswerKind::Served,
@@ -157,7 +158,7 @@
             };
             let left = client_timeout.saturating_sub(due.elapsed()).as_secs_f64() * 1000.0;
             match retry_delay_ms(attempts, retry_after_ms, left, rng.random()) {
-                Some(pause) => sleep(Duration::from_secs_f64(pause / 1000.0)).await,
+                Some(delay_ms) => sleep(Duration::from_secs_f64(delay_ms / 1000.0)).await,
                 None if retry_after_ms.is_some() => return AnswerKind::Quota,
                 None => return AnswerKind::Busy,
             }
--- a/crates/load/src/schedule.rs
+++ b/crates/load/src/schedule.rs
@@ -238,18 +238,18 @@
 }
 
 /// Maximum number of attempts of one request, including the first.
-pub const MAX_TRIES: u32 = 3;
+pub const MAX_ATTEMPTS: u32 = 3;
 /// Base delay of a client's exponential backoff before its second attempt, in ms; it doubles before each
 /// further one.
 const BACKOFF_MS: f64 = 150.0;
 
 /// Returns the delay in ms from a refusal to the client's next attempt: the advised delay, else the client's
 /// own backoff with jitter, between half of it and the whole. `random` is uniform in 0 to 1. Returns `None`
-/// if the delay exceeds the client's remaining time or the client has made [`MAX_TRIES`] attempts.
+/// if the delay exceeds the client's remaining time or the client has made [`MAX_ATTEMPTS`] attempts.
 pub fn retry_delay_ms(attempts: u32, advised_ms: Option<u64>, left_ms: f64, random: f64) -> Option<f64> {
     let backoff_ms = BACKOFF_MS * f64::from(1u32 << attempts.min(16)) / 2.0;
     let delay = advised_ms.map_or(backoff_ms * (0.5 + random / 2.0), |ms| ms as f64);
-    (attempts < MAX_TRIES && delay < left_ms).then_some(delay)
+    (attempts < MAX_ATTEMPTS && delay < left_ms).then_some(delay)
 }
 
 #[cfg(test)]
@@ -266,8 +266,8 @@
             let all = shops(rate, LoadProfile::WithinQuota, &plans, gatekeepers, spread).expect("shops");
             let sum: f64 = all.iter().map(|s| s.demand).sum();
             prop_assert!((sum / rate - 1.0).abs() < 1e-6, "{sum}");
-            let part = served_fraction(&all, &plans);
-            prop_assert!(part >= SERVED_FRACTION && (part < 0.97 || all.len() <= 8), "{part} with {} shops", all.len());
+            let fraction = served_fraction(&all, &plans);
+            prop_assert!(fraction >= SERVED_FRACTION && (fraction < 0.97 || all.len() <= 8), "{fraction} with {} shops", all.len());
             prop_assert!(all.iter().all(|s| s.first < gatekeepers && (1..=gatekeepers).contains(&s.spread)));
             let mut ids: Vec<&String> = all.iter().map(|s| &s.id).collect();
             ids.sort();
@@ -276,26 +276,27 @@
         }
 
         #[test]
-        fn overload_factor_is_equal_for_every_shop(rate in 50.0f64..20_000.0, times in 0.1f64..50.0) {
+        fn overload_factor_is_equal_for_every_shop(rate in 50.0f64..20_000.0, factor in 0.1f64..50.0) {
             let plans = example_plans();
-            let all = shops(rate, LoadProfile::Overload(times), &plans, 3, 2).expect("shops");
-            let of = |s: &Shop| s.demand / plans[s.plan].rate;
-            let first = of(&all[0]);
-            prop_assert!(all.iter().all(|s| (of(s) / first - 1.0).abs() < 1e-9));
+            let all = shops(rate, LoadProfile::Overload(factor), &plans, 3, 2).expect("shops");
+            let factor_of = |s: &Shop| s.demand / plans[s.plan].rate;
+            let first = factor_of(&all[0]);
+            prop_assert!(all.iter().all(|s| (factor_of(s) / first - 1.0).abs() < 1e-9));
             // With few shops, rounding their number prevents an exact factor.
-            prop_assert!(all.len() < 30 || (first / times - 1.0).abs() < 0.35, "{first} for {times}, {}", all.len());
+            prop_assert!(all.len() < 30 || (first / factor - 1.0).abs() < 0.35, "{first} for {factor}, {}", all.len());
         }
 
         #[test]
         fn retry_delay_is_the_advised_one_and_within_the_remaining_time(
-            tries in 1u32..9, told in proptest::option::of(0u64..5000), left in 0.0f64..3000.0, lot in 0.0f64..1.0,
+            attempts in 1u32..9, advised in proptest::option::of(0u64..5000), left in 0.0f64..3000.0,
+            random in 0.0f64..1.0,
         ) {
-            match retry_delay_ms(tries, told, left, lot) {
-                Some(pause) => {
-                    prop_assert!(tries < MAX_TRIES && pause < left);
-                    prop_assert!(told.is_none_or(|ms| pause == ms as f64));
+            match retry_delay_ms(attempts, advised, left, random) {
+                Some(delay) => {
+                    prop_assert!(attempts < MAX_ATTEMPTS && delay < left);
+                    prop_assert!(advised.is_none_or(|ms| delay == ms as f64));
                 }
-                None => prop_assert!(tries >= MAX_TRIES || told.is_none_or(|ms| ms as f64 >= left)),
+                None => prop_assert!(attempts >= MAX_ATTEMPTS || advised.is_none_or(|ms| ms as f64 >= left)),
             }
         }
     }
@@ -303,11 +304,12 @@
     #[test]
     fn schedule_is_determined_by_its_seed_and_keeps_the_rate() {
         let all = shops(500.0, LoadProfile::WithinQuota, &example_plans(), 3, 2).expect("shops");
-        let play =
-            |seed| Schedule::new(&all, GRPC_FRACTION, seed).expect("sound").take(20_000).collect::<Vec<_>>();
-        let one = play(7);
-        assert_eq!(one, play(7));
-        assert_ne!(one, play(8));
+        let arrivals = |seed| {
+            Schedule::new(&all, GRPC_FRACTION, seed).expect("valid shops").take(20_000).collect::<Vec<_>>()
+        };
+        let one = arrivals(7);
+        assert_eq!(one, arrivals(7));
+        assert_ne!(one, arrivals(8));
         let rate = one.len() as f64 / one[one.len() - 1].at;
         assert!((450.0..550.0).contains(&rate), "{rate}");
         let checks = one.iter().filter(|a| a.kind == RequestKind::Check).count() as f64 / one.len() as f64;
--- a/crates/outside/tests/breaker.rs
+++ b/crates/outside/tests/breaker.rs
@@ -15,15 +15,15 @@
 }
 
 fn policy(mode: FailureMode) -> OutsidePolicy {
-    OutsidePolicy::new(settings(mode), 7).expect("sound")
+    OutsidePolicy::new(settings(mode), 7).expect("valid settings")
 }
 
 fn shop(n: u64) -> Arc<str> {
     format!("{n:016x}").as_str().into()
 }
 
-fn call(step: &OutsideDecision) -> u64 {
-    match step {
+fn call(decision: &OutsideDecision) -> u64 {
+    match decision {
         OutsideDecision::Ask { call, .. } => *call,
         other => panic!("the service is not called: {other:?}"),
     }
@@ -32,8 +32,8 @@
 /// Opens the breaker by letting the minimum number of calls time out.
 fn open_breaker(c: &mut OutsidePolicy, now: f64) {
     for k in 0..MIN_BREAKER_CALLS as u64 {
-        let step = c.ask(now, k, &shop(k), 0, 1.0, AIM, true);
-        c.time_out(now + 80.0, call(&step));
+        let decision = c.ask(now, k, &shop(k), 0, 1.0, AIM, true);
+        c.time_out(now + 80.0, call(&decision));
     }
     assert_eq!(c.breaker(), BreakerState::Open);
 }
@@ -60,11 +60,14 @@
 fn breaker_stays_closed_when_one_call_times_out() {
     let mut c = policy(FailureMode::Deny);
     for k in 0..100 {
-        let step = c.ask(k as f64, k, &shop(k), 0, 1.0, AIM, true);
+        let decision = c.ask(k as f64, k, &shop(k), 0, 1.0, AIM, true);
         if k == 50 {
-            assert_eq!(c.time_out(k as f64, call(&step)), Some((k, OutsideDecision::Deny { pause: 0.0 })));
+            assert_eq!(
+                c.time_out(k as f64, call(&decision)),
+                Some((k, OutsideDecision::Deny { pause: 0.0 }))
+            );
         } else {
-            assert_eq!(c.record_verdict(k as f64, call(&step), OK), Some((k, OutsideDecision::Pass)));
+            assert_eq!(c.record_verdict(k as f64, call(&decision), OK), Some((k, OutsideDecision::Pass)));
         }
         assert_eq!(c.breaker(), BreakerState::Closed);
     }
@@ -108,21 +111,21 @@
     let mut now = 80.0;
     let mut pauses = Vec::new();
     for _ in 0..8 {
-        let begun = now;
-        let step = loop {
-            let step = c.ask(now, 1, &shop(1), 0, 1.0, AIM, true);
-            if matches!(step, OutsideDecision::Ask { .. }) {
-                break step;
+        let start = now;
+        let decision = loop {
+            let decision = c.ask(now, 1, &shop(1), 0, 1.0, AIM, true);
+            if matches!(decision, OutsideDecision::Ask { .. }) {
+                break decision;
             }
             now += 1.0;
         };
-        pauses.push(now - begun);
-        c.time_out(now, call(&step));
+        pauses.push(now - start);
+        c.time_out(now, call(&decision));
         assert_eq!(c.breaker(), BreakerState::Open);
     }
     for (k, pause) in pauses.iter().enumerate() {
-        let usual = (500.0 * 2f64.powi(k as i32)).min(8000.0);
-        assert!((0.75 * usual - 2.0..=1.25 * usual + 2.0).contains(pause), "pause {k}: {pause}");
+        let expected = (500.0 * 2f64.powi(k as i32)).min(8000.0);
+        assert!((0.75 * expected - 2.0..=1.25 * expected + 2.0).contains(pause), "pause {k}: {pause}");
     }
 }
 
@@ -132,8 +135,8 @@
     let mut waited = 0;
     for k in 0..1000u64 {
         let now = k as f64;
-        let step = c.ask(now, k, &shop(k), 0, 1.0, AIM, true);
-        if let OutsideDecision::Ask { call, .. } = step {
+        let decision = c.ask(now, k, &shop(k), 0, 1.0, AIM, true);
+        if let OutsideDecision::Ask { call, .. } = decision {
             // Every other call times out.
             if k % 2 == 0 {
                 waited += 1;
@@ -165,7 +168,7 @@
     }
     let decided = c.link_lost();
     assert_eq!(decided.len(), 10);
-    assert!(decided.iter().all(|(_, step)| *step == OutsideDecision::Pass));
+    assert!(decided.iter().all(|(_, decision)| *decision == OutsideDecision::Pass));
     assert_eq!((c.breaker(), c.in_flight()), (BreakerState::Closed, 0));
 }
 
@@ -208,11 +211,11 @@
 fn cached_verdicts_are_bounded() {
     let mut c =
         OutsidePolicy::new(Settings { keep_most: 100, in_hand: 1000, ..settings(FailureMode::Deny) }, 7)
-            .expect("sound");
+            .expect("valid settings");
     for k in 0..10_000 {
         let now = k as f64 / 100.0;
-        let step = c.ask(now, k, &shop(k), 0, 1.0, AIM, true);
-        c.record_verdict(now, call(&step), Verdict::Over { reset_ms: 1e9 });
+        let decision = c.ask(now, k, &shop(k), 0, 1.0, AIM, true);
+        c.record_verdict(now, call(&decision), Verdict::Over { reset_ms: 1e9 });
     }
     assert!(c.cached_shops() <= 100);
 }
@@ -240,7 +243,7 @@
     fn every_request_is_decided_once_and_in_time(
         events in prop::collection::vec((0u8..6, 0u64..30, 0u32..200), 1..400),
     ) {
-        let mut c = OutsidePolicy::new(Settings { in_hand: 20, ..settings(FailureMode::Deny) }, 3).expect("sound");
+        let mut c = OutsidePolicy::new(Settings { in_hand: 20, ..settings(FailureMode::Deny) }, 3).expect("valid settings");
         let mut now = 0.0;
         let mut open: Vec<(u64, u64, f64)> = Vec::new();
         let mut decided = std::collections::BTreeSet::new();
@@ -249,9 +252,9 @@
             now += f64::from(gap);
             while let Some(at) = open.iter().position(|(_, _, until)| *until <= now) {
                 let (call, of, until) = open.remove(at);
-                let step = c.time_out(until, call);
-                let ended = step.as_ref().is_some_and(|(r, s)| *r == of && !matches!(s, OutsideDecision::Ask { .. }));
-                prop_assert!(ended);
+                let decision = c.time_out(until, call);
+                let is_final = decision.as_ref().is_some_and(|(r, s)| *r == of && !matches!(s, OutsideDecision::Ask { .. }));
+                prop_assert!(is_final);
                 prop_assert!(decided.insert(of));
             }
             match c.ask(now, request, &shop(n), 0, 1.0, AIM, kind != 5) {
