--- a/crates/ctl/src/load.rs
+++ b/crates/ctl/src/load.rs
@@ -143,7 +143,7 @@
         let max_duration =
             Duration::from_secs(report_options.duration.map_or(u64::from(u32::MAX), u64::from));
         let load_run =
-            LoadRun { shops, plans, gatekeepers, rls, grpc: load_options.grpc_part, seed: load_options.seed };
+            LoadRun { shops, plans, gatekeepers, rls, grpc_fraction: load_options.grpc_part, seed: load_options.seed };
         Ok(RunningLoad {
             task: tokio::spawn(run_load(load_run, max_duration, stats.clone())),
             stats,
