--- a/crates/proto/examples/generate.rs
+++ b/crates/proto/examples/generate.rs
@@ -1,5 +1,5 @@
 //! Generates `src/gen` from `proto/`: `cargo run -p frostvale-proto --example generate -- crates/proto/src/gen`.
-//! The output is kept in the repository, so that building the gatekeeper needs no generator.
+//! The output is committed, so that a build of the gatekeeper does not need a generator.
 
 use std::path::{Path, PathBuf};
 
@@ -8,7 +8,7 @@
     generate(Path::new(&out));
 }
 
-/// Writes the generated files into a folder.
+/// Writes the generated files into the folder `out`.
 pub fn generate(out: &Path) {
     use protox::prost::Message;
     let proto = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("proto");
--- a/crates/proto/tests/generated.rs
+++ b/crates/proto/tests/generated.rs
@@ -1,4 +1,4 @@
-//! What stands in `src/gen` is what the .proto files say.
+//! Checks that the files in `src/gen` match the output of the generator for the .proto files.
 
 #[path = "../examples/generate.rs"]
 #[allow(dead_code)]
--- a/tests/interop/run.sh
+++ b/tests/interop/run.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Starts a town, asks its agent with Python's grpcio and the published Envoy types, and ends it. Where Python or the
-# packages can't be had it says so and passes: the same service is tested in Rust.
+# Starts a local cluster, queries its agent with Python's grpcio and the published Envoy types, and stops the cluster. If
+# Python or the packages are not available, the script reports that and passes: Rust tests cover the same service.
 set -euo pipefail
 cd "$(dirname "$0")/../.."
 programs=${1:-target/release}
--- a/tests/interop/should_rate_limit.py
+++ b/tests/interop/should_rate_limit.py
@@ -1,8 +1,9 @@
-"""The rate limit service, asked by a client that nobody here wrote: grpcio with the published Envoy types.
+"""Tests the rate limit service with an independent client: grpcio with the published Envoy types.
 
     python tests/interop/should_rate_limit.py ADDRESS
 
-ADDRESS is where the agent of a running town listens (`frostctl dev`). Needs the packages in requirements.txt.
+ADDRESS is the listen address of the agent in a running local cluster (`frostctl dev`). Requires the packages in
+requirements.txt.
 """
 
 import sys
@@ -35,7 +36,7 @@
         first = service.ShouldRateLimit(call(basico, addend=4), timeout=2)
         assert first.overall_code == OK, first
         (status,) = first.statuses
-        # 1.4 units a second, 6 at once: whole numbers come by the minute.
+        # The plan has 1.4 units a second and a burst of 6. The limit is per minute, the unit that gives a whole number.
         assert (status.current_limit.requests_per_unit, status.current_limit.name) == (84, "basico"), status
         assert status.limit_remaining == 2, status
         assert headers(first)["x-ratelimit-remaining"] == "2", first
