--- a/crates/proto/src/gen/frostvale.agent.v1.rs
+++ b/crates/proto/src/gen/frostvale.agent.v1.rs
@@ -5,15 +5,15 @@
     pub version: u32,
     #[prost(string, tag = "2")]
     pub fleet: ::prost::alloc::string::String,
-    /// How often the council was taken up by one member alone.
+    /// Number of times that one member alone recovered the council after the loss of its majority.
     #[prost(uint64, tag = "3")]
     pub generation: u64,
-    /// Members' numbers; 0 where there is none.
+    /// Member numbers; 0 if there is none.
     #[prost(uint64, tag = "4")]
     pub from: u64,
     #[prost(uint64, tag = "5")]
     pub to: u64,
-    /// Writes that the sender's file has seen, and the most that it has heard of the receiver's.
+    /// Number of writes to the sender's file, and the highest number of the receiver's writes that the sender has received.
     #[prost(uint64, tag = "6")]
     pub writes: u64,
     #[prost(uint64, tag = "7")]
@@ -25,10 +25,10 @@
 }
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct DutiesRequest {
-    /// Only this one; empty is all.
+    /// Limits the answer to this duty; empty means all.
     #[prost(string, tag = "1")]
     pub duty: ::prost::alloc::string::String,
-    /// With its changes of owner.
+    /// Whether to include the changes of owner.
     #[prost(bool, tag = "2")]
     pub history: bool,
 }
@@ -40,7 +40,7 @@
     pub history: ::prost::alloc::vec::Vec<OwnerChange>,
     #[prost(message, repeated, tag = "3")]
     pub sessions: ::prost::alloc::vec::Vec<Session>,
-    /// Whether that is what is agreed on now; else as this agent last heard.
+    /// Whether this is the state agreed on now. Otherwise it is the last state that this agent received.
     #[prost(bool, tag = "4")]
     pub current: bool,
 }
@@ -48,7 +48,7 @@
 pub struct Duty {
     #[prost(string, tag = "1")]
     pub name: ::prost::alloc::string::String,
-    /// agent#life; empty where nobody owns it.
+    /// agent#life; empty if the duty has no owner.
     #[prost(string, tag = "2")]
     pub owner: ::prost::alloc::string::String,
     #[prost(uint64, tag = "3")]
@@ -60,10 +60,10 @@
     pub state: ::prost::alloc::string::String,
     #[prost(string, tag = "6")]
     pub why: ::prost::alloc::string::String,
-    /// Where an operator wants it.
+    /// The agent that an operator assigned the duty to.
     #[prost(string, tag = "7")]
     pub wanted: ::prost::alloc::string::String,
-    /// Steps in this epoch, when the last one ended, what it did, and when the next is due.
+    /// Number of steps in this epoch, the end of the last one, its result, and when the next one is due.
     #[prost(uint64, tag = "8")]
     pub steps: u64,
     #[prost(uint64, tag = "9")]
@@ -205,18 +205,18 @@
     pub at: ::prost::alloc::string::String,
     #[prost(bool, tag = "4")]
     pub votes: bool,
-    /// How far its log goes, as the leader knows; absent elsewhere.
+    /// The last log index known to be replicated to the member. Present at the leader only.
     #[prost(uint64, optional, tag = "5")]
     pub matched: ::core::option::Option<u64>,
 }
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct CouncilChange {
-    /// One of the two.
+    /// Exactly one of the two is set.
     #[prost(string, tag = "1")]
     pub add: ::prost::alloc::string::String,
     #[prost(string, tag = "2")]
     pub remove: ::prost::alloc::string::String,
-    /// With add: where it is.
+    /// With `add`: the address of the new member.
     #[prost(string, tag = "3")]
     pub at: ::prost::alloc::string::String,
 }
@@ -232,23 +232,23 @@
     pub calls: ::core::option::Option<Calls>,
     #[prost(message, optional, tag = "4")]
     pub outside: ::core::option::Option<Outside>,
-    /// Shops whose set is known from their RESP2 requests.
+    /// Number of shops whose set is known from their RESP2 requests.
     #[prost(uint64, tag = "5")]
     pub sets: u64,
-    /// Absent where no record is kept.
+    /// Absent if no record is kept.
     #[prost(message, optional, tag = "6")]
     pub record: ::core::option::Option<Record>,
 }
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Record {
-    /// sqlite or postgres; sound or away, and why.
+    /// `kind` is sqlite or postgres. `state` is sound or away; `problem` is the reason.
     #[prost(string, tag = "1")]
     pub kind: ::prost::alloc::string::String,
     #[prost(string, tag = "2")]
     pub state: ::prost::alloc::string::String,
     #[prost(string, tag = "3")]
     pub problem: ::prost::alloc::string::String,
-    /// What was last read, and how long ago; the most there is where nothing ever was.
+    /// The revision last read and its age; the age is the maximum value if none was ever read.
     #[prost(uint64, tag = "4")]
     pub revision: u64,
     #[prost(uint64, tag = "5")]
@@ -259,7 +259,7 @@
     pub spool_bytes: u64,
     #[prost(uint64, tag = "8")]
     pub away_ms: u64,
-    /// Batches that have landed, and lives of gatekeepers that ended without their last word, since the start.
+    /// Batches stored, and incarnations of gatekeepers that ended without a final usage report, since the start.
     #[prost(uint64, tag = "9")]
     pub landed: u64,
     #[prost(uint64, tag = "10")]
@@ -279,13 +279,13 @@
     pub problem: ::prost::alloc::string::String,
     #[prost(uint64, tag = "5")]
     pub in_hand: u64,
-    /// Its number in the tier and when its present life began, while it is linked.
+    /// Its number in the tier and the start of its current incarnation, while it is linked.
     #[prost(uint32, tag = "6")]
     pub number: u32,
     #[prost(uint64, tag = "7")]
     pub started_ms: u64,
-    /// Its breaker before the outside service (closed, open, half-open; empty where it consults none), the calls that
-    /// failed and the requests decided by the failure mode.
+    /// State of its circuit breaker for the external service (closed, open, half-open; empty if it queries none), failed
+    /// calls, and requests decided by the failure mode.
     #[prost(string, tag = "8")]
     pub breaker: ::prost::alloc::string::String,
     #[prost(uint64, tag = "9")]
@@ -293,7 +293,7 @@
     #[prost(uint64, tag = "10")]
     pub outside_by_mode: u64,
 }
-/// Since the agent's start. `granted` and the two `undecided` are checks, one a descriptor.
+/// Counts since the agent's start. `granted` and the two `undecided` count checks, one per descriptor.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Calls {
     #[prost(uint64, tag = "1")]
@@ -310,10 +310,10 @@
     pub undecided_allowed: u64,
     #[prost(uint64, tag = "7")]
     pub undecided_denied: u64,
-    /// Grants given back, since another descriptor of their call was refused.
+    /// Grants returned because another descriptor of the same call was refused.
     #[prost(uint64, tag = "8")]
     pub given_back: u64,
-    /// Checks that a gatekeeper may have charged and nobody was told of.
+    /// Checks that a gatekeeper may have charged although no answer reached the caller.
     #[prost(uint64, tag = "9")]
     pub in_doubt: u64,
 }
@@ -338,31 +338,31 @@
     pub fleet: ::prost::alloc::string::String,
     #[prost(string, tag = "2")]
     pub duty: ::prost::alloc::string::String,
-    /// The owner that it is meant for, as agent#life: another refuses it.
+    /// The intended owner, as agent#life. Any other agent refuses the message.
     #[prost(string, tag = "3")]
     pub owner: ::prost::alloc::string::String,
-    /// The sender's monotonic clock as it was sent, in ms.
+    /// The sender's monotonic clock at the time of sending, in ms.
     #[prost(uint64, tag = "4")]
     pub sent_ms: u64,
     /// Reports, as JSON.
     #[prost(bytes = "vec", tag = "5")]
     pub body: ::prost::alloc::vec::Vec<u8>,
-    /// What the sender's gatekeepers act on.
+    /// Versions that the sender's gatekeepers apply.
     #[prost(message, repeated, tag = "6")]
     pub acts: ::prost::alloc::vec::Vec<ZoneActs>,
 }
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct EvidenceTaken {
-    /// Why some of it was not taken; empty where all was.
+    /// Why a part was not accepted; empty if all of it was.
     #[prost(string, tag = "1")]
     pub refused: ::prost::alloc::string::String,
-    /// Gatekeepers that are to be told again what stands, and those to be sent all anew.
+    /// Gatekeepers to be notified again of the current decisions, and those to be sent a full snapshot.
     #[prost(string, repeated, tag = "2")]
     pub tell: ::prost::alloc::vec::Vec<::prost::alloc::string::String>,
     #[prost(string, repeated, tag = "3")]
     pub snapshot: ::prost::alloc::vec::Vec<::prost::alloc::string::String>,
 }
-/// What a gatekeeper acts on; version 0 is what it does by itself.
+/// The zone decision that a gatekeeper applies. Version 0 means that it decides by itself.
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct ZoneActs {
     #[prost(string, tag = "1")]
@@ -373,10 +373,10 @@
     pub version: u64,
     #[prost(uint64, tag = "4")]
     pub epoch: u64,
-    /// Why it did not take the last decision.
+    /// Why it did not accept the last decision.
     #[prost(string, tag = "5")]
     pub problem: ::prost::alloc::string::String,
-    /// How long ago that was told, in ms.
+    /// Age of this report, in ms.
     #[prost(uint64, tag = "6")]
     pub age_ms: u64,
 }
@@ -384,7 +384,7 @@
 pub struct ZonesLook {
     #[prost(string, tag = "1")]
     pub fleet: ::prost::alloc::string::String,
-    /// Whether this zone could be drained; empty asks nothing.
+    /// The zone for which to check whether it could be drained; empty for none.
     #[prost(string, tag = "2")]
     pub drain: ::prost::alloc::string::String,
 }
@@ -400,10 +400,10 @@
     pub refused: u64,
     #[prost(uint64, tag = "5")]
     pub old: u64,
-    /// Why the zone that was asked about can't be drained; empty where it can.
+    /// Why the requested zone cannot be drained; empty if it can.
     #[prost(string, tag = "6")]
     pub short: ::prost::alloc::string::String,
-    /// Whether the zone that was asked about is known.
+    /// Whether the requested zone is known.
     #[prost(bool, tag = "7")]
     pub known: bool,
 }
@@ -423,8 +423,8 @@
 pub struct ZonesRequest {}
 #[derive(Clone, PartialEq, ::prost::Message)]
 pub struct ZonesResponse {
-    /// What stands, 0 where nothing was decided yet; under which epoch, whose, when, Unix time in ms; and whether that is
-    /// what stands now, or what this agent last heard.
+    /// The decision in effect, 0 if there is none yet; its epoch, its owner and its time, Unix time in ms; and whether it is
+    /// the current one or the last one that this agent received.
     #[prost(uint64, tag = "1")]
     pub version: u64,
     #[prost(uint64, tag = "2")]
@@ -440,7 +440,7 @@
     pub decision: ::prost::alloc::string::String,
     #[prost(message, repeated, tag = "7")]
     pub intents: ::prost::alloc::vec::Vec<ZoneIntent>,
-    /// What the owner goes by; absent where it can't be asked.
+    /// The observations that the owner uses; absent if the owner cannot be reached.
     #[prost(message, optional, tag = "8")]
     pub view: ::core::option::Option<ZonesView>,
     /// Changes, oldest first.
@@ -464,7 +464,7 @@
 }
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct ZonesChange {
-    /// One of the two: a zone to drain, or to restore.
+    /// Exactly one of the two is set: a zone to drain or a zone to restore.
     #[prost(string, tag = "1")]
     pub drain: ::prost::alloc::string::String,
     #[prost(string, tag = "2")]
@@ -476,7 +476,7 @@
     /// Unix time in ms.
     #[prost(uint64, tag = "5")]
     pub until_ms: u64,
-    /// Even where the others can't bear it.
+    /// Drains the zone even if the other zones lack the capacity.
     #[prost(bool, tag = "6")]
     pub force: bool,
 }
@@ -485,17 +485,17 @@
     #[prost(string, tag = "1")]
     pub fleet: ::prost::alloc::string::String,
 }
-/// What the owner of the audit goes by.
+/// The observations that the owner of the audit uses.
 #[derive(Clone, PartialEq, ::prost::Message)]
 pub struct AuditView {
     #[prost(message, repeated, tag = "1")]
     pub instances: ::prost::alloc::vec::Vec<Instance>,
-    /// Words taken, and words that can't be.
+    /// Reports accepted, and reports refused.
     #[prost(uint64, tag = "2")]
     pub heard: u64,
     #[prost(uint64, tag = "3")]
     pub refused: u64,
-    /// Those who should be shut out and can't be, with why.
+    /// Instances that should be fenced off and cannot be, with the reason.
     #[prost(string, repeated, tag = "4")]
     pub alarms: ::prost::alloc::vec::Vec<::prost::alloc::string::String>,
     #[prost(message, repeated, tag = "5")]
@@ -513,14 +513,14 @@
     pub life: u64,
     #[prost(uint32, tag = "5")]
     pub me: u32,
-    /// How long ago it was heard, in ms; whether it still counts as heard.
+    /// Age of its last report, in ms; whether that report still counts.
     #[prost(uint64, tag = "6")]
     pub age_ms: u64,
     #[prost(bool, tag = "7")]
     pub heard: bool,
     #[prost(message, repeated, tag = "8")]
     pub versions: ::prost::alloc::vec::Vec<Acting>,
-    /// Why it is behind; empty where it is not. And how far it has come: waits, told, sent, over.
+    /// Why it is behind; empty if it is not. And the stage of its escalation: waits, told, sent, over.
     #[prost(string, tag = "9")]
     pub behind: ::prost::alloc::string::String,
     #[prost(string, tag = "10")]
@@ -543,10 +543,10 @@
     pub kind: ::prost::alloc::string::String,
     #[prost(uint64, tag = "2")]
     pub revision: u64,
-    /// Empty where it can't be said.
+    /// Empty if it cannot be determined.
     #[prost(string, tag = "3")]
     pub digest: ::prost::alloc::string::String,
-    /// For how long, in ms.
+    /// How long this version has been wanted, in ms.
     #[prost(uint64, tag = "4")]
     pub age_ms: u64,
 }
@@ -562,13 +562,13 @@
     pub owner: ::prost::alloc::string::String,
     #[prost(uint64, tag = "4")]
     pub at_ms: u64,
-    /// Whether that is what stands now, or what this agent last heard.
+    /// Whether this is the current decision or the last one that this agent received.
     #[prost(bool, tag = "5")]
     pub current: bool,
-    /// The decision, as JSON: who is shut out, and the history's anchors.
+    /// The decision, as JSON: the fenced-off instances and the history's checkpoints.
     #[prost(string, tag = "6")]
     pub decision: ::prost::alloc::string::String,
-    /// Absent where the owner can't be asked.
+    /// Absent if the owner cannot be reached.
     #[prost(message, optional, tag = "7")]
     pub view: ::core::option::Option<AuditView>,
     #[prost(message, repeated, tag = "8")]
@@ -578,7 +578,7 @@
 pub struct AuditIntent {
     #[prost(string, tag = "1")]
     pub instance: ::prost::alloc::string::String,
-    /// out or in.
+    /// `out` or `in`.
     #[prost(string, tag = "2")]
     pub what: ::prost::alloc::string::String,
     #[prost(string, tag = "3")]
@@ -617,11 +617,11 @@
     #[repr(i32)]
     pub enum What {
         None = 0,
-        /// Shut it out, until then, as far as the floors allow.
+        /// Fences the instance off until `until_ms`, as far as the fence-off limits allow.
         Out = 1,
-        /// Keep it in, until then, whatever it acts on.
+        /// Keeps the instance in service until `until_ms`, whatever versions it applies.
         In = 2,
-        /// Neither.
+        /// Removes the override.
         Clear = 3,
     }
     impl What {
@@ -651,7 +651,7 @@
 }
 #[derive(Clone, Copy, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct HistoryRequest {
-    /// Rows after this number, so many at the most.
+    /// Rows after the number `after`, at most `most` of them.
     #[prost(uint64, tag = "1")]
     pub after: u64,
     #[prost(uint32, tag = "2")]
@@ -659,10 +659,10 @@
 }
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct HistoryResponse {
-    /// Rows as JSON, by number.
+    /// Rows as JSON, ordered by number.
     #[prost(string, repeated, tag = "1")]
     pub rows: ::prost::alloc::vec::Vec<::prost::alloc::string::String>,
-    /// Where the history begins, as JSON: retention has left nothing before it.
+    /// The start of the history, as JSON. Retention has removed all rows before it.
     #[prost(string, tag = "2")]
     pub base: ::prost::alloc::string::String,
 }
@@ -685,7 +685,7 @@
     pub passed_milli: u64,
     #[prost(uint64, tag = "5")]
     pub refused_milli: u64,
-    /// From when to when, Unix time in ms by the instance's clock.
+    /// Start and end of the period, Unix time in ms by the instance's clock.
     #[prost(uint64, tag = "6")]
     pub from_ms: u64,
     #[prost(uint64, tag = "7")]
@@ -803,7 +803,7 @@
                 .insert(GrpcMethod::new("frostvale.agent.v1.Agent", "Status"));
             self.inner.unary(req, path, codec).await
         }
-        /// Duties of the fleet, as this agent's council has them.
+        /// Leader-elected tasks of the fleet, as recorded by this agent's council.
         pub async fn duties(
             &mut self,
             request: impl tonic::IntoRequest<super::DutiesRequest>,
@@ -846,7 +846,7 @@
                 .insert(GrpcMethod::new("frostvale.agent.v1.Agent", "ChangeDuty"));
             self.inner.unary(req, path, codec).await
         }
-        /// The council itself.
+        /// State and members of the council, the consensus group of agents.
         pub async fn council(
             &mut self,
             request: impl tonic::IntoRequest<super::CouncilRequest>,
@@ -892,7 +892,7 @@
                 .insert(GrpcMethod::new("frostvale.agent.v1.Agent", "ChangeCouncil"));
             self.inner.unary(req, path, codec).await
         }
-        /// Zones: what was decided on them, what each gatekeeper acts on, and operators' drains.
+        /// Zones: the decision on them, the version that each gatekeeper applies, and operators' drains.
         pub async fn zones(
             &mut self,
             request: impl tonic::IntoRequest<super::ZonesRequest>,
@@ -935,7 +935,7 @@
                 .insert(GrpcMethod::new("frostvale.agent.v1.Agent", "ChangeZones"));
             self.inner.unary(req, path, codec).await
         }
-        /// The audit: what each gatekeeper acts on, who is behind or shut out, and operators' wishes about that.
+        /// The audit: the versions that each gatekeeper applies, which gatekeepers are behind or fenced off, and operator overrides.
         pub async fn audit(
             &mut self,
             request: impl tonic::IntoRequest<super::AuditRequest>,
@@ -1003,7 +1003,7 @@
                 .insert(GrpcMethod::new("frostvale.agent.v1.Agent", "History"));
             self.inner.unary(req, path, codec).await
         }
-        /// Units by the revision of plans that they were decided under.
+        /// Units by the revision of the plans under which they were decided.
         pub async fn use_by_revision(
             &mut self,
             request: impl tonic::IntoRequest<super::UseByRevisionRequest>,
@@ -1047,7 +1047,7 @@
             &self,
             request: tonic::Request<super::StatusRequest>,
         ) -> std::result::Result<tonic::Response<super::StatusResponse>, tonic::Status>;
-        /// Duties of the fleet, as this agent's council has them.
+        /// Leader-elected tasks of the fleet, as recorded by this agent's council.
         async fn duties(
             &self,
             request: tonic::Request<super::DutiesRequest>,
@@ -1056,7 +1056,7 @@
             &self,
             request: tonic::Request<super::DutyChange>,
         ) -> std::result::Result<tonic::Response<super::Said>, tonic::Status>;
-        /// The council itself.
+        /// State and members of the council, the consensus group of agents.
         async fn council(
             &self,
             request: tonic::Request<super::CouncilRequest>,
@@ -1065,7 +1065,7 @@
             &self,
             request: tonic::Request<super::CouncilChange>,
         ) -> std::result::Result<tonic::Response<super::Said>, tonic::Status>;
-        /// Zones: what was decided on them, what each gatekeeper acts on, and operators' drains.
+        /// Zones: the decision on them, the version that each gatekeeper applies, and operators' drains.
         async fn zones(
             &self,
             request: tonic::Request<super::ZonesRequest>,
@@ -1074,7 +1074,7 @@
             &self,
             request: tonic::Request<super::ZonesChange>,
         ) -> std::result::Result<tonic::Response<super::Said>, tonic::Status>;
-        /// The audit: what each gatekeeper acts on, who is behind or shut out, and operators' wishes about that.
+        /// The audit: the versions that each gatekeeper applies, which gatekeepers are behind or fenced off, and operator overrides.
         async fn audit(
             &self,
             request: tonic::Request<super::AuditRequest>,
@@ -1088,7 +1088,7 @@
             &self,
             request: tonic::Request<super::HistoryRequest>,
         ) -> std::result::Result<tonic::Response<super::HistoryResponse>, tonic::Status>;
-        /// Units by the revision of plans that they were decided under.
+        /// Units by the revision of the plans under which they were decided.
         async fn use_by_revision(
             &self,
             request: tonic::Request<super::UseByRevisionRequest>,
@@ -1699,7 +1699,7 @@
     )]
     use tonic::codegen::*;
     use tonic::codegen::http::Uri;
-    /// What members of a council say to each other, at the agents' own listener.
+    /// Messages between members of a council, at the agents' public listener.
     #[derive(Debug, Clone)]
     pub struct CouncilClient<T> {
         inner: tonic::client::Grpc<T>,
@@ -1801,7 +1801,7 @@
                 .insert(GrpcMethod::new("frostvale.agent.v1.Council", "Tell"));
             self.inner.unary(req, path, codec).await
         }
-        /// What an agent's gatekeepers saw, to the owner of the duty that it is evidence for.
+        /// Observations of an agent's gatekeepers, sent to the owner of the duty that uses them.
         pub async fn evidence(
             &mut self,
             request: impl tonic::IntoRequest<super::EvidenceMessage>,
@@ -1823,7 +1823,7 @@
                 .insert(GrpcMethod::new("frostvale.agent.v1.Council", "Evidence"));
             self.inner.unary(req, path, codec).await
         }
-        /// What the owner of zones goes by, and whether a zone could be drained.
+        /// The observations that the owner of zones uses, and whether a zone could be drained.
         pub async fn look_at_zones(
             &mut self,
             request: impl tonic::IntoRequest<super::ZonesLook>,
@@ -1845,7 +1845,7 @@
                 .insert(GrpcMethod::new("frostvale.agent.v1.Council", "LookAtZones"));
             self.inner.unary(req, path, codec).await
         }
-        /// What the owner of the audit goes by.
+        /// The observations that the owner of the audit uses.
         pub async fn look_at_audit(
             &mut self,
             request: impl tonic::IntoRequest<super::AuditLook>,
@@ -1886,23 +1886,23 @@
             &self,
             request: tonic::Request<super::CouncilMessage>,
         ) -> std::result::Result<tonic::Response<super::CouncilMessage>, tonic::Status>;
-        /// What an agent's gatekeepers saw, to the owner of the duty that it is evidence for.
+        /// Observations of an agent's gatekeepers, sent to the owner of the duty that uses them.
         async fn evidence(
             &self,
             request: tonic::Request<super::EvidenceMessage>,
         ) -> std::result::Result<tonic::Response<super::EvidenceTaken>, tonic::Status>;
-        /// What the owner of zones goes by, and whether a zone could be drained.
+        /// The observations that the owner of zones uses, and whether a zone could be drained.
         async fn look_at_zones(
             &self,
             request: tonic::Request<super::ZonesLook>,
         ) -> std::result::Result<tonic::Response<super::ZonesView>, tonic::Status>;
-        /// What the owner of the audit goes by.
+        /// The observations that the owner of the audit uses.
         async fn look_at_audit(
             &self,
             request: tonic::Request<super::AuditLook>,
         ) -> std::result::Result<tonic::Response<super::AuditView>, tonic::Status>;
     }
-    /// What members of a council say to each other, at the agents' own listener.
+    /// Messages between members of a council, at the agents' public listener.
     #[derive(Debug)]
     pub struct CouncilServer<T> {
         inner: Arc<T>,
