--- a/crates/ctl/src/load.rs
+++ b/crates/ctl/src/load.rs
@@ -142,8 +142,14 @@
         let names = plans.iter().map(|p| p.name.clone()).collect();
         let max_duration =
             Duration::from_secs(report_options.duration.map_or(u64::from(u32::MAX), u64::from));
-        let load_run =
-            LoadRun { shops, plans, gatekeepers, rls, grpc_fraction: load_options.grpc_part, seed: load_options.seed };
+        let load_run = LoadRun {
+            shops,
+            plans,
+            gatekeepers,
+            rls,
+            grpc_fraction: load_options.grpc_part,
+            seed: load_options.seed,
+        };
         Ok(RunningLoad {
             task: tokio::spawn(run_load(load_run, max_duration, stats.clone())),
             stats,
