--- a/crates/ctl/src/audit.rs
+++ b/crates/ctl/src/audit.rs
@@ -41,7 +41,7 @@
 #[derive(clap::Args)]
 pub struct Args {
     #[command(flatten)]
-    target: Target,
+    place: Target,
     #[command(subcommand)]
     command: Command,
 }
@@ -80,7 +80,7 @@
 #[derive(clap::Args)]
 pub struct FleetArgs {
     #[command(flatten)]
-    target: Target,
+    place: Target,
     #[command(subcommand)]
     command: FleetCommand,
 }
@@ -102,7 +102,7 @@
 #[derive(clap::Args)]
 pub struct StragglerArgs {
     #[command(flatten)]
-    target: Target,
+    place: Target,
     #[command(subcommand)]
     command: StragglerCommand,
 }
@@ -195,8 +195,8 @@
 
 /// Runs `frostctl audit`.
 pub async fn run(args: Args) -> Result<ExitCode, String> {
-    let mut agent = control(&args.target.agent).await?;
-    let json = args.target.json;
+    let mut agent = control(&args.place.agent).await?;
+    let json = args.place.json;
     match args.command {
         Command::At { time } => {
             let at = match duration_ms(&time) {
@@ -443,11 +443,11 @@
 
 /// Runs `frostctl fleet`.
 pub async fn fleet(args: FleetArgs) -> Result<ExitCode, String> {
-    let mut agent = control(&args.target.agent).await?;
+    let mut agent = control(&args.place.agent).await?;
     match args.command {
         FleetCommand::List => {
             let response = fetch_audit(&mut agent).await?;
-            if args.target.json {
+            if args.place.json {
                 println!("{}", as_json(&response))
             } else {
                 list(&response, |_| true)
@@ -461,7 +461,7 @@
             loop {
                 let response = fetch_audit(&mut agent).await?;
                 println!("--- {}", format_time(now_ms()));
-                if args.target.json {
+                if args.place.json {
                     println!("{}", as_json(&response))
                 } else {
                     list(&response, |_| true)
@@ -474,12 +474,12 @@
 
 /// Runs `frostctl stragglers`.
 pub async fn stragglers(args: StragglerArgs) -> Result<ExitCode, String> {
-    let agent_socket: &Path = &args.target.agent;
+    let agent_socket: &Path = &args.place.agent;
     let mut agent = control(agent_socket).await?;
     let (what, operator_override) = match args.command {
         StragglerCommand::List => {
             let response = fetch_audit(&mut agent).await?;
-            if args.target.json {
+            if args.place.json {
                 println!("{}", as_json(&response))
             } else {
                 list(&response, |i| !is_healthy(i))
--- a/crates/ctl/src/dev.rs
+++ b/crates/ctl/src/dev.rs
@@ -29,9 +29,9 @@
     #[arg(long, value_parser = clap::value_parser!(u32).range(1..=20_000))]
     load: Option<u32>,
     #[command(flatten)]
-    load_options: LoadOptions,
+    shape: LoadOptions,
     #[command(flatten)]
-    report_options: ReportOptions,
+    show: ReportOptions,
     /// File that is written once all parts serve, with their addresses as JSON.
     #[arg(long, value_name = "FILE")]
     ready_file: Option<PathBuf>,
@@ -77,8 +77,8 @@
         signal(SignalKind::interrupt()).map_err(|e| format!("cannot install the handler of SIGINT: {e}"))?;
     let mut hup =
         signal(SignalKind::hangup()).map_err(|e| format!("cannot install the handler of SIGHUP: {e}"))?;
-    let frostctl =
-        std::env::current_exe().map_err(|e| format!("cannot find the path of this program: {e}"))?;
+    let frostctl = std::env::current_exe()
+        .map_err(|e| format!("cannot find the path of the running executable: {e}"))?;
     let launcher = vec![frostctl.display().to_string(), "with-parent".into(), std::process::id().to_string()];
     let temporary;
     let folder = match &args.folder {
@@ -126,8 +126,8 @@
             let gatekeepers = cluster.gatekeepers.iter().map(|g| g.resp).collect();
             Some(RunningLoad::start(
                 f64::from(rate),
-                &args.load_options,
-                &args.report_options,
+                &args.shape,
+                &args.show,
                 gatekeepers,
                 Some(cluster.rls),
             )?)
@@ -138,7 +138,7 @@
     tick.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let started = tokio::time::Instant::now();
     let duration_over = async {
-        match args.report_options.duration {
+        match args.show.duration {
             Some(seconds) => tokio::time::sleep_until(started + Duration::from_secs(seconds.into())).await,
             None => std::future::pending().await,
         }
--- a/crates/ctl/src/load.rs
+++ b/crates/ctl/src/load.rs
@@ -66,9 +66,9 @@
     #[arg(long = "plan", value_name = "NAME=RATE", value_parser = parse_plan)]
     plans: Vec<Plan>,
     #[command(flatten)]
-    load_options: LoadOptions,
+    shape: LoadOptions,
     #[command(flatten)]
-    report_options: ReportOptions,
+    show: ReportOptions,
 }
 
 /// Parses a number in `min..=max`.
@@ -218,14 +218,8 @@
         signal(SignalKind::interrupt()).map_err(|e| format!("cannot install the handler of SIGINT: {e}"))?;
     let plans = if args.plans.is_empty() { example_plans() } else { args.plans.clone() };
     let rate = f64::from(args.rate);
-    let mut running_load = RunningLoad::start_with_plans(
-        rate,
-        &args.load_options,
-        &args.report_options,
-        args.targets,
-        args.rls,
-        plans,
-    )?;
+    let mut running_load =
+        RunningLoad::start_with_plans(rate, &args.shape, &args.show, args.targets, args.rls, plans)?;
     let status_words = async || match &args.agent {
         Some(socket) => crate::status::summary_lines(socket).await,
         None => Vec::new(),
--- a/crates/ctl/src/manual_request.rs
+++ b/crates/ctl/src/manual_request.rs
@@ -44,7 +44,7 @@
     #[arg(long, default_value = "frostvale")]
     domain: String,
     #[command(flatten)]
-    shop: ShopArgs,
+    what: ShopArgs,
 }
 
 /// Arguments of `frostctl ask`, a request over RESP2.
@@ -60,7 +60,7 @@
     #[arg(long, default_value_t = 1000)]
     wait_ms: u64,
     #[command(flatten)]
-    shop: ShopArgs,
+    what: ShopArgs,
 }
 
 fn shop(args: &ShopArgs) -> Shop {
@@ -70,8 +70,8 @@
 
 /// Makes a rate limit call and prints its answer.
 pub async fn check(args: CheckArgs) -> Result<ExitCode, String> {
-    let has_set = args.shop.first.is_some() || args.shop.spread.is_some();
-    let mut call = client::rate_limit_call(&shop(&args.shop), has_set, args.shop.units);
+    let has_set = args.what.first.is_some() || args.what.spread.is_some();
+    let mut call = client::rate_limit_call(&shop(&args.what), has_set, args.what.units);
     call.domain = args.domain;
     if let (Some(class), Some(descriptor)) = (args.class, call.descriptors.first_mut()) {
         descriptor.entries.push(Entry { key: "class".into(), value: class });
@@ -115,7 +115,7 @@
     let key = (args.class != "formula-read").then_some(key.as_str());
     let wait = Duration::from_millis(args.wait_ms);
     let answer =
-        client::send_request(&mut conn, &shop(&args.shop), &args.class, key, args.shop.units, wait).await;
+        client::send_request(&mut conn, &shop(&args.what), &args.class, key, args.what.units, wait).await;
     match answer.map_err(connection_error)? {
         Answer::Served(value) => {
             println!("served: {}", String::from_utf8_lossy(&value));
