--- a/crates/agent/src/audit.rs
+++ b/crates/agent/src/audit.rs
@@ -1,6 +1,10 @@
-//! The audit: what this host's gatekeepers act on goes to the owner of the duty, who keeps the book and the history, has those
-//! that are behind brought up, and decides who is shut out; every agent pushes what stands to its gatekeepers. What is decided,
-//! `frostvale-audit` decides.
+//! The `audit` duty: compares the versions that gatekeepers apply with those that are wanted.
+//!
+//! Every agent reports what the gatekeepers of its host apply (plans, zone decisions, epochs) to the agent
+//! that owns the duty. The owner keeps the table of applied versions, appends events to the hash-chained
+//! history, requests a resend for gatekeepers that lag behind and decides which ones are fenced off. Every
+//! agent pushes the decision in force to its own gatekeepers. The rules of the decision are in
+//! `frostvale-audit`.
 
 use crate::clock::{Clock, unix_ms};
 use crate::config;
@@ -17,7 +21,7 @@
 };
 use frostvale_council::{AgreedState, Council};
 use frostvale_link::agent::Link;
-use frostvale_link::proto::{Acts as ActsWord, Fence, Shut, ShutOne};
+use frostvale_link::proto::{Acts as ActsMessage, Fence, Shut, ShutOne};
 use frostvale_owner::registry::{OperatorOverride, StandingDecision};
 use frostvale_owner::{Command, Lease, Outcome};
 use frostvale_proto::agent::audit_change::What;
@@ -34,30 +38,34 @@
 use std::time::Duration;
 use tokio::time::{sleep, timeout};
 
-/// The duty.
+/// Name of the duty.
 pub const AUDIT_DUTY: &str = "audit";
-/// The owner looks this often.
-const STEP: Duration = Duration::from_millis(200);
-/// The owner is asked, and told, within this time.
-const ASK: Duration = Duration::from_millis(800);
-/// A message with evidence, in bytes, and gatekeepers and sets in it.
-const EVIDENCE_MOST: usize = 256 * 1024;
-const WORDS_MOST: usize = 256;
-const SETS_MOST: usize = 256;
-/// Events that wait for the record; past these the oldest are dropped, and a row says how many.
-const PENDING_MOST: usize = 20_000;
-/// Rows that one step enters.
-const ROWS_AT_ONCE: usize = 500;
-/// Rows of the history in one answer.
-const HISTORY_MOST: u32 = 2000;
-/// The longest time that an operator's word holds.
-const WISH_MOST_MS: u64 = 31 * 86_400_000;
-/// Alarms that are shown.
-const ALARMS_MOST: usize = 64;
-/// The history is thinned this often, in ms.
-const RETAIN_MS: u64 = 60_000;
-/// What an operator's intent says.
+/// Interval between two steps of the owner.
+const STEP_INTERVAL: Duration = Duration::from_millis(200);
+/// Timeout of a call to the owner and of a proposal to the consensus group.
+const CALL_TIMEOUT: Duration = Duration::from_millis(800);
+/// Largest body of one evidence message, in bytes.
+const MAX_EVIDENCE_BYTES: usize = 256 * 1024;
+/// Most gatekeepers in one evidence message.
+const MAX_GATEKEEPERS: usize = 256;
+/// Most sets of gatekeepers in one evidence message.
+const MAX_SETS: usize = 256;
+/// Most events that wait for the record. Beyond it the oldest are dropped, and a history row gives their
+/// number.
+const MAX_PENDING_EVENTS: usize = 20_000;
+/// Most history rows that one step appends.
+const MAX_ROWS_PER_STEP: usize = 500;
+/// Most history rows in one response.
+const MAX_HISTORY_ROWS: u32 = 2000;
+/// Longest time that an operator's override may hold, in ms.
+const MAX_OVERRIDE_MS: u64 = 31 * 86_400_000;
+/// Most alarms that are kept and shown.
+const MAX_ALARMS: usize = 64;
+/// Interval at which old history rows are removed, in ms.
+const RETENTION_INTERVAL_MS: u64 = 60_000;
+/// Body of the override that fences a gatekeeper off.
 const OUT: &str = "out";
+/// Body of the override that keeps a gatekeeper in service.
 const IN: &str = "in";
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
@@ -72,79 +80,93 @@
     i64::try_from(n).unwrap_or(i64::MAX)
 }
 
-/// What one host tells the owner.
+/// Body of the evidence message that an agent sends to the owner, as JSON.
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct EvidenceBody {
     agent: String,
     life: u64,
-    /// What each gatekeeper acts on, and how long ago it told, in ms.
-    words: Vec<(AppliedVersions, u64)>,
+    /// The versions that each gatekeeper applies, and the age of its report in ms.
+    #[serde(rename = "words")]
+    reports: Vec<(AppliedVersions, u64)>,
+    /// Sets of gatekeepers that this agent has seen shops use.
     sets: BTreeSet<(u32, u32)>,
 }
 
-/// What the owner of one epoch keeps.
+/// State of the owner during one epoch of the duty.
 struct OwnerState {
     epoch: u64,
     owner: String,
-    at: u64,
-    book: AppliedVersionTable,
-    ladder: Escalation,
-    late: DelayTracker,
-    wanted: BTreeMap<String, TargetRevision>,
+    /// Time of the last step, by the monotonic clock.
+    last_step_at: u64,
+    table: AppliedVersionTable,
+    escalation: Escalation,
+    delays: DelayTracker,
+    /// Wanted revision of each kind.
+    targets: BTreeMap<String, TargetRevision>,
+    /// Sets of gatekeepers, by the agent that reported them.
     sets: BTreeMap<String, BTreeSet<(u32, u32)>>,
+    /// Events that are not yet in the history.
     pending: Vec<HistoryEvent>,
-    /// Where the history ends, once that was read; and rows that were sent and of which nothing was heard.
+    /// Last row of the history; `None` until it is read from the record.
     head: Option<Checkpoint>,
-    sent: Vec<ChainRow>,
+    /// Rows that were sent to the record and have not been confirmed.
+    unconfirmed_rows: Vec<ChainRow>,
     decision: Decision,
-    anchored: u64,
-    looked: u64,
-    retained: u64,
+    /// Time of the last checkpoint in a decision.
+    checkpointed_at: u64,
+    /// Time at which `head` was last discarded so that it is read again.
+    head_reset_at: u64,
+    /// Time at which old history rows were last removed.
+    trimmed_at: u64,
+    /// Reason of the current alarm of each gatekeeper.
     alarms: BTreeMap<String, String>,
-    /// What is to be said to agents with their next evidence, by agent: tell again, and send all anew.
-    errands: BTreeMap<String, (BTreeSet<String>, BTreeSet<String>)>,
-    /// A decision that is on its way, was refused, or whose answer was lost: how many events were pending before it.
-    in_doubt: Option<usize>,
+    /// Requests that the next evidence response carries, by agent: the gatekeepers to be notified again, and
+    /// those to be sent a full snapshot.
+    resends: BTreeMap<String, (BTreeSet<String>, BTreeSet<String>)>,
+    /// Set while a proposed decision is unconfirmed (in progress, refused, or its response lost): the number
+    /// of events that were pending before it.
+    events_before_proposal: Option<usize>,
 }
 
 impl OwnerState {
     fn new(s: frostvale_audit::Settings, lease: &Lease, stands: &str, now: u64) -> OwnerState {
         let decision: Decision = serde_json::from_str(stands).unwrap_or_default();
-        let mut book = AppliedVersionTable::new(s);
-        book.resume(now, &decision.roster);
-        // Whether the one before could still enter it is not known: what stands is entered under this epoch too.
+        let mut table = AppliedVersionTable::new(s);
+        table.resume(now, &decision.roster);
+        // It is not known whether the previous owner recorded these fence-offs in the history, so they are
+        // recorded again under this epoch.
         let outs = decision.out.clone();
-        let mut bench = OwnerState {
+        let mut state = OwnerState {
             epoch: lease.epoch(),
             owner: lease.owner().to_string(),
-            at: now,
-            book,
-            ladder: Escalation::new(s),
-            late: DelayTracker::default(),
-            wanted: BTreeMap::new(),
+            last_step_at: now,
+            table,
+            escalation: Escalation::new(s),
+            delays: DelayTracker::default(),
+            targets: BTreeMap::new(),
             sets: BTreeMap::new(),
             pending: Vec::new(),
             head: None,
-            sent: Vec::new(),
+            unconfirmed_rows: Vec::new(),
             decision,
-            anchored: now,
-            looked: now,
-            retained: 0,
+            checkpointed_at: now,
+            head_reset_at: now,
+            trimmed_at: 0,
             alarms: BTreeMap::new(),
-            errands: BTreeMap::new(),
-            in_doubt: None,
+            resends: BTreeMap::new(),
+            events_before_proposal: None,
         };
         for out in outs {
-            bench.note(&out.instance, "out", "", &out.why);
+            state.record_event(&out.instance, "out", "", &out.why);
         }
-        bench
+        state
     }
 
-    /// Goes on from the decision that stands. What was noted stays, but for who was shut out or let in by a decision
-    /// that does not stand: that is decided again.
-    fn settle_doubt(&mut self, stands: &str) {
-        let Some(before) = self.in_doubt.take() else { return };
+    /// Continues from the decision in force after a proposal whose result is unknown. Recorded events stay,
+    /// except the fence-offs and readmissions of a decision that did not take effect: they are decided again.
+    fn resolve_proposal(&mut self, stands: &str) {
+        let Some(before) = self.events_before_proposal.take() else { return };
         let standing: Decision = serde_json::from_str(stands).unwrap_or_default();
         if standing.out != self.decision.out {
             let noted = self.pending.split_off(before.min(self.pending.len()));
@@ -153,14 +175,16 @@
         self.decision = standing;
     }
 
-    /// Why one is out that can't be judged at present; empty for all others.
-    fn not_judged(&self, instance: &str) -> String {
+    /// Reason for which an instance is fenced off while its state is undecided; empty for all other
+    /// instances.
+    fn undecided_reason(&self, instance: &str) -> String {
         let out = self.decision.out.iter().find(|o| o.instance == instance);
-        out.filter(|_| self.ladder.is_undecided(instance)).map_or(String::new(), |o| o.why.clone())
+        out.filter(|_| self.escalation.is_undecided(instance)).map_or(String::new(), |o| o.why.clone())
     }
 
-    fn note(&mut self, instance: &str, kind: &str, was: &str, now_is: &str) {
-        let life = self.book.get(instance).map_or(0, |k| k.applied.life);
+    /// Adds an event to those that wait for the history.
+    fn record_event(&mut self, instance: &str, kind: &str, was: &str, now_is: &str) {
+        let life = self.table.get(instance).map_or(0, |k| k.applied.life);
         self.pending.push(HistoryEvent {
             instance: instance.into(),
             life,
@@ -172,8 +196,8 @@
         });
     }
 
-    /// What each should act on now.
-    fn want(&mut self, now: u64, plans: Option<u64>, whole: &AgreedState) {
+    /// Updates the wanted revision of each kind, and the digest of the plans that the majority reports.
+    fn update_targets(&mut self, now: u64, plans: Option<u64>, whole: &AgreedState) {
         let mut all = BTreeMap::new();
         if let Some(revision) = plans {
             all.insert(KIND_PLANS.to_string(), revision);
@@ -187,113 +211,119 @@
             }
         }
         for (kind, revision) in all {
-            let was = self.wanted.get(&kind).map(|w| w.revision);
+            let was = self.targets.get(&kind).map(|w| w.revision);
             if was.is_none_or(|was| revision > was) {
-                let told = was.map_or(String::new(), |w| w.to_string());
-                self.note("", &format!("wanted.{kind}"), &told, &revision.to_string());
-                self.wanted.insert(
+                let previous = was.map_or(String::new(), |w| w.to_string());
+                self.record_event("", &format!("wanted.{kind}"), &previous, &revision.to_string());
+                self.targets.insert(
                     kind,
                     TargetRevision { revision, digest: ExpectedDigest::NotCompared, since: now },
                 );
             }
         }
-        if let Some(plans) = self.wanted.get_mut(KIND_PLANS) {
+        if let Some(plans) = self.targets.get_mut(KIND_PLANS) {
             plans.digest = self
-                .book
+                .table
                 .majority_digest(KIND_PLANS, plans.revision, |name| self.decision.is_fenced_off(name));
         }
     }
 
-    /// One look at all. Gives whether there is something to decide.
-    fn turn(
+    /// Advances the table and the escalation. Returns whether the decision changed and has to be proposed.
+    fn evaluate(
         &mut self,
         now: u64,
         at_ms: u64,
         s: &frostvale_audit::Settings,
-        hands: &BTreeMap<String, InstanceOverride>,
+        overrides: &BTreeMap<String, InstanceOverride>,
     ) -> bool {
         let decision = std::mem::take(&mut self.decision);
-        let silent = self.book.tick(now, |name| decision.is_fenced_off(name));
+        let silent = self.table.tick(now, |name| decision.is_fenced_off(name));
         self.pending.extend(silent);
         self.decision = decision;
         let sets: BTreeSet<(u32, u32)> = self.sets.values().flatten().copied().collect();
-        let acts = self.ladder.tick(now, at_ms, &self.book, &self.wanted, (&sets, hands), &self.decision);
+        let acts =
+            self.escalation.tick(now, at_ms, &self.table, &self.targets, (&sets, overrides), &self.decision);
         let before = (self.decision.out.clone(), self.decision.roster.clone(), self.decision.retry_ms);
-        self.alarms
-            .retain(|name, _| self.ladder.stragglers().any(|(n, _)| n == name) || hands.contains_key(name));
+        self.alarms.retain(|name, _| {
+            self.escalation.stragglers().any(|(n, _)| n == name) || overrides.contains_key(name)
+        });
         for act in acts {
             match act {
-                Action::Notify(name) => self.errand(&name, false),
-                Action::SendSnapshot(name) => self.errand(&name, true),
+                Action::Notify(name) => self.request_resend(&name, false),
+                Action::SendSnapshot(name) => self.request_resend(&name, true),
                 Action::FenceOff(out) => {
                     tracing::warn!(
                         instance = out.instance,
                         reason = out.why,
-                        "{} is shut out: {}",
+                        "fence off gatekeeper {}: {}",
                         out.instance,
                         out.why
                     );
                     self.alarms.remove(&out.instance);
-                    self.note(&out.instance.clone(), "out", "in", &out.why);
+                    self.record_event(&out.instance.clone(), "out", "in", &out.why);
                     self.decision.out.push(out);
                 }
                 Action::Readmit(name) => {
-                    tracing::info!(instance = name, "{name} is let in again");
-                    self.note(&name, "out", "out", "in");
+                    tracing::info!(instance = name, "readmit gatekeeper {name}");
+                    self.record_event(&name, "out", "out", "in");
                     self.decision.out.retain(|o| o.instance != name);
                 }
                 Action::RaiseAlarm(name, why) => {
-                    if self.alarms.get(&name) != Some(&why) && self.alarms.len() < ALARMS_MOST {
+                    if self.alarms.get(&name) != Some(&why) && self.alarms.len() < MAX_ALARMS {
                         tracing::error!(
                             instance = name,
                             reason = why,
-                            "{name} should be shut out and stays in: {why}"
+                            "cannot fence off gatekeeper {name}: {why}"
                         );
-                        self.note(&name, "alarm", "", &why);
+                        self.record_event(&name, "alarm", "", &why);
                         self.alarms.insert(name, why);
                     }
                 }
             }
         }
         self.decision.retry_ms = s.retry_ms;
-        self.decision.roster = self.book.roster();
-        if let Some(head) = self.head.clone().filter(|_| now >= self.anchored + s.anchor_ms)
+        self.decision.roster = self.table.roster();
+        if let Some(head) = self.head.clone().filter(|_| now >= self.checkpointed_at + s.anchor_ms)
             && head.number > self.decision.anchors.last().map_or(0, |a| a.number)
         {
-            self.anchored = now;
+            self.checkpointed_at = now;
             self.decision.add_checkpoint(head);
             return true;
         }
         before != (self.decision.out.clone(), self.decision.roster.clone(), self.decision.retry_ms)
     }
 
-    fn errand(&mut self, instance: &str, all: bool) {
-        let Some(known) = self.book.get(instance) else { return };
+    /// Adds a request to the agent of `instance`: a full snapshot if `all` is set, or else a notification.
+    fn request_resend(&mut self, instance: &str, all: bool) {
+        let Some(known) = self.table.get(instance) else { return };
         let (agent, step) = (known.agent.clone(), if all { "sent all anew" } else { "told again" });
-        tracing::info!(instance, "{instance} is behind: it is {step}");
-        self.note(instance, "told", "", step);
-        let errands = self.errands.entry(agent).or_default();
+        tracing::info!(instance, "gatekeeper {instance} lags behind: it is {step}");
+        self.record_event(instance, "told", "", step);
+        let resends = self.resends.entry(agent).or_default();
         if all {
-            errands.1.insert(instance.into())
+            resends.1.insert(instance.into())
         } else {
-            errands.0.insert(instance.into())
+            resends.0.insert(instance.into())
         };
     }
 }
 
-/// Sets of shops that this host has seen.
-type Sets = dyn Fn() -> BTreeSet<(u32, u32)> + Send + Sync;
+/// Returns the sets of gatekeepers that this agent has seen shops use.
+type SetsFn = dyn Fn() -> BTreeSet<(u32, u32)> + Send + Sync;
 
-/// What gatekeepers were last told.
+/// The fence-off message that was last pushed to the gatekeepers of this host.
 #[derive(Default)]
 struct Pushed {
     version: u64,
     epoch: u64,
-    last: Option<u64>,
-    word: Option<Shut>,
+    /// Time of the last push; `None` makes the next push due at once.
+    last_push_at: Option<u64>,
+    /// `None` where the decision could not be read.
+    message: Option<Shut>,
 }
 
-/// This agent's part.
+/// The audit on one agent: reports of its gatekeepers, the owner's state while it owns the duty, and the
+/// pushes.
 pub struct Audit {
     config: config::Audit,
     name: String,
@@ -301,23 +331,25 @@
     life: u64,
     clock: Clock,
     council: Arc<Council>,
-    ways: Arc<MemberChannels>,
+    channels: Arc<MemberChannels>,
     keeper: Option<Arc<RecordKeeper>>,
-    own: Mutex<BTreeMap<String, (u64, AppliedVersions)>>,
+    /// Last report of each gatekeeper of this host, and when it arrived.
+    reported: Mutex<BTreeMap<String, (u64, AppliedVersions)>>,
     links: OnceLock<Vec<(String, Link)>>,
-    sets: OnceLock<Box<Sets>>,
-    bench: Mutex<Option<OwnerState>>,
+    sets: OnceLock<Box<SetsFn>>,
+    owner_state: Mutex<Option<OwnerState>>,
     pushed: Mutex<Pushed>,
 }
 
 impl Audit {
+    /// Creates the audit of this agent; `keeper` is `None` without a record.
     pub(crate) fn new(
         config: config::Audit,
         name: &str,
         fleet: &str,
         clock: Clock,
         council: Arc<Council>,
-        ways: Arc<MemberChannels>,
+        channels: Arc<MemberChannels>,
         keeper: Option<Arc<RecordKeeper>>,
     ) -> Audit {
         Audit {
@@ -327,17 +359,18 @@
             life: unsigned(unix_ms()),
             clock,
             council,
-            ways,
+            channels,
             keeper,
-            own: Mutex::default(),
+            reported: Mutex::default(),
             links: OnceLock::new(),
             sets: OnceLock::new(),
-            bench: Mutex::default(),
+            owner_state: Mutex::default(),
             pushed: Mutex::default(),
         }
     }
 
-    /// These are the gatekeepers of this host, and this is how the sets of shops that were seen are had.
+    /// Sets the links to the gatekeepers of this host and the source of the seen sets. Only the first
+    /// call counts.
     pub(crate) fn set_links(
         &self,
         links: Vec<(String, Link)>,
@@ -349,8 +382,8 @@
 
     // ---- evidence ----
 
-    /// A gatekeeper of this host tells what it acts on.
-    pub(crate) fn record_applied_versions(&self, gatekeeper: &str, word: ActsWord) {
+    /// Stores the versions that a gatekeeper of this host reports; an invalid report is logged and dropped.
+    pub(crate) fn record_applied_versions(&self, gatekeeper: &str, report: ActsMessage) {
         let welcome = self.link(gatekeeper).and_then(Link::welcome);
         let Some(welcome) = welcome else { return };
         let version =
@@ -358,17 +391,21 @@
         let acts = AppliedVersions {
             instance: gatekeeper.to_string(),
             life: welcome.started_ms,
-            number: word.number,
+            number: report.number,
             me: welcome.me,
             gateways: welcome.gateways,
-            zone: word.zone,
-            at_ms: word.at_ms,
-            versions: word.versions.into_iter().map(version).collect(),
+            zone: report.zone,
+            at_ms: report.at_ms,
+            versions: report.versions.into_iter().map(version).collect(),
         };
         match acts.check() {
-            Ok(()) => drop(lock(&self.own).insert(gatekeeper.to_string(), (self.clock.now(), acts))),
+            Ok(()) => drop(lock(&self.reported).insert(gatekeeper.to_string(), (self.clock.now(), acts))),
             Err(why) => {
-                tracing::warn!(instance = gatekeeper, reason = %why, "what {gatekeeper} tells can't be: {why}")
+                tracing::warn!(
+                    instance = gatekeeper,
+                    reason = %why,
+                    "reject applied versions of gatekeeper {gatekeeper}: {why}"
+                )
             }
         }
     }
@@ -377,7 +414,8 @@
         self.links.get()?.iter().find(|(name, _)| name == gatekeeper).map(|(_, link)| link)
     }
 
-    /// The task that tells the owner of the duty, and does what it is asked to in return.
+    /// Task that reports to the owner of the duty every `report_ms` and handles the resends that the owner
+    /// requests.
     pub(crate) async fn run_reporting(self: Arc<Self>, seat: Weak<CouncilSeat>) {
         loop {
             sleep(Duration::from_millis(self.config.report_ms)).await;
@@ -385,15 +423,19 @@
             let owner = whole.owner.duties.get(AUDIT_DUTY).and_then(|d| d.owner.clone());
             let Some(owner) = owner else { continue };
             let now = self.clock.now();
-            let words: Vec<(AppliedVersions, u64)> = {
-                let mut own = lock(&self.own);
-                // What is old is no evidence, and one that is not linked says nothing.
-                own.retain(|_, (at, _)| now.saturating_sub(*at) <= self.config.ladder.stale_ms);
-                own.values().take(WORDS_MOST).map(|(at, a)| (a.clone(), now.saturating_sub(*at))).collect()
+            let reports: Vec<(AppliedVersions, u64)> = {
+                let mut reported = lock(&self.reported);
+                // Outdated reports are dropped, and with them those of gatekeepers that are no longer linked.
+                reported.retain(|_, (at, _)| now.saturating_sub(*at) <= self.config.ladder.stale_ms);
+                reported
+                    .values()
+                    .take(MAX_GATEKEEPERS)
+                    .map(|(at, a)| (a.clone(), now.saturating_sub(*at)))
+                    .collect()
             };
             let sets = self.sets.get().map_or_else(BTreeSet::new, |sets| sets());
-            let told = EvidenceBody { agent: self.name.clone(), life: self.life, words, sets };
-            let Ok(body) = serde_json::to_vec(&told) else { continue };
+            let evidence = EvidenceBody { agent: self.name.clone(), life: self.life, reports, sets };
+            let Ok(body) = serde_json::to_vec(&evidence) else { continue };
             let message = EvidenceMessage {
                 fleet: self.fleet.clone(),
                 duty: AUDIT_DUTY.into(),
@@ -404,28 +446,30 @@
             };
             if owner.agent == self.name {
                 if let Ok(taken) = self.receive_evidence(message) {
-                    self.run_errands(taken, &seat);
+                    self.handle_resends(taken, &seat);
                 }
                 continue;
             }
             let (audit, seat) = (self.clone(), seat.clone());
             tokio::spawn(async move {
-                let Ok(mut client) = audit.way(&owner.agent) else { return };
-                if let Ok(Ok(taken)) = timeout(ASK, client.evidence(message)).await {
-                    audit.run_errands(taken.into_inner(), &seat);
+                let Ok(mut client) = audit.client_for(&owner.agent) else { return };
+                if let Ok(Ok(taken)) = timeout(CALL_TIMEOUT, client.evidence(message)).await {
+                    audit.handle_resends(taken.into_inner(), &seat);
                 }
             });
         }
     }
 
-    fn way(&self, agent: &str) -> Result<CouncilClient<tonic::transport::Channel>, String> {
+    /// Client of another agent in the consensus group.
+    fn client_for(&self, agent: &str) -> Result<CouncilClient<tonic::transport::Channel>, String> {
         let at = self.council.status().members.into_iter().find(|m| m.name == agent).map(|m| m.at);
         let at = at.ok_or_else(|| format!("{agent} is no member of the council"))?;
-        Ok(CouncilClient::new(self.ways.channel(&at)?).max_decoding_message_size(4 << 20))
+        Ok(CouncilClient::new(self.channels.channel(&at)?).max_decoding_message_size(4 << 20))
     }
 
-    /// Tells gatekeepers again what stands, or all anew as if they had just come.
-    fn run_errands(&self, taken: EvidenceTaken, seat: &Weak<CouncilSeat>) {
+    /// Notifies gatekeepers again of what is in force, or sends them a full snapshot as after a new
+    /// connection.
+    fn handle_resends(&self, taken: EvidenceTaken, seat: &Weak<CouncilSeat>) {
         for name in &taken.tell {
             let Some(link) = self.link(name) else { continue };
             if let Some(plans) = self.keeper.as_ref().and_then(|k| k.current_plans()) {
@@ -441,44 +485,46 @@
         }
     }
 
-    /// Evidence comes in, at the owner.
+    /// Accepts an evidence message, at the owner, and returns the resends that its agent has to carry out.
     ///
     /// # Errors
-    /// When this agent is not the one that it is for, or it can't be read.
+    /// If this agent is not the owner that the message names, or the message is too large or malformed.
     pub fn receive_evidence(&self, message: EvidenceMessage) -> Result<EvidenceTaken, String> {
         let EvidenceMessage { fleet, owner, sent_ms, body, .. } = message;
         if fleet != self.fleet {
             return Err("fleet: not this one's".into());
         }
-        if body.len() > EVIDENCE_MOST {
-            return Err(format!("body: {EVIDENCE_MOST} bytes at the most"));
+        if body.len() > MAX_EVIDENCE_BYTES {
+            return Err(format!("body: {MAX_EVIDENCE_BYTES} bytes at the most"));
         }
         let now = self.clock.now();
-        let mut bench = lock(&self.bench);
+        let mut state = lock(&self.owner_state);
         let stale_ms = self.config.ladder.stale_ms;
-        let Some(bench) = bench.as_mut().filter(|b| now.saturating_sub(b.at) <= stale_ms) else {
+        let Some(state) = state.as_mut().filter(|b| now.saturating_sub(b.last_step_at) <= stale_ms) else {
             return Err("this agent does not own the audit".into());
         };
-        if owner != bench.owner {
+        if owner != state.owner {
             return Err("owner: another".into());
         }
-        let told: EvidenceBody = serde_json::from_slice(&body).map_err(|e| format!("body: {e}"))?;
-        if told.words.len() > WORDS_MOST
-            || told.sets.len() > SETS_MOST
-            || !frostvale_audit::applied_versions::is_name(&told.agent)
+        let evidence: EvidenceBody = serde_json::from_slice(&body).map_err(|e| format!("body: {e}"))?;
+        if evidence.reports.len() > MAX_GATEKEEPERS
+            || evidence.sets.len() > MAX_SETS
+            || !frostvale_audit::applied_versions::is_name(&evidence.agent)
         {
-            return Err(format!("body: a name, {WORDS_MOST} gatekeepers and {SETS_MOST} sets at the most"));
+            return Err(format!(
+                "body: a name, {MAX_GATEKEEPERS} gatekeepers and {MAX_SETS} sets at the most"
+            ));
         }
-        let late = bench.late.delay_ms(now, &told.agent, told.life, sent_ms);
+        let late = state.delays.delay_ms(now, &evidence.agent, evidence.life, sent_ms);
         let mut refused = String::new();
-        for (acts, age) in told.words {
-            match bench.book.record_report(now, &told.agent, acts, age.saturating_add(late)) {
-                Ok(events) => bench.pending.extend(events),
+        for (acts, age) in evidence.reports {
+            match state.table.record_report(now, &evidence.agent, acts, age.saturating_add(late)) {
+                Ok(events) => state.pending.extend(events),
                 Err(why) => refused = why.0,
             }
         }
-        bench.sets.insert(told.agent.clone(), told.sets);
-        let (tell, snapshot) = bench.errands.remove(&told.agent).unwrap_or_default();
+        state.sets.insert(evidence.agent.clone(), evidence.sets);
+        let (tell, snapshot) = state.resends.remove(&evidence.agent).unwrap_or_default();
         Ok(EvidenceTaken {
             refused,
             tell: tell.into_iter().collect(),
@@ -488,30 +534,30 @@
 
     // ---- the duty ----
 
-    /// One look of the owner's: the history goes on, and what is new is decided.
+    /// One step of the owner: proposes a decision if it changed, and appends pending events to the history.
     pub(crate) async fn step(&self, lease: &Lease, worker: &Worker) -> Result<StepDone, StepError> {
         let now = self.clock.now();
         let at_ms = unsigned(unix_ms());
         let whole = self.council.watch().borrow().clone();
         let stands = whole.owner.decisions.get(AUDIT_DUTY).cloned().unwrap_or_default();
-        self.expire(&whole).await;
-        let hands = by_hand(&whole);
+        self.withdraw_expired(&whole).await;
+        let overrides = operator_overrides(&whole);
         let plans = self.keeper.as_ref().and_then(|k| k.current_plans()).map(|p| p.revision);
         let body = {
-            let mut bench = lock(&self.bench);
-            if bench.as_ref().is_none_or(|b| b.epoch != lease.epoch()) {
-                *bench = Some(OwnerState::new(self.config.ladder, lease, &stands.body, now));
+            let mut state = lock(&self.owner_state);
+            if state.as_ref().is_none_or(|b| b.epoch != lease.epoch()) {
+                *state = Some(OwnerState::new(self.config.ladder, lease, &stands.body, now));
             }
-            let Some(bench) = bench.as_mut() else { return Err(StepError::LeaseExpired) };
-            bench.at = now;
-            bench.settle_doubt(&stands.body);
-            let pending = bench.pending.len();
-            bench.want(now, plans, &whole);
-            let new = bench.turn(now, at_ms, &self.config.ladder, &hands);
+            let Some(state) = state.as_mut() else { return Err(StepError::LeaseExpired) };
+            state.last_step_at = now;
+            state.resolve_proposal(&stands.body);
+            let pending = state.pending.len();
+            state.update_targets(now, plans, &whole);
+            let new = state.evaluate(now, at_ms, &self.config.ladder, &overrides);
             let former = stands.epoch < lease.epoch();
             let decides = new || former;
-            bench.in_doubt = decides.then_some(pending);
-            decides.then(|| serde_json::to_string(&bench.decision))
+            state.events_before_proposal = decides.then_some(pending);
+            decides.then(|| serde_json::to_string(&state.decision))
         };
         if let Some(body) = body {
             let body = body.map_err(|e| StepError::Failed(e.to_string()))?;
@@ -519,88 +565,88 @@
             let (owner, epoch) = (lease.owner().clone(), lease.epoch());
             let duty = AUDIT_DUTY.to_string();
             let decide = Command::Decide { duty, owner, epoch, seen: stands.version, body, at_ms };
-            match self.council.propose(decide, ASK).await {
+            match self.council.propose(decide, CALL_TIMEOUT).await {
                 Ok(Outcome::Decided(version)) => {
-                    if let Some(bench) = lock(&self.bench).as_mut() {
-                        bench.in_doubt = None;
+                    if let Some(state) = lock(&self.owner_state).as_mut() {
+                        state.events_before_proposal = None;
                     }
                     let mut seen = self.council.watch();
                     let there = |w: &Arc<AgreedState>| {
                         w.owner.decisions.get(AUDIT_DUTY).is_some_and(|d| d.version >= version)
                     };
-                    let _ = timeout(ASK, seen.wait_for(there)).await;
+                    let _ = timeout(CALL_TIMEOUT, seen.wait_for(there)).await;
                 }
                 other => {
                     return Err(StepError::Failed(format!("the decision was not entered: {other:?}")));
                 }
             }
         }
-        let entered = self.enter(lease, worker).await?;
-        self.retain(now, lease, worker).await?;
-        Ok(StepDone { note: format!("{entered} rows"), again: STEP })
+        let entered = self.append_history(lease, worker).await?;
+        self.trim_history(now, lease, worker).await?;
+        Ok(StepDone { note: format!("{entered} rows"), again: STEP_INTERVAL })
     }
 
-    /// Enters what has happened into the history, where there is a record.
-    async fn enter(&self, lease: &Lease, worker: &Worker) -> Result<u64, StepError> {
+    /// Appends pending events to the history, if this agent has a record, and returns the number of rows.
+    async fn append_history(&self, lease: &Lease, worker: &Worker) -> Result<u64, StepError> {
         let Some(keeper) = &self.keeper else {
-            // Without a record there is no history: only what stands.
-            if let Some(bench) = lock(&self.bench).as_mut() {
-                bench.pending.clear();
+            // Without a record there is no history, only the decision in force.
+            if let Some(state) = lock(&self.owner_state).as_mut() {
+                state.pending.clear();
             }
             return Ok(0);
         };
         let now = self.clock.now();
-        if let Some(bench) = lock(&self.bench).as_mut()
-            && now >= bench.looked + self.config.ladder.anchor_ms
+        if let Some(state) = lock(&self.owner_state).as_mut()
+            && now >= state.head_reset_at + self.config.ladder.anchor_ms
         {
-            // The record may have been restored meanwhile.
-            (bench.looked, bench.head) = (now, None);
+            // The record may have been restored from a backup since, so the end of the history is read again.
+            (state.head_reset_at, state.head) = (now, None);
         }
-        if lock(&self.bench).as_ref().is_some_and(|b| b.head.is_none()) {
+        if lock(&self.owner_state).as_ref().is_some_and(|b| b.head.is_none()) {
             let Reply::HistoryEnds(_, (number, hash)) = keeper.backend().run(Op::HistoryEnds).await? else {
                 return Ok(0);
             };
             let head = Checkpoint { number: unsigned(number), hash };
-            let mut bench = lock(&self.bench);
-            let Some(bench) = bench.as_mut() else { return Ok(0) };
-            // Rows whose answer was lost have landed, or not.
-            if let Some(last) = bench.sent.last().filter(|r| r.hash == head.hash) {
-                tracing::debug!("rows up to {} had landed", last.number);
-                let landed = bench.sent.len();
-                bench.pending.drain(..landed.min(bench.pending.len()));
+            let mut state = lock(&self.owner_state);
+            let Some(state) = state.as_mut() else { return Ok(0) };
+            // Unconfirmed rows whose response was lost may have been appended.
+            if let Some(last) = state.unconfirmed_rows.last().filter(|r| r.hash == head.hash) {
+                tracing::debug!("history rows up to {} were already appended", last.number);
+                let landed = state.unconfirmed_rows.len();
+                state.pending.drain(..landed.min(state.pending.len()));
             }
-            bench.sent.clear();
-            if let Some(known) = bench.decision.anchors.last().filter(|a| a.number > head.number) {
+            state.unconfirmed_rows.clear();
+            if let Some(known) = state.decision.anchors.last().filter(|a| a.number > head.number) {
                 let was = format!("row {}", known.number);
-                bench.note(
+                state.record_event(
                     "",
                     "history",
                     &was,
                     &format!("goes on from row {}: the record was restored", head.number),
                 );
             }
-            bench.head = Some(head);
+            state.head = Some(head);
         }
         let (after, rows) = {
-            let mut bench = lock(&self.bench);
-            let Some(bench) = bench.as_mut().filter(|b| b.epoch == lease.epoch()) else { return Ok(0) };
-            let over = bench.pending.len().saturating_sub(PENDING_MOST);
+            let mut state = lock(&self.owner_state);
+            let Some(state) = state.as_mut().filter(|b| b.epoch == lease.epoch()) else { return Ok(0) };
+            let over = state.pending.len().saturating_sub(MAX_PENDING_EVENTS);
             if over > 0 {
-                bench.pending.drain(..over);
-                bench.note(
+                state.pending.drain(..over);
+                state.record_event(
                     "",
                     "history",
                     "",
                     &format!("{over} events were dropped: the record took none for too long"),
                 );
             }
-            let Some(head) = bench.head.clone().filter(|_| !bench.pending.is_empty()) else { return Ok(0) };
-            let some: Vec<HistoryEvent> = bench.pending.iter().take(ROWS_AT_ONCE).cloned().collect();
+            let Some(head) = state.head.clone().filter(|_| !state.pending.is_empty()) else { return Ok(0) };
+            let some: Vec<HistoryEvent> = state.pending.iter().take(MAX_ROWS_PER_STEP).cloned().collect();
             let rows = chain(&head, unsigned(unix_ms()), lease.epoch(), some);
-            bench.sent.clone_from(&rows);
+            state.unconfirmed_rows.clone_from(&rows);
             (head, rows)
         };
-        let word = |r: &ChainRow| HistoryRow {
+        let history_row = |r: &ChainRow| HistoryRow {
             number: signed(r.number),
             at_ms: signed(r.at_ms),
             epoch: signed(r.epoch),
@@ -614,79 +660,84 @@
             prev: r.prev.clone(),
             hash: r.hash.clone(),
         };
-        let (after, words) = ((signed(after.number), after.hash), rows.iter().map(word).collect());
-        let done = worker.effect(lease, FleetWork::AppendHistory { after, rows: words }).await;
-        let mut bench = lock(&self.bench);
-        let Some(bench) = bench.as_mut().filter(|b| b.epoch == lease.epoch()) else { return Ok(0) };
+        let (after, rows_to_append) =
+            ((signed(after.number), after.hash), rows.iter().map(history_row).collect());
+        let done = worker.effect(lease, FleetWork::AppendHistory { after, rows: rows_to_append }).await;
+        let mut state = lock(&self.owner_state);
+        let Some(state) = state.as_mut().filter(|b| b.epoch == lease.epoch()) else { return Ok(0) };
         match done {
             Ok(_) => {
-                bench.head = rows.last().map(|r| Checkpoint { number: r.number, hash: r.hash.clone() });
-                bench.pending.drain(..rows.len().min(bench.pending.len()));
-                bench.sent.clear();
+                state.head = rows.last().map(|r| Checkpoint { number: r.number, hash: r.hash.clone() });
+                state.pending.drain(..rows.len().min(state.pending.len()));
+                state.unconfirmed_rows.clear();
                 Ok(rows.len() as u64)
             }
             Err(e) => {
-                // Whether they landed is seen when it is read again.
-                bench.head = None;
+                // Whether the rows were appended shows when the end of the history is read again.
+                state.head = None;
                 Err(e)
             }
         }
     }
 
-    async fn retain(&self, now: u64, lease: &Lease, worker: &Worker) -> Result<(), StepError> {
-        let due = lock(&self.bench).as_ref().is_some_and(|b| now >= b.retained + RETAIN_MS);
+    /// Removes history rows older than `keep_days`, every [`RETENTION_INTERVAL_MS`].
+    async fn trim_history(&self, now: u64, lease: &Lease, worker: &Worker) -> Result<(), StepError> {
+        let due =
+            lock(&self.owner_state).as_ref().is_some_and(|b| now >= b.trimmed_at + RETENTION_INTERVAL_MS);
         if !due || self.keeper.is_none() {
             return Ok(());
         }
         let before_ms = unix_ms() - i64::from(self.config.keep_days) * frostvale_record::fleet::DAY_MS;
         worker.effect(lease, FleetWork::RetainHistory { before_ms }).await?;
-        if let Some(bench) = lock(&self.bench).as_mut() {
-            bench.retained = now;
+        if let Some(state) = lock(&self.owner_state).as_mut() {
+            state.trimmed_at = now;
         }
         Ok(())
     }
 
-    /// Ends operators' words whose time is over.
-    async fn expire(&self, whole: &AgreedState) {
+    /// Withdraws operators' overrides that have expired.
+    async fn withdraw_expired(&self, whole: &AgreedState) {
         let at_ms = unsigned(unix_ms());
-        let over =
+        let expired =
             whole.owner.intents.get(AUDIT_DUTY).into_iter().flatten().filter(|(_, i)| i.until_ms <= at_ms);
-        for (key, _) in over {
+        for (key, _) in expired {
             let (duty, key, by) = (AUDIT_DUTY.to_string(), key.clone(), "its expiry".to_string());
-            let _ = self.council.propose(Command::Withdraw { duty, key, by, at_ms }, ASK).await;
+            let _ = self.council.propose(Command::Withdraw { duty, key, by, at_ms }, CALL_TIMEOUT).await;
         }
     }
 
     // ---- to gatekeepers ----
 
-    /// Gatekeepers are told at once, as one of them is new or behind.
+    /// Makes the next push due at once, because a gatekeeper is new or lags behind.
     pub(crate) fn force_push(&self) {
-        lock(&self.pushed).last = None;
+        lock(&self.pushed).last_push_at = None;
     }
 
-    /// Tells gatekeepers what stands, or that it still does; only while this agent's own word holds.
+    /// Pushes the decision in force to the gatekeepers when it changed, and renews it every `renew_ms`. Does
+    /// nothing unless `holds` is set, which is while this agent's session holds.
     pub(crate) fn push_to_gatekeepers(&self, whole: &AgreedState, holds: bool, links: &[Link]) {
         let Some(decided) = whole.owner.decisions.get(AUDIT_DUTY).filter(|_| holds) else { return };
         let now = self.clock.now();
         let mut pushed = lock(&self.pushed);
         if (pushed.version, pushed.epoch) != (decided.version, decided.epoch) {
-            let word = self.word(decided);
-            *pushed = Pushed { version: decided.version, epoch: decided.epoch, last: None, word };
+            let message = self.fence_off_message(decided);
+            *pushed = Pushed { version: decided.version, epoch: decided.epoch, last_push_at: None, message };
         }
-        if pushed.last.is_some_and(|at| now < at + self.config.renew_ms) {
+        if pushed.last_push_at.is_some_and(|at| now < at + self.config.renew_ms) {
             return;
         }
-        pushed.last = Some(now);
-        if let Some(word) = &pushed.word {
-            links.iter().for_each(|link| link.send_fenced_off(word.clone()));
+        pushed.last_push_at = Some(now);
+        if let Some(message) = &pushed.message {
+            links.iter().for_each(|link| link.send_fenced_off(message.clone()));
         }
     }
 
-    fn word(&self, decided: &StandingDecision) -> Option<Shut> {
+    /// Builds the fence-off message of a decision; `None` if the decision is invalid.
+    fn fence_off_message(&self, decided: &StandingDecision) -> Option<Shut> {
         let decision: Decision = serde_json::from_str(&decided.body).ok()?;
         if let Err(why) = decision.check() {
             let version = decided.version;
-            tracing::warn!(version, reason = why, "audit: version {version} can't be acted on: {why}");
+            tracing::warn!(version, reason = why, "reject audit decision, version {version}: {why}");
             return None;
         }
         let one = |o: frostvale_audit::FencedOffInstance| ShutOne { instance: o.instance, me: o.me };
@@ -705,21 +756,21 @@
 
     // ---- for operators ----
 
-    /// What the owner goes by, at the owner.
+    /// Returns the state that the owner decides from.
     ///
     /// # Errors
-    /// When this agent is not the owner.
+    /// If the fleet is another one, or this agent is not the owner.
     pub fn view(&self, look: &AuditLook) -> Result<AuditView, String> {
         if look.fleet != self.fleet {
             return Err("fleet: not this one's".into());
         }
         let now = self.clock.now();
-        let bench = lock(&self.bench);
+        let state = lock(&self.owner_state);
         let stale_ms = self.config.ladder.stale_ms;
-        let Some(bench) = bench.as_ref().filter(|b| now.saturating_sub(b.at) <= stale_ms) else {
+        let Some(state) = state.as_ref().filter(|b| now.saturating_sub(b.last_step_at) <= stale_ms) else {
             return Err("this agent does not own the audit".into());
         };
-        let stragglers: BTreeMap<&String, _> = bench.ladder.stragglers().collect();
+        let stragglers: BTreeMap<&String, _> = state.escalation.stragglers().collect();
         let instance = |(name, k): (&String, &frostvale_audit::applied_version_table::InstanceStatus)| {
             let straggler = stragglers.get(name);
             let acting = |(kind, v): (&String, &Version)| Acting {
@@ -742,9 +793,9 @@
                 age_ms: now.saturating_sub(k.last_report_at),
                 heard: !k.is_silent,
                 versions: k.applied.versions.iter().map(acting).collect(),
-                behind: straggler.map_or_else(|| bench.not_judged(name), |s| s.why.clone()),
+                behind: straggler.map_or_else(|| state.undecided_reason(name), |s| s.why.clone()),
                 step: straggler.map_or(String::new(), |s| step(s.step).to_string()),
-                out: bench.decision.is_fenced_off(name),
+                out: state.decision.is_fenced_off(name),
             }
         };
         let wanted = |(kind, w): (&String, &TargetRevision)| Wanted {
@@ -757,28 +808,30 @@
             age_ms: now.saturating_sub(w.since),
         };
         Ok(AuditView {
-            instances: bench.book.instances().map(instance).collect(),
-            heard: bench.book.counts().accepted,
-            refused: bench.book.counts().rejected,
-            alarms: bench.alarms.iter().map(|(name, why)| format!("{name}: {why}")).collect(),
-            wanted: bench.wanted.iter().map(wanted).collect(),
+            instances: state.table.instances().map(instance).collect(),
+            heard: state.table.counts().accepted,
+            refused: state.table.counts().rejected,
+            alarms: state.alarms.iter().map(|(name, why)| format!("{name}: {why}")).collect(),
+            wanted: state.targets.iter().map(wanted).collect(),
         })
     }
 
-    async fn look(&self, whole: &AgreedState) -> Result<AuditView, String> {
+    /// Requests the view from the owner of the duty.
+    async fn query_owner(&self, whole: &AgreedState) -> Result<AuditView, String> {
         let look = AuditLook { fleet: self.fleet.clone() };
         let owner = whole.owner.duties.get(AUDIT_DUTY).and_then(|d| d.owner.clone());
         let owner = owner.ok_or("nobody owns the audit at present")?;
         if owner.agent == self.name {
             return self.view(&look);
         }
-        let mut client = self.way(&owner.agent)?;
-        let said = timeout(ASK, client.look_at_audit(look)).await;
-        let said = said.map_err(|_| format!("{owner}, which owns the audit, does not answer"))?;
-        said.map(tonic::Response::into_inner).map_err(|e| e.message().to_string())
+        let mut client = self.client_for(&owner.agent)?;
+        let response = timeout(CALL_TIMEOUT, client.look_at_audit(look)).await;
+        let response = response.map_err(|_| format!("{owner}, which owns the audit, does not answer"))?;
+        response.map(tonic::Response::into_inner).map_err(|e| e.message().to_string())
     }
 
-    /// All that operators see.
+    /// Builds the response to an operator: the decision in force, the overrides and, if available, the
+    /// owner's view.
     pub async fn response(&self, whole: &AgreedState, current: bool) -> AuditResponse {
         let stands = whole.owner.decisions.get(AUDIT_DUTY).cloned().unwrap_or_default();
         let intent = |(instance, i): (&String, &OperatorOverride)| AuditIntent {
@@ -795,15 +848,15 @@
             at_ms: stands.at_ms,
             current,
             decision: stands.body,
-            view: self.look(whole).await.ok(),
+            view: self.query_owner(whole).await.ok(),
             intents: whole.owner.intents.get(AUDIT_DUTY).into_iter().flatten().map(intent).collect(),
         }
     }
 
-    /// What an operator wants, as the council takes it.
+    /// Converts an operator's change into a command for the consensus group and a text that confirms it.
     ///
     /// # Errors
-    /// With why it is refused.
+    /// The reason for which the change is refused.
     pub async fn operator_change(&self, asked: AuditChange) -> Result<(Command, String), String> {
         let at_ms = unsigned(unix_ms());
         let what = asked.what();
@@ -818,11 +871,11 @@
             What::In => IN,
             What::None => return Err("what: out, in or clear".into()),
         };
-        if until_ms <= at_ms || until_ms > at_ms + WISH_MOST_MS {
+        if until_ms <= at_ms || until_ms > at_ms + MAX_OVERRIDE_MS {
             return Err("until: a time to come, within 31 days".into());
         }
         let whole = self.council.watch().borrow().clone();
-        let view = self.look(&whole).await?;
+        let view = self.query_owner(&whole).await?;
         if !view.instances.iter().any(|i| i.name == instance) {
             return Err(format!("instance: there is no gatekeeper {instance:?}"));
         }
@@ -836,14 +889,14 @@
         Ok((Command::Intend { duty, key, intent }, text))
     }
 
-    /// Rows of the history, by number.
+    /// Returns the rows of the history after a number, as JSON.
     ///
     /// # Errors
-    /// When there is no record, or it can't be read.
+    /// If this agent has no record, or the record cannot be read.
     pub async fn history(&self, asked: &HistoryRequest) -> Result<HistoryResponse, String> {
         let keeper = self.keeper.as_ref().ok_or("this agent keeps no record, and so no history")?;
-        let most = i64::from(asked.most.clamp(1, HISTORY_MOST));
-        let op = Op::History { after: signed(asked.after), most };
+        let limit = i64::from(asked.most.clamp(1, MAX_HISTORY_ROWS));
+        let op = Op::History { after: signed(asked.after), most: limit };
         let reply = keeper.backend().run(op).await.map_err(|e| e.to_string())?;
         let Reply::History(rows, (number, hash)) = reply else {
             return Err("the record answered something else".into());
@@ -867,10 +920,10 @@
         Ok(HistoryResponse { rows, base })
     }
 
-    /// Units by the revision of plans that they were decided under.
+    /// Returns the units that each revision of the plans passed and refused.
     ///
     /// # Errors
-    /// When there is no record, or it can't be read.
+    /// If this agent has no record, or the record cannot be read.
     pub async fn use_by_revision(&self) -> Result<UseByRevisionResponse, String> {
         let keeper = self.keeper.as_ref().ok_or("this agent keeps no record, and so no use")?;
         let reply = keeper.backend().run(Op::UseByRevision).await.map_err(|e| e.to_string())?;
@@ -888,13 +941,14 @@
     }
 }
 
-fn by_hand(whole: &AgreedState) -> BTreeMap<String, InstanceOverride> {
+/// Overrides of operators that are in force, by instance.
+fn operator_overrides(whole: &AgreedState) -> BTreeMap<String, InstanceOverride> {
     let of = |(instance, i): (&String, &OperatorOverride)| {
-        let hand = match i.body.as_str() {
+        let instance_override = match i.body.as_str() {
             OUT => InstanceOverride::FenceOff { why: format!("by {}: {}", i.by, i.why) },
             _ => InstanceOverride::KeepInService,
         };
-        (instance.clone(), hand)
+        (instance.clone(), instance_override)
     };
     whole.owner.intents.get(AUDIT_DUTY).into_iter().flatten().map(of).collect()
 }
--- a/crates/agent/src/clock.rs
+++ b/crates/agent/src/clock.rs
@@ -1,61 +1,63 @@
-//! This host's clocks. The wall clock dates what people read and when plans begin; nothing is decided by how two hosts'
-//! wall clocks compare. The monotonic one is what leases are counted by.
+//! This host's clocks.
+//!
+//! The wall clock dates what people read and determines when plans begin; no decision depends on how the wall
+//! clocks of two hosts compare. Leases are measured by the monotonic clock.
 
 use crate::config::Drill;
 use std::sync::OnceLock;
 use std::time::{Instant, SystemTime};
 
-/// How the wall clock is off, in drills.
-struct Off {
-    begun: Instant,
+/// Deviation of the wall clock, for drills.
+struct WallClockSkew {
+    started_at: Instant,
     ahead_ms: i64,
     jump_after_ms: u64,
     jump_ms: i64,
 }
 
-static OFF: OnceLock<Off> = OnceLock::new();
+static WALL_CLOCK_SKEW: OnceLock<WallClockSkew> = OnceLock::new();
 
-/// Sets this process's wall clock off, once.
+/// Applies the deviation of a drill to this process's wall clock. Only the first call counts.
 pub fn set_off(drill: &Drill) {
-    let _ = OFF.set(Off {
-        begun: Instant::now(),
+    let _ = WALL_CLOCK_SKEW.set(WallClockSkew {
+        started_at: Instant::now(),
         ahead_ms: drill.clock_ahead_ms,
         jump_after_ms: drill.clock_jump_after_ms,
         jump_ms: drill.clock_jump_ms,
     });
 }
 
-/// Unix time in ms by this host's clock.
+/// Unix time in ms by this host's wall clock, with the deviation of a drill.
 #[must_use]
 pub fn unix_ms() -> i64 {
     let unix = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
     let unix = i64::try_from(unix.as_millis()).unwrap_or(i64::MAX);
-    let off = OFF.get().map_or(0, |off| {
+    let skew_ms = WALL_CLOCK_SKEW.get().map_or(0, |skew| {
         let jumped =
-            off.jump_after_ms > 0 && off.begun.elapsed().as_millis() >= u128::from(off.jump_after_ms);
-        off.ahead_ms + if jumped { off.jump_ms } else { 0 }
+            skew.jump_after_ms > 0 && skew.started_at.elapsed().as_millis() >= u128::from(skew.jump_after_ms);
+        skew.ahead_ms + if jumped { skew.jump_ms } else { 0 }
     });
-    unix.saturating_add(off)
+    unix.saturating_add(skew_ms)
 }
 
-/// A monotonic clock, in ms from its beginning.
+/// A monotonic clock, in ms since its creation.
 #[derive(Debug, Clone, Copy)]
 pub struct Clock {
-    begun: Instant,
+    started_at: Instant,
     rate_milli: u64,
 }
 
 impl Clock {
-    /// Begins now, and runs at so many thousandths of its speed.
+    /// Starts the clock. It runs at `rate_milli` thousandths of real time: 1000 except in drills.
     #[must_use]
     pub fn new(rate_milli: u64) -> Clock {
-        Clock { begun: Instant::now(), rate_milli }
+        Clock { started_at: Instant::now(), rate_milli }
     }
 
-    /// What it shows.
+    /// Time since the creation in ms, scaled by the rate; never 0.
     #[must_use]
     pub fn now(&self) -> u64 {
-        let ms = u64::try_from(self.begun.elapsed().as_millis()).unwrap_or(u64::MAX);
+        let ms = u64::try_from(self.started_at.elapsed().as_millis()).unwrap_or(u64::MAX);
         ms.saturating_mul(self.rate_milli) / 1000 + 1
     }
 }
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -1,8 +1,8 @@
-//! The agent of a host: it stands beside the host's gatekeepers and speaks gRPC for them.
+//! The agent of a host: it runs beside the host's gatekeepers and serves gRPC on their behalf.
 //!
-//! It decides nothing that a gatekeeper or a sans-I/O crate decides: `frostvale-checks` reads calls, finds the
-//! gatekeepers that may decide and puts the answer together; the gatekeepers' module holds the quotas. It may die at
-//! any instant without a RESP2 request noticing.
+//! It makes none of the decisions of the gatekeepers or of the sans-I/O crates: `frostvale-checks` parses
+//! calls, selects the gatekeepers that may decide and assembles the response; the gatekeepers hold the
+//! quotas. The agent may die at any instant without an effect on RESP2 requests.
 
 pub mod audit;
 pub mod clock;
--- a/crates/agent/src/main.rs
+++ b/crates/agent/src/main.rs
@@ -1,4 +1,4 @@
-//! `frostagent`: the agent of a host.
+//! `frostagent`: the program of the agent of a host.
 
 use clap::Parser;
 use frostvale_agent::config::Config;
@@ -8,20 +8,20 @@
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::watch;
 
-/// The agent beside a host's gatekeepers: gRPC rate limits, and the way to an outside service.
+/// Agent of a host: serves gRPC rate limits for the host's gatekeepers and forwards to an outside service.
 #[derive(Parser)]
 #[command(name = "frostagent", version)]
 struct Args {
-    /// The configuration; a commented sample is deploy/frostagent.toml.
+    /// Path of the configuration file; deploy/frostagent.toml is a commented sample.
     #[arg(long, value_name = "FILE")]
     config: PathBuf,
-    /// Says whether the configuration is sound, and ends.
+    /// Check the configuration and exit.
     #[arg(long)]
     check: bool,
-    /// How log lines are written: `text`, or `json`, one object a line.
+    /// Format of log lines: `text`, or `json` with one object per line.
     #[arg(long, value_name = "FORMAT", default_value = "text")]
     log_format: frostvale_log::Format,
-    /// Which are: a level, or levels by target, as in `info,frostvale_agent::rls=debug`.
+    /// Log filter: a level, or levels by target, as in `info,frostvale_agent::rls=debug`.
     #[arg(long, value_name = "LEVELS", default_value = "info,openraft=off")]
     log_level: String,
 }
@@ -30,33 +30,35 @@
     let args = Args::parse();
     let config = match Config::read(&args.config) {
         Ok(config) => config,
-        Err(what) => return failed(&what),
+        Err(what) => return exit_with_error(&what),
     };
     if args.check {
-        println!("frostagent: the configuration is sound");
+        println!("frostagent: the configuration is valid");
         return ExitCode::SUCCESS;
     }
     let (who, format) = (("agent", config.name.as_str()), args.log_format);
     if let Err(what) = frostvale_log::init("frostagent", who, format, &args.log_level) {
-        return failed(&what);
+        return exit_with_error(&what);
     }
     let runtime = match tokio::runtime::Builder::new_multi_thread().enable_all().build() {
         Ok(runtime) => runtime,
-        Err(e) => return failed(&format!("cannot start the runtime: {e}")),
+        Err(e) => return exit_with_error(&format!("cannot start the runtime: {e}")),
     };
     let ended = runtime.block_on(run(config));
     frostvale_log::finish();
     match ended {
         Ok(()) => ExitCode::SUCCESS,
-        Err(what) => failed(&what),
+        Err(what) => exit_with_error(&what),
     }
 }
 
-fn failed(what: &str) -> ExitCode {
+/// Prints an error and returns the exit code of a failure.
+fn exit_with_error(what: &str) -> ExitCode {
     eprintln!("frostagent: {what}");
     ExitCode::FAILURE
 }
 
+/// Runs the agent until SIGTERM or SIGINT, then stops it in order; a second signal ends it at once.
 async fn run(config: Config) -> Result<(), String> {
     let mut term = signal(SignalKind::terminate()).map_err(|e| format!("cannot await SIGTERM: {e}"))?;
     let mut int = signal(SignalKind::interrupt()).map_err(|e| format!("cannot await SIGINT: {e}"))?;
@@ -80,7 +82,7 @@
         _ = int.recv() => {}
     }
     tracing::info!(
-        "stops: calls in hand are answered, and the last words of its gatekeepers taken; a second signal ends it at once"
+        "stops: finish pending calls and collect the final usage reports of gatekeepers; a second signal exits at once"
     );
     let _ = stop.send(true);
     tokio::select! {
--- a/crates/agent/src/operators.rs
+++ b/crates/agent/src/operators.rs
@@ -1,4 +1,4 @@
-//! What operators ask over the control socket.
+//! The gRPC service on the control socket, for operators.
 
 use crate::clock::unix_ms;
 use crate::council::CouncilSeat;
@@ -14,7 +14,7 @@
 use frostvale_proto::agent::duty_change::What;
 use frostvale_proto::agent::{
     AuditChange, AuditRequest, AuditResponse, CouncilChange, CouncilRequest, CouncilResponse, DutiesRequest,
-    DutiesResponse, Duty as DutyWord, DutyChange, HistoryRequest, HistoryResponse, Member,
+    DutiesResponse, Duty as DutyMessage, DutyChange, HistoryRequest, HistoryResponse, Member,
     Outside as OutsideStatus, OwnerChange, Said, Session, StatusRequest, StatusResponse,
     UseByRevisionRequest, UseByRevisionResponse, ZonesChange, ZonesRequest, ZonesResponse,
 };
@@ -22,25 +22,26 @@
 use std::sync::atomic::Ordering;
 use tonic::{Request, Response, Status};
 
-/// Answers them.
+/// Implements the service.
 pub struct Operators {
-    /// This agent.
+    /// Name of this agent.
     pub name: String,
-    /// The fleet's name, for the council.
+    /// Name of the fleet, shown with the state of the consensus group.
     pub fleet_name: String,
-    /// Its gatekeepers.
+    /// The gatekeepers of this agent's host.
     pub fleet: Arc<Fleet>,
-    /// Its calls.
+    /// Counters of rate limit calls.
     pub counts: Arc<Counts>,
-    /// The record.
+    /// The usage record; `None` if this agent has none.
     pub keeper: Option<Arc<RecordKeeper>>,
-    /// The outside service.
+    /// The outside rate limit service; `None` if none is configured.
     pub outside: Option<Arc<Outside>>,
-    /// The council.
+    /// This agent's place in the consensus group; `None` without a `[council]` section.
     pub seat: Option<Arc<CouncilSeat>>,
 }
 
 impl Operators {
+    /// Returns the place in the consensus group, or the status for an agent that has none.
     fn seat(&self) -> Result<&Arc<CouncilSeat>, Status> {
         self.seat.as_ref().ok_or_else(|| {
             Status::failed_precondition("this agent is of no council: its file has no [council] section")
@@ -48,15 +49,16 @@
     }
 }
 
-fn duty(name: &str, duty: &Duty, beat: u64) -> DutyWord {
+/// Converts the state of a duty; `heartbeat` is the number of its owner's last heartbeat.
+fn duty_message(name: &str, duty: &Duty, heartbeat: u64) -> DutyMessage {
     let (state, why) = match (&duty.paused, &duty.aside, &duty.owner) {
         (Some((by, why)), ..) => ("paused", format!("{by}: {why}")),
-        (_, Some(said), _) => ("set aside", said.clone()),
+        (_, Some(reason), _) => ("set aside", reason.clone()),
         (.., Some(_)) => ("owned", String::new()),
         _ => ("free", String::new()),
     };
     let step = duty.step.clone().filter(|s| s.epoch == duty.epoch);
-    DutyWord {
+    DutyMessage {
         name: name.to_string(),
         owner: duty.owner.as_ref().map_or(String::new(), ToString::to_string),
         epoch: duty.epoch,
@@ -68,7 +70,7 @@
         step_ms: step.as_ref().map_or(0, |s| s.at_ms),
         next_ms: step.as_ref().map_or(0, |s| s.next_ms),
         note: step.map_or(String::new(), |s| s.note),
-        beat,
+        beat: heartbeat,
     }
 }
 
@@ -103,9 +105,15 @@
         if !only.is_empty() && !state.duties.contains_key(&only) {
             return Err(Status::not_found(format!("there is no duty {only:?}")));
         }
-        let fits = |name: &str| only.is_empty() || only == name;
-        let beat = |d: &Duty| d.owner.as_ref().and_then(|o| state.sessions.get(o)).map_or(0, |s| s.number);
-        let duties = state.duties.iter().filter(|(n, _)| fits(n)).map(|(n, d)| duty(n, d, beat(d))).collect();
+        let matches_filter = |name: &str| only.is_empty() || only == name;
+        let heartbeat =
+            |d: &Duty| d.owner.as_ref().and_then(|o| state.sessions.get(o)).map_or(0, |s| s.number);
+        let duties = state
+            .duties
+            .iter()
+            .filter(|(n, _)| matches_filter(n))
+            .map(|(n, d)| duty_message(n, d, heartbeat(d)))
+            .collect();
         let change = |c: &frostvale_owner::registry::OwnershipChange| OwnerChange {
             duty: c.duty.clone(),
             epoch: c.epoch,
@@ -114,7 +122,7 @@
             at_ms: c.at_ms,
         };
         let history = match history {
-            true => state.history.iter().filter(|c| fits(&c.duty)).map(change).collect(),
+            true => state.history.iter().filter(|c| matches_filter(&c.duty)).map(change).collect(),
             false => Vec::new(),
         };
         let session =
--- a/crates/agent/src/zones.rs
+++ b/crates/agent/src/zones.rs
@@ -1,6 +1,8 @@
-//! Zones, decided on in common: what this host's gatekeepers saw goes to the owner of the duty, the owner's judge makes a
-//! decision, the council enters it, and every agent pushes what stands to its gatekeepers. What is decided,
-//! `frostvale-zones` decides.
+//! The `zones` duty: failover between zones, decided once for the whole fleet.
+//!
+//! Every agent reports the observations of its host's gatekeepers to the agent that owns the duty. The
+//! owner's failover controller makes a decision, the consensus group stores it, and every agent pushes the
+//! decision in force to its own gatekeepers. The rules of the decision are in `frostvale-zones`.
 
 use crate::clock::{Clock, unix_ms};
 use crate::config;
@@ -22,61 +24,69 @@
 use std::time::Duration;
 use tokio::time::{sleep, timeout};
 
-/// The duty.
+/// Name of the duty.
 pub const ZONES_DUTY: &str = "zones";
-/// The judge looks this often.
-const STEP: Duration = Duration::from_millis(100);
-/// The owner is asked for its view, and told evidence, within this time.
-const ASK: Duration = Duration::from_millis(800);
-/// Evidence in one message at the most, in bytes.
-const EVIDENCE_MOST: usize = 256 * 1024;
-/// Agents whose gatekeepers' versions are remembered, and gatekeepers of one.
-const AGENTS_MOST: usize = 1024;
-const ACTS_MOST: usize = 256;
-/// The longest drain.
-const DRAIN_MOST_MS: u64 = 31 * 86_400_000;
+/// Interval between two steps of the owner.
+const STEP_INTERVAL: Duration = Duration::from_millis(100);
+/// Timeout of a call to the owner and of a proposal to the consensus group.
+const CALL_TIMEOUT: Duration = Duration::from_millis(800);
+/// Largest body of one evidence message, in bytes.
+const MAX_EVIDENCE_BYTES: usize = 256 * 1024;
+/// Most agents for which the versions applied by their gatekeepers are kept.
+const MAX_AGENTS: usize = 1024;
+/// Most gatekeepers of one agent whose applied versions are reported.
+const MAX_APPLIED_VERSIONS: usize = 256;
+/// Longest time that a drain may hold, in ms.
+const MAX_DRAIN_MS: u64 = 31 * 86_400_000;
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// What a gatekeeper said last.
-struct Heard {
+/// Last observation of a gatekeeper.
+struct Observation {
+    /// When it arrived, by the monotonic clock.
     at: u64,
     seen: ZonesSeen,
 }
 
-/// What this host's gatekeepers said since the last report.
+/// Observations of this host's gatekeepers since the last report.
 #[derive(Default)]
-struct Own {
+struct Observations {
+    /// Number of the last report.
     number: u64,
-    gatekeepers: BTreeMap<String, Heard>,
-    /// By their zone, the servers' zone and class.
+    gatekeepers: BTreeMap<String, Observation>,
+    /// Attempts, failed attempts and late ones, by the gatekeeper's zone, the servers' zone and the class.
     sums: BTreeMap<(String, String, u32), [u32; 3]>,
 }
 
-/// The judge of one epoch, whose it is, and when it last had its turn.
+/// State of the owner during one epoch of the duty.
 struct OwnerState {
     epoch: u64,
     owner: String,
-    judge: FailoverController,
-    at: u64,
+    controller: FailoverController,
+    /// Time of the last step, by the monotonic clock.
+    last_step_at: u64,
 }
 
-/// What gatekeepers were last told.
+/// The decision that was last pushed to the gatekeepers of this host.
 #[derive(Default)]
-struct Told {
+struct Pushed {
     version: u64,
     epoch: u64,
+    /// When this agent first saw the decision.
     since: u64,
-    last: Option<u64>,
+    /// Time of the last push; `None` makes the next push due at once.
+    last_push_at: Option<u64>,
+    /// `None` where the decision could not be read.
     guide: Option<ZonesGuide>,
 }
 
-/// What the gatekeepers of an agent act on, and when that was heard.
-type Acts = (u64, Vec<ZoneActs>);
+/// When the applied versions of an agent's gatekeepers arrived, and the versions.
+type ReportedVersions = (u64, Vec<ZoneActs>);
 
-/// This agent's part.
+/// Zone failover on one agent: observations of its gatekeepers, the owner's state while it owns the duty, and
+/// the pushes.
 pub struct Zones {
     config: config::Zones,
     name: String,
@@ -84,21 +94,22 @@
     life: u64,
     clock: Clock,
     council: Arc<Council>,
-    ways: Arc<MemberChannels>,
-    own: Mutex<Own>,
-    bench: Mutex<Option<OwnerState>>,
-    acts: Mutex<BTreeMap<String, Acts>>,
-    told: Mutex<Told>,
+    channels: Arc<MemberChannels>,
+    observations: Mutex<Observations>,
+    owner_state: Mutex<Option<OwnerState>>,
+    applied: Mutex<BTreeMap<String, ReportedVersions>>,
+    pushed: Mutex<Pushed>,
 }
 
 impl Zones {
+    /// Creates the zone failover of this agent.
     pub(crate) fn new(
         config: config::Zones,
         name: &str,
         fleet: &str,
         clock: Clock,
         council: Arc<Council>,
-        ways: Arc<MemberChannels>,
+        channels: Arc<MemberChannels>,
     ) -> Zones {
         Zones {
             config,
@@ -107,52 +118,57 @@
             life: u64::try_from(unix_ms()).unwrap_or(0),
             clock,
             council,
-            ways,
-            own: Mutex::default(),
-            bench: Mutex::default(),
-            acts: Mutex::default(),
-            told: Mutex::default(),
+            channels,
+            observations: Mutex::default(),
+            owner_state: Mutex::default(),
+            applied: Mutex::default(),
+            pushed: Mutex::default(),
         }
     }
 
     // ---- evidence ----
 
-    /// A gatekeeper of this host tells what it saw.
+    /// Stores the observation of a gatekeeper of this host and adds its counts to the next report.
     pub fn record_observation(&self, gatekeeper: &str, seen: ZonesSeen) {
         let now = self.clock.now();
-        let mut own = lock(&self.own);
+        let mut observations = lock(&self.observations);
         for line in &seen.lines {
             let key = (seen.zone.clone(), line.to.clone(), line.class);
-            if own.sums.len() >= 64 * 64 && !own.sums.contains_key(&key) {
+            if observations.sums.len() >= 64 * 64 && !observations.sums.contains_key(&key) {
                 continue;
             }
-            let sums = own.sums.entry(key).or_default();
+            let sums = observations.sums.entry(key).or_default();
             for (sum, more) in sums.iter_mut().zip([line.attempts, line.bad, line.late]) {
                 *sum = sum.saturating_add(more);
             }
         }
-        own.gatekeepers.insert(gatekeeper.to_string(), Heard { at: now, seen });
+        observations.gatekeepers.insert(gatekeeper.to_string(), Observation { at: now, seen });
     }
 
-    /// What is reported now: for each zone that gatekeepers of this host stand in.
+    /// Takes the next reports, one for each zone of this host's gatekeepers, and the versions that they
+    /// apply.
     fn reports(&self) -> (Vec<Report>, Vec<ZoneActs>) {
         let now = self.clock.now();
-        let mut own = lock(&self.own);
+        let mut observations = lock(&self.observations);
         let stale = self.config.judge.stale_ms;
-        own.gatekeepers.retain(|_, h| now.saturating_sub(h.at) <= stale);
-        own.number += 1;
-        let sums = std::mem::take(&mut own.sums);
+        observations.gatekeepers.retain(|_, h| now.saturating_sub(h.at) <= stale);
+        observations.number += 1;
+        let sums = std::mem::take(&mut observations.sums);
         let mut by: BTreeMap<String, Report> = BTreeMap::new();
         let mut acts = Vec::new();
-        let many = own
+        let has_many_zones = observations
             .gatekeepers
             .values()
-            .any(|h| Some(&h.seen.zone) != own.gatekeepers.values().next().map(|h| &h.seen.zone));
-        for (name, Heard { at, seen }) in &own.gatekeepers {
+            .any(|h| Some(&h.seen.zone) != observations.gatekeepers.values().next().map(|h| &h.seen.zone));
+        for (name, Observation { at, seen }) in &observations.gatekeepers {
             let report = by.entry(seen.zone.clone()).or_insert_with(|| Report {
-                agent: if many { format!("{}@{}", self.name, seen.zone) } else { self.name.clone() },
+                agent: if has_many_zones {
+                    format!("{}@{}", self.name, seen.zone)
+                } else {
+                    self.name.clone()
+                },
                 life: self.life,
-                number: own.number,
+                number: observations.number,
                 zone: seen.zone.clone(),
                 gatekeepers: 0,
                 need: 0.0,
@@ -161,7 +177,8 @@
             });
             report.gatekeepers += 1;
             report.need += seen.need_milli as f64 / 1000.0;
-            // All are told of the same servers: the one that was told last of the most is as good as any.
+            // All gatekeepers are notified of the same servers, so the longest list is used, and the last one
+            // of several equally long ones.
             if seen.places.len() >= report.places.len() {
                 let place = |p: &frostvale_link::proto::ZonePlace| ZoneCapacity {
                     zone: p.zone.clone(),
@@ -187,11 +204,11 @@
             }
             report.lines.push(AttemptCounts { to, class, attempts, bad, late });
         }
-        acts.truncate(ACTS_MOST);
+        acts.truncate(MAX_APPLIED_VERSIONS);
         (by.into_values().collect(), acts)
     }
 
-    /// The task that reports to whoever owns the duty.
+    /// Task that reports to the owner of the duty every `report_ms`.
     pub(crate) async fn run_reporting(self: Arc<Self>) {
         loop {
             sleep(Duration::from_millis(self.config.report_ms)).await;
@@ -212,43 +229,47 @@
                 let _ = self.receive_evidence(message);
                 continue;
             }
-            // What can't be told now is old by the next time: it is not kept, and the next one does not wait for it.
+            // A report that cannot be sent now is outdated by the next interval: it is not kept, and the next
+            // one does not wait for it.
             let zones = self.clone();
             tokio::spawn(async move {
-                if let Ok(mut client) = zones.way(&owner.agent) {
-                    let _ = timeout(ASK, client.evidence(message)).await;
+                if let Ok(mut client) = zones.client_for(&owner.agent) {
+                    let _ = timeout(CALL_TIMEOUT, client.evidence(message)).await;
                 }
             });
         }
     }
 
-    /// The way to an agent of the council.
-    fn way(&self, agent: &str) -> Result<CouncilClient<tonic::transport::Channel>, String> {
+    /// Client of another agent in the consensus group.
+    fn client_for(&self, agent: &str) -> Result<CouncilClient<tonic::transport::Channel>, String> {
         let members = self.council.status().members;
         let at = members.into_iter().find(|m| m.name == agent).map(|m| m.at);
         let at = at.ok_or_else(|| format!("{agent} is no member of the council"))?;
-        Ok(CouncilClient::new(self.ways.channel(&at)?).max_decoding_message_size(4 << 20))
+        Ok(CouncilClient::new(self.channels.channel(&at)?).max_decoding_message_size(4 << 20))
     }
 
-    /// Evidence comes in, at the owner.
+    /// Accepts an evidence message, at the owner.
     ///
     /// # Errors
-    /// When this agent is not the one that it is for.
+    /// If this agent is not the owner that the message names, or the message is too large or malformed.
     pub fn receive_evidence(&self, message: EvidenceMessage) -> Result<EvidenceTaken, String> {
         let EvidenceMessage { fleet, duty, owner, sent_ms, body, acts } = message;
         if fleet != self.fleet || duty != ZONES_DUTY {
             return Err("fleet, duty: not this one's".into());
         }
-        if body.len() > EVIDENCE_MOST || acts.len() > ACTS_MOST {
-            return Err(format!("body: {EVIDENCE_MOST} bytes at the most, acts: {ACTS_MOST}"));
+        if body.len() > MAX_EVIDENCE_BYTES || acts.len() > MAX_APPLIED_VERSIONS {
+            return Err(format!(
+                "body: {MAX_EVIDENCE_BYTES} bytes at the most, acts: {MAX_APPLIED_VERSIONS}"
+            ));
         }
         let now = self.clock.now();
-        let mut bench = lock(&self.bench);
-        let Some(bench) = bench.as_mut().filter(|b| now.saturating_sub(b.at) <= self.config.judge.stale_ms)
+        let mut state = lock(&self.owner_state);
+        let Some(state) =
+            state.as_mut().filter(|b| now.saturating_sub(b.last_step_at) <= self.config.judge.stale_ms)
         else {
             return Err("this agent does not own zones".into());
         };
-        if owner != bench.owner {
+        if owner != state.owner {
             return Err("owner: another".into());
         }
         let reports: Vec<Report> = serde_json::from_slice(&body).map_err(|e| format!("body: {e}"))?;
@@ -257,13 +278,13 @@
         }
         let mut refused = String::new();
         for report in reports {
-            if let Err(why) = bench.judge.record_report(now, sent_ms, report) {
+            if let Err(why) = state.controller.record_report(now, sent_ms, report) {
                 refused = why.0;
             }
         }
         if let Some(agent) = acts.first().map(|a| a.agent.clone()) {
-            let mut all = lock(&self.acts);
-            if all.len() < AGENTS_MOST || all.contains_key(&agent) {
+            let mut all = lock(&self.applied);
+            if all.len() < MAX_AGENTS || all.contains_key(&agent) {
                 all.insert(agent, (now, acts));
             }
         }
@@ -272,105 +293,121 @@
 
     // ---- the duty ----
 
-    /// One look of the owner's, and what comes of it.
+    /// One step of the owner: updates the drains, advances the controller and proposes its decision if it
+    /// changed.
     pub(crate) async fn step(&self, lease: &Lease) -> Result<StepDone, StepError> {
         let now = self.clock.now();
         let whole = self.council.watch().borrow().clone();
         let stands = whole.owner.decisions.get(ZONES_DUTY).cloned().unwrap_or_default();
-        self.expire(&whole).await;
+        self.withdraw_expired(&whole).await;
         let decision = {
-            let mut bench = lock(&self.bench);
-            if bench.as_ref().is_none_or(|b| b.epoch != lease.epoch()) {
-                let judge = match serde_json::from_str::<Decision>(&stands.body) {
+            let mut state = lock(&self.owner_state);
+            if state.as_ref().is_none_or(|b| b.epoch != lease.epoch()) {
+                let controller = match serde_json::from_str::<Decision>(&stands.body) {
                     Ok(decision) => FailoverController::resume(self.config.judge, decision, now),
                     Err(_) => FailoverController::new(self.config.judge),
                 };
-                *bench = Some(OwnerState {
+                *state = Some(OwnerState {
                     epoch: lease.epoch(),
                     owner: lease.owner().to_string(),
-                    judge,
-                    at: now,
+                    controller,
+                    last_step_at: now,
                 });
             }
-            let Some(bench) = bench.as_mut() else { return Err(StepError::LeaseExpired) };
-            bench.at = now;
-            bench.judge.set_drains(now, &drains(&whole));
-            bench.judge.tick(now)
+            let Some(state) = state.as_mut() else { return Err(StepError::LeaseExpired) };
+            state.last_step_at = now;
+            state.controller.set_drains(now, &drains(&whole));
+            state.controller.tick(now)
         };
         let body = match decision {
             Some(decision) => {
                 serde_json::to_string(&decision).map_err(|e| StepError::Failed(e.to_string()))?
             }
-            // What a former owner decided stands on, under this epoch: gatekeepers refuse the former one's from here on.
+            // The decision of a former owner stays in force, but is proposed again under this epoch, because
+            // from now on gatekeepers refuse the former epoch.
             None if stands.version > 0 && stands.epoch < lease.epoch() => stands.body.clone(),
-            None => return Ok(StepDone { note: format!("version {} stands", stands.version), again: STEP }),
+            None => {
+                return Ok(StepDone {
+                    note: format!("version {} stands", stands.version),
+                    again: STEP_INTERVAL,
+                });
+            }
         };
         lease.fence(now)?;
         let owner = lease.owner().clone();
         let at_ms = u64::try_from(unix_ms()).unwrap_or(0);
         let (duty, epoch, seen) = (ZONES_DUTY.to_string(), lease.epoch(), stands.version);
         let decide = Command::Decide { duty, owner, epoch, seen, body, at_ms };
-        match self.council.propose(decide, ASK).await {
+        match self.council.propose(decide, CALL_TIMEOUT).await {
             Ok(Outcome::Decided(version)) => {
-                tracing::info!(version, epoch, "zones: version {version} is decided");
-                // The next look begins from it.
+                tracing::info!(version, epoch, "enter zone decision: version {version}");
+                // The next step must start from the new decision.
                 let mut seen = self.council.watch();
                 let there = |w: &Arc<AgreedState>| {
                     w.owner.decisions.get(ZONES_DUTY).is_some_and(|d| d.version >= version)
                 };
-                let _ = timeout(ASK, seen.wait_for(there)).await;
-                Ok(StepDone { note: format!("decided version {version}"), again: STEP })
+                let _ = timeout(CALL_TIMEOUT, seen.wait_for(there)).await;
+                Ok(StepDone { note: format!("decided version {version}"), again: STEP_INTERVAL })
             }
             other => {
-                // It is decided anew from what stands then.
-                *lock(&self.bench) = None;
+                // The next step decides again, from the decision that is then in force.
+                *lock(&self.owner_state) = None;
                 Err(StepError::Failed(format!("the decision was not entered: {other:?}")))
             }
         }
     }
 
-    /// Ends drains whose time is over.
-    async fn expire(&self, whole: &AgreedState) {
+    /// Withdraws drains that have expired.
+    async fn withdraw_expired(&self, whole: &AgreedState) {
         let now_ms = u64::try_from(unix_ms()).unwrap_or(0);
-        let over =
+        let expired =
             whole.owner.intents.get(ZONES_DUTY).into_iter().flatten().filter(|(_, i)| i.until_ms <= now_ms);
-        for (key, _) in over {
+        for (key, _) in expired {
             let (duty, key, by) = (ZONES_DUTY.to_string(), key.clone(), "its expiry".to_string());
-            let _ = self.council.propose(Command::Withdraw { duty, key, by, at_ms: now_ms }, ASK).await;
+            let _ =
+                self.council.propose(Command::Withdraw { duty, key, by, at_ms: now_ms }, CALL_TIMEOUT).await;
         }
     }
 
     // ---- to gatekeepers ----
 
-    /// Gatekeepers are told at once, as one of them is new.
+    /// Makes the next push due at once, because a gatekeeper is new.
     pub(crate) fn force_push(&self) {
-        lock(&self.told).last = None;
+        lock(&self.pushed).last_push_at = None;
     }
 
-    /// Tells gatekeepers what stands, or that it still does; only while this agent's own word holds.
+    /// Pushes the decision in force to the gatekeepers when it changed, and renews it every `renew_ms`. Does
+    /// nothing unless `holds` is set, which is while this agent's session holds.
     pub(crate) fn push_to_gatekeepers(&self, whole: &AgreedState, holds: bool, links: &[Link]) {
         let Some(decided) = whole.owner.decisions.get(ZONES_DUTY).filter(|_| holds) else { return };
         let now = self.clock.now();
-        let mut told = lock(&self.told);
-        if (told.version, told.epoch) != (decided.version, decided.epoch) {
+        let mut pushed = lock(&self.pushed);
+        if (pushed.version, pushed.epoch) != (decided.version, decided.epoch) {
             let guide = self.guide(decided);
-            *told = Told { version: decided.version, epoch: decided.epoch, since: now, last: None, guide };
+            *pushed = Pushed {
+                version: decided.version,
+                epoch: decided.epoch,
+                since: now,
+                last_push_at: None,
+                guide,
+            };
         }
-        if told.last.is_some_and(|at| now < at + self.config.renew_ms) {
+        if pushed.last_push_at.is_some_and(|at| now < at + self.config.renew_ms) {
             return;
         }
-        told.last = Some(now);
-        if let Some(guide) = &told.guide {
-            let guide = ZonesGuide { age_ms: now.saturating_sub(told.since), ..guide.clone() };
+        pushed.last_push_at = Some(now);
+        if let Some(guide) = &pushed.guide {
+            let guide = ZonesGuide { age_ms: now.saturating_sub(pushed.since), ..guide.clone() };
             links.iter().for_each(|link| link.send_zone_decision(guide.clone()));
         }
     }
 
+    /// Builds the message of a decision; `None` if the decision is invalid.
     fn guide(&self, decided: &StandingDecision) -> Option<ZonesGuide> {
         let decision: Decision = serde_json::from_str(&decided.body).ok()?;
         if let Err(why) = decision.check() {
             let version = decided.version;
-            tracing::warn!(version, reason = why, "zones: version {version} can't be acted on: {why}");
+            tracing::warn!(version, reason = why, "reject zone decision, version {version}: {why}");
             return None;
         }
         let spill = |to: &str, s: Share| ZoneSpill { to: to.into(), start_milli: s.start, end_milli: s.end };
@@ -397,37 +434,38 @@
 
     // ---- for operators ----
 
-    /// What the owner goes by, at the owner.
+    /// Returns the state that the owner decides from, and whether the zone named in `look` can be drained.
     ///
     /// # Errors
-    /// When this agent is not the owner.
+    /// If the fleet is another one, or this agent is not the owner.
     pub fn view(&self, look: &ZonesLook) -> Result<ZonesView, String> {
         if look.fleet != self.fleet {
             return Err("fleet: not this one's".into());
         }
         let now = self.clock.now();
-        let bench = lock(&self.bench);
-        let Some(bench) = bench.as_ref().filter(|b| now.saturating_sub(b.at) <= self.config.judge.stale_ms)
+        let state = lock(&self.owner_state);
+        let Some(state) =
+            state.as_ref().filter(|b| now.saturating_sub(b.last_step_at) <= self.config.judge.stale_ms)
         else {
             return Err("this agent does not own zones".into());
         };
-        let view = bench.judge.view(now);
+        let view = state.controller.view(now);
         let agent = |(name, zone, age_ms, counts)| ZoneAgent { name, zone, age_ms, counts };
         let mut agents: Vec<ZoneAgent> = view.agents.into_iter().map(agent).collect();
-        // One that has said nothing since this owner began is silent as well.
+        // An agent that has sent no report since this owner took over counts as silent too.
         let members = self.council.status().members.into_iter().map(|m| m.name);
-        let unheard: Vec<String> = members.filter(|m| agents.iter().all(|a| a.name != *m)).collect();
-        agents.extend(unheard.into_iter().map(|name| ZoneAgent {
+        let silent: Vec<String> = members.filter(|m| agents.iter().all(|a| a.name != *m)).collect();
+        agents.extend(silent.into_iter().map(|name| ZoneAgent {
             name,
-            age_ms: NEVER,
+            age_ms: NEVER_REPORTED_MS,
             ..ZoneAgent::default()
         }));
-        let acts = lock(&self.acts);
-        let old = |(at, all): &Acts| {
+        let acts = lock(&self.applied);
+        let old = |(at, all): &ReportedVersions| {
             let late = now.saturating_sub(*at);
             all.iter().map(move |a| ZoneActs { age_ms: a.age_ms + late, ..a.clone() }).collect::<Vec<_>>()
         };
-        let short = match bench.judge.can_drain(now, &look.drain) {
+        let short = match state.controller.can_drain(now, &look.drain) {
             _ if look.drain.is_empty() => String::new(),
             Ok(()) => String::new(),
             Err(s) => format!(
@@ -442,24 +480,26 @@
             refused: view.counts.rejected,
             old: view.counts.outdated,
             short,
-            known: bench.judge.knows_zone(now, &look.drain),
+            known: state.controller.knows_zone(now, &look.drain),
         })
     }
 
-    async fn look(&self, whole: &AgreedState, drain: &str) -> Result<ZonesView, String> {
+    /// Requests the view from the owner of the duty; `drain` names the zone to check, or is empty.
+    async fn query_owner(&self, whole: &AgreedState, drain: &str) -> Result<ZonesView, String> {
         let look = ZonesLook { fleet: self.fleet.clone(), drain: drain.to_string() };
         let owner = whole.owner.duties.get(ZONES_DUTY).and_then(|d| d.owner.clone());
         let owner = owner.ok_or("nobody owns zones at present")?;
         if owner.agent == self.name {
             return self.view(&look);
         }
-        let mut client = self.way(&owner.agent)?;
-        let said = timeout(ASK, client.look_at_zones(look)).await;
-        let said = said.map_err(|_| format!("{owner}, which owns zones, does not answer"))?;
-        said.map(tonic::Response::into_inner).map_err(|e| e.message().to_string())
+        let mut client = self.client_for(&owner.agent)?;
+        let reply = timeout(CALL_TIMEOUT, client.look_at_zones(look)).await;
+        let reply = reply.map_err(|_| format!("{owner}, which owns zones, does not answer"))?;
+        reply.map(tonic::Response::into_inner).map_err(|e| e.message().to_string())
     }
 
-    /// All that operators see.
+    /// Builds the response to an operator: the decision in force, the drains, the history and, if available,
+    /// the owner's view.
     pub async fn response(&self, whole: &AgreedState, current: bool) -> ZonesResponse {
         let stands = whole.owner.decisions.get(ZONES_DUTY).cloned().unwrap_or_default();
         let intent = |(zone, i): (&String, &OperatorOverride)| ZoneIntent {
@@ -485,26 +525,27 @@
             current,
             decision: stands.body,
             intents: whole.owner.intents.get(ZONES_DUTY).into_iter().flatten().map(intent).collect(),
-            view: self.look(whole, "").await.ok(),
+            view: self.query_owner(whole, "").await.ok(),
             history: whole.owner.history_of(ZONES_DUTY).map(change).collect(),
         }
     }
 
-    /// What an operator wants, as the council takes it.
+    /// Converts an operator's change into a command for the consensus group and a text that confirms it.
     ///
     /// # Errors
-    /// With why it is refused, and with the figures where the others can't bear a drain.
+    /// The reason for which the change is refused, with the figures if the other zones lack the capacity for
+    /// a drain.
     pub async fn operator_change(&self, asked: ZonesChange) -> Result<(Command, String), String> {
         let at_ms = u64::try_from(unix_ms()).unwrap_or(0);
         let ZonesChange { drain, restore, by, why, until_ms, force } = asked;
         let duty = ZONES_DUTY.to_string();
         match (drain.is_empty(), restore.is_empty()) {
             (false, true) => {
-                if until_ms <= at_ms || until_ms > at_ms + DRAIN_MOST_MS {
+                if until_ms <= at_ms || until_ms > at_ms + MAX_DRAIN_MS {
                     return Err("until: a time to come, within 31 days".into());
                 }
                 let whole = self.council.watch().borrow().clone();
-                let view = self.look(&whole, &drain).await?;
+                let view = self.query_owner(&whole, &drain).await?;
                 if !view.known {
                     return Err(format!("zone: there is no zone {drain:?}"));
                 }
@@ -529,11 +570,12 @@
     }
 }
 
-/// The age of a report that never came.
-const NEVER: u64 = u64::MAX;
-/// The body of a drain that holds even where the others can't bear it.
+/// Age of a report that was never received.
+const NEVER_REPORTED_MS: u64 = u64::MAX;
+/// Body of a drain that holds even if the other zones lack the capacity for it.
 const FORCE: &str = "force";
 
+/// Drains that operators have set.
 fn drains(whole: &AgreedState) -> Vec<Drain> {
     let of = |(zone, i): (&String, &OperatorOverride)| Drain { zone: zone.clone(), force: i.body == FORCE };
     whole.owner.intents.get(ZONES_DUTY).into_iter().flatten().map(of).collect()
