--- a/crates/agent/src/config.rs
+++ b/crates/agent/src/config.rs
@@ -12,69 +12,69 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// The whole file.
+/// The whole configuration file.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Config {
-    /// The agent's name, for logs.
+    /// Name of the agent, in logs and in the consensus group.
     #[serde(default = "name")]
     pub name: String,
-    /// The gatekeepers of this host; an agent of a council may have none.
+    /// Gatekeepers of this host; may be empty only with a `[council]` section.
     #[serde(default)]
     pub gatekeepers: Vec<Gatekeeper>,
-    /// The rate limit service.
+    /// The gRPC rate limit service.
     #[serde(default)]
     pub rls: Option<Rls>,
     /// The outside rate limit service.
     #[serde(default)]
     pub outside: Option<Outside>,
-    /// Where `frostctl` asks.
+    /// The control socket for `frostctl`.
     #[serde(default)]
     pub control: Option<Control>,
-    /// The store of record.
+    /// The usage record.
     #[serde(default)]
     pub record: Option<Record>,
-    /// The council of agents.
+    /// The consensus group of agents.
     #[serde(default)]
     pub council: Option<Council>,
-    /// What this agent does for the fleet, where it is of a council.
+    /// Duties of the fleet that this agent carries out if it has a `[council]` section.
     #[serde(default)]
     pub duties: Duties,
-    /// Zones, decided on in common.
+    /// Failover between zones, decided for the whole fleet.
     #[serde(default)]
     pub zones: Option<Zones>,
     /// The audit of the fleet.
     #[serde(default)]
     pub audit: Option<Audit>,
-    /// For drills and tests.
+    /// Faults for drills and tests.
     #[serde(default)]
     pub drill: Drill,
 }
 
-/// The store of record.
+/// The usage record.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Record {
     /// `sqlite:PATH` or `postgres://USER@HOST:PORT/DATABASE`.
     pub url: String,
-    /// A file with the password.
+    /// File with the password of the database.
     #[serde(default)]
     pub password_file: Option<PathBuf>,
-    /// Who signs the server's certificate, as a PEM file.
+    /// PEM file of the authority that signs the server's certificate.
     #[serde(default)]
     pub ca: Option<PathBuf>,
-    /// Where use waits for the database.
+    /// Where usage is stored until the database has taken it.
     pub spool: PathBuf,
-    /// How much of it, in MB.
+    /// Largest size of the spool, in MB.
     #[serde(default = "spool_mb")]
     pub spool_mb: u64,
-    /// How long a connection may take to come up, in ms.
+    /// Timeout of connecting to the database, in ms.
     #[serde(default = "connect_ms")]
     pub connect_ms: u64,
-    /// How long a statement may take, in ms.
+    /// Timeout of a statement, in ms.
     #[serde(default = "statement_ms")]
     pub statement_ms: u64,
-    /// How often the record is looked at where no change was told, in ms.
+    /// Interval at which the record is polled when no change was notified, in ms.
     #[serde(default = "poll_ms")]
     pub poll_ms: u64,
 }
@@ -96,7 +96,7 @@
 }
 
 impl Record {
-    /// The place of the database.
+    /// Converts the section to the location of the database.
     #[must_use]
     pub fn location(&self) -> frostvale_record::RecordLocation {
         frostvale_record::RecordLocation {
@@ -117,33 +117,34 @@
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Gatekeeper {
-    /// Its name, for logs.
+    /// Name of the gatekeeper, in logs and reports.
     pub name: String,
-    /// The socket that its own file names.
+    /// Unix socket of the agent link, as in the settings of the gatekeeper; an absolute path.
     pub socket: PathBuf,
 }
 
-/// The rate limit service.
+/// The gRPC rate limit service.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Rls {
-    /// Where it listens.
+    /// Address that the service listens on.
     pub listen: SocketAddr,
-    /// Wanted off loopback.
+    /// Certificates; required if `listen` is not a loopback address.
     pub tls: Option<Tls>,
-    /// The domains that have limits.
+    /// Domains of calls that have limits.
     pub domains: Vec<String>,
-    /// The names of descriptor entries.
+    /// Keys of the descriptor entries.
     pub keys: Keys,
-    /// The set of a shop that neither the descriptor nor a gatekeeper names; `spread` 0 is all.
+    /// Set of a shop for which neither the descriptor nor a gatekeeper names one; `spread` 0 is all
+    /// gatekeepers.
     pub default_set: Set,
-    /// How long a call waits for its decision at most, in ms.
+    /// Longest time that a call waits for its decision, in ms.
     pub decide_within_ms: u64,
-    /// Checks in hand at once at one gatekeeper.
+    /// Most checks that are pending at one gatekeeper.
     pub in_hand: usize,
-    /// What is answered without a decision, by plan.
+    /// Response to a call without a decision, by plan.
     pub on_failure: BTreeMap<String, FailureModeSetting>,
-    /// The same for plans not named.
+    /// Response to a call without a decision, for plans that `on_failure` does not name.
     pub on_failure_default: FailureModeSetting,
 }
 
@@ -163,7 +164,7 @@
     }
 }
 
-/// The names of descriptor entries.
+/// Keys of the descriptor entries.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Keys {
@@ -185,25 +186,25 @@
 #[derive(Debug, Clone, Copy, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Set {
-    /// The first one.
+    /// Number of the first gatekeeper.
     pub first: u32,
-    /// How many, counted round; 0 is all.
+    /// Number of gatekeepers, counted on from `first` with wrap-around; 0 is all.
     pub spread: u32,
 }
 
-/// A failure mode.
+/// Response to a call without a decision.
 #[derive(Debug, Clone, Copy, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum FailureModeSetting {
-    /// OK.
+    /// The call is answered OK.
     Allow,
-    /// Over the limit.
+    /// The call is answered as over the limit.
     Deny,
 }
 
 impl From<FailureModeSetting> for FailureMode {
-    fn from(word: FailureModeSetting) -> FailureMode {
-        match word {
+    fn from(mode: FailureModeSetting) -> FailureMode {
+        match mode {
             FailureModeSetting::Allow => FailureMode::Allow,
             FailureModeSetting::Deny => FailureMode::Deny,
         }
@@ -214,11 +215,11 @@
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Tls {
-    /// The server's chain.
+    /// Certificate chain of the server.
     pub cert: PathBuf,
-    /// Its key.
+    /// Private key of the server.
     pub key: PathBuf,
-    /// Who signs the clients'.
+    /// Authority that signs the certificates of clients.
     pub client_ca: PathBuf,
 }
 
@@ -226,18 +227,18 @@
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Outside {
-    /// `http://` on loopback, else `https://`.
+    /// URI of the service: `http://` on loopback, or else `https://`.
     pub endpoint: String,
-    /// Who signs its certificate, as a PEM file.
+    /// PEM file of the authority that signs its certificate; required with `https://`.
     #[serde(default)]
     pub ca: Option<PathBuf>,
-    /// The domain that is asked for.
+    /// Domain of the calls to the service.
     #[serde(default = "domain")]
     pub domain: String,
-    /// The names of descriptor entries.
+    /// Keys of the descriptor entries.
     #[serde(default)]
     pub keys: Keys,
-    /// Calls in hand at once.
+    /// Most calls that are pending at once.
     #[serde(default = "in_hand")]
     pub in_hand: usize,
 }
@@ -250,30 +251,30 @@
     256
 }
 
-/// Where `frostctl` asks.
+/// The control socket for `frostctl`.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Control {
-    /// A Unix socket, made with mode 0600.
+    /// Path of the Unix socket, created with mode 0600.
     pub socket: PathBuf,
 }
 
 impl Config {
-    /// Reads and checks a file.
+    /// Reads and checks a configuration file.
     ///
     /// # Errors
-    /// One line with the field and what it may be.
+    /// One line that names the field and the values that it may have.
     pub fn read(path: &Path) -> Result<Config, String> {
-        let said = |e: String| format!("{}: {e}", path.display());
+        let with_path = |e: String| format!("{}: {e}", path.display());
         let text =
             std::fs::read_to_string(path).map_err(|e| format!("cannot read {}: {e}", path.display()))?;
-        Config::parse(&text).map_err(said)
+        Config::parse(&text).map_err(with_path)
     }
 
-    /// Checks a text.
+    /// Parses and checks the text of a configuration file.
     ///
     /// # Errors
-    /// One line with the field and what it may be.
+    /// One line that names the field and the values that it may have.
     pub fn parse(text: &str) -> Result<Config, String> {
         let one_line = |e: toml::de::Error| e.to_string().lines().collect::<Vec<_>>().join(" ");
         let config: Config = toml::from_str(text).map_err(one_line)?;
@@ -282,15 +283,15 @@
     }
 
     fn check(&self) -> Result<(), String> {
-        let bad = |what: &str| Err(what.to_string());
-        let least = usize::from(self.council.is_none());
-        if !(least..=256).contains(&self.gatekeepers.len()) {
-            return Err(format!("gatekeepers: {least} to 256 of them"));
+        let invalid = |what: &str| Err(what.to_string());
+        let min_gatekeepers = usize::from(self.council.is_none());
+        if !(min_gatekeepers..=256).contains(&self.gatekeepers.len()) {
+            return Err(format!("gatekeepers: {min_gatekeepers} to 256 of them"));
         }
         let mut seen = HashSet::new();
         for (k, g) in self.gatekeepers.iter().enumerate() {
             if g.name.is_empty() || !seen.insert(&g.name) {
-                return Err(format!("gatekeepers[{k}].name: empty, or there twice"));
+                return Err(format!("gatekeepers[{k}].name: empty, or used twice"));
             }
             if !g.socket.is_absolute() {
                 return Err(format!("gatekeepers[{k}].socket: an absolute path"));
@@ -298,16 +299,18 @@
         }
         if let Some(rls) = &self.rls {
             if !rls.listen.ip().is_loopback() && rls.tls.is_none() {
-                return bad("rls.listen: off loopback it wants rls.tls, with client certificates");
+                return invalid(
+                    "rls.listen: an address other than loopback requires rls.tls, with client certificates",
+                );
             }
             if !(1..=60_000).contains(&rls.decide_within_ms) {
-                return bad("rls.decide_within_ms: 1 to 60000");
+                return invalid("rls.decide_within_ms: 1 to 60000");
             }
             if !(1..=1_000_000).contains(&rls.in_hand) {
-                return bad("rls.in_hand: 1 to 1000000");
+                return invalid("rls.in_hand: 1 to 1000000");
             }
             if rls.domains.is_empty() || rls.domains.iter().any(String::is_empty) {
-                return bad("rls.domains: one or more, none empty");
+                return invalid("rls.domains: one or more, none empty");
             }
             rls.keys.check("rls.keys")?;
         }
@@ -321,23 +324,23 @@
             match uri.scheme_str() {
                 Some("http") if loopback => {}
                 Some("https") if outside.ca.is_some() => {}
-                Some("https") => return bad("outside.ca: wanted with https"),
-                _ => return bad("outside.endpoint: http:// on loopback, or https://"),
+                Some("https") => return invalid("outside.ca: required with https"),
+                _ => return invalid("outside.endpoint: http:// on loopback, or https://"),
             }
             if outside.domain.is_empty() {
-                return bad("outside.domain: not empty");
+                return invalid("outside.domain: not empty");
             }
             if !(1..=100_000).contains(&outside.in_hand) {
-                return bad("outside.in_hand: 1 to 100000");
+                return invalid("outside.in_hand: 1 to 100000");
             }
             outside.keys.check("outside.keys")?;
         }
         if let Some(record) = &self.record {
             if !(1..=100_000).contains(&record.spool_mb) {
-                return bad("record.spool_mb: 1 to 100000");
+                return invalid("record.spool_mb: 1 to 100000");
             }
             if !(10..=600_000).contains(&record.poll_ms) {
-                return bad("record.poll_ms: 10 to 600000");
+                return invalid("record.poll_ms: 10 to 600000");
             }
             record.location().check()?;
         }
@@ -348,18 +351,18 @@
         if let Some(zones) = &self.zones {
             zones.check()?;
             if self.council.is_none() {
-                return Err("zones: needs [council], which they are decided in".into());
+                return Err("zones: needs [council], which stores the decisions".into());
             }
         }
         if let Some(audit) = &self.audit {
             audit.check()?;
             if self.council.is_none() {
-                return Err("audit: needs [council], whose duty it is".into());
+                return Err("audit: needs [council], which assigns the duty".into());
             }
         }
         self.drill.check()?;
         if self.control.as_ref().is_some_and(|c| !c.socket.is_absolute()) {
-            return bad("control.socket: an absolute path");
+            return invalid("control.socket: an absolute path");
         }
         Ok(())
     }
@@ -369,10 +372,14 @@
     fn check(&self, at: &str) -> Result<(), String> {
         let all = [&self.shop, &self.plan, &self.class, &self.first, &self.spread];
         let different: HashSet<_> = all.iter().filter(|k| !k.is_empty()).collect();
-        if different.len() == all.len() { Ok(()) } else { Err(format!("{at}: all named, and none alike")) }
+        if different.len() == all.len() {
+            Ok(())
+        } else {
+            Err(format!("{at}: each key needs a name, and no two may be equal"))
+        }
     }
 
-    /// With the domains, as the reader of calls wants them.
+    /// Converts the keys, with the domains, to the form that the parser of calls takes.
     #[must_use]
     pub fn entry_keys(&self, domains: &[String]) -> EntryKeys {
         let Keys { shop, plan, class, first, spread } = self.clone();
@@ -381,13 +388,13 @@
 }
 
 impl Rls {
-    /// How long a call waits at most.
+    /// Longest time that a call waits for its decision.
     #[must_use]
     pub fn decide_within(&self) -> Duration {
         Duration::from_millis(self.decide_within_ms)
     }
 
-    /// What is configured for a plan.
+    /// Failure mode of a plan.
     #[must_use]
     pub fn mode(&self, plan: &str) -> FailureMode {
         self.on_failure.get(plan).copied().unwrap_or(self.on_failure_default).into()
@@ -399,14 +406,14 @@
     use super::*;
 
     #[test]
-    fn the_sample_is_sound() {
+    fn sample_configuration_parses() {
         let sample = include_str!("../../../deploy/frostagent.toml");
-        let config = Config::parse(sample).expect("sound");
+        let config = Config::parse(sample).expect("parse sample configuration");
         assert!(config.rls.is_some() && config.control.is_some());
     }
 
     #[test]
-    fn a_bad_file_is_one_line_that_names_the_field() {
+    fn invalid_configuration_gives_one_line_that_names_the_field() {
         let voter = |name: &str| format!("[[council.voters]]\nname = \"{name}\"\nat = \"h-{name}:1\"\n");
         let one = "[[gatekeepers]]\nname = \"n1\"\nsocket = \"/run/n1\"\n";
         let bad = [
@@ -454,7 +461,7 @@
                     voter("b"),
                     voter("c")
                 ),
-                "[rls] is wanted",
+                "[rls] is required",
             ),
             (&format!("{one}[duties]\nkeep_days = 0"), "duties.keep_days: 1 to 36500"),
             (&format!("{one}[zones]\nreport_ms = 1"), "zones.report_ms: 1; 20 to 10000"),
@@ -480,9 +487,9 @@
             (&format!("{one}[record]\nurl = \"sqlite:/x\"\nspool = \"/s\"\nspool_mb = 0"), "record.spool_mb"),
             (&format!("{one}[outside]\nendpoint = \"https://10.0.0.1:80\""), "outside.ca"),
         ];
-        for (text, word) in bad {
-            let said = Config::parse(text).err().unwrap_or_else(|| panic!("{text:?} was taken"));
-            assert!(said.contains(word) && !said.contains('\n'), "{text:?}: {said}");
+        for (text, expected) in bad {
+            let error = Config::parse(text).err().unwrap_or_else(|| panic!("{text:?} was accepted"));
+            assert!(error.contains(expected) && !error.contains('\n'), "{text:?}: {error}");
         }
     }
 }
--- a/crates/agent/src/config/council.rs
+++ b/crates/agent/src/config/council.rs
@@ -1,4 +1,4 @@
-//! The part of the file that is about the council and the duties of the fleet.
+//! Settings of the consensus group and of the duties of the fleet.
 
 use frostvale_council::Member;
 use frostvale_owner::Settings;
@@ -7,48 +7,48 @@
 use std::collections::BTreeMap;
 use std::path::PathBuf;
 
-/// The council of agents.
+/// `[council]`: the consensus group of agents.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Council {
-    /// The fleet; messages of another are refused.
+    /// Name of the fleet; messages of another fleet are refused.
     #[serde(default = "fleet")]
     pub fleet: String,
-    /// This agent's own file.
+    /// File in which this agent stores the state of the group; an absolute path.
     pub file: PathBuf,
-    /// Where others reach this agent; where its rate limit service listens, if not given.
+    /// Address at which other members reach this agent; by default the address of its rate limit service.
     #[serde(default)]
     pub at: Option<String>,
-    /// The first voters, the same list at each of them; this agent alone, if not given.
+    /// Initial voters, the same list at each of them; by default this agent alone.
     #[serde(default)]
     pub voters: Vec<Voter>,
-    /// Whether this agent follows without a vote.
+    /// Whether this agent follows the group without a vote.
     #[serde(default)]
     pub follow: bool,
-    /// Where it stands, for people.
+    /// Zone of this agent, for display only.
     #[serde(default = "zone")]
     pub zone: String,
-    /// How long a session holds, in ms.
+    /// Time that a session holds without a heartbeat, in ms.
     #[serde(default = "lease_ms")]
     pub lease_ms: u64,
-    /// How far a host's clock may run off, in thousandths of its speed.
+    /// Largest deviation of the speed of a host's clock that is tolerated, in thousandths.
     #[serde(default = "drift_milli")]
     pub drift_milli: u64,
-    /// How often the leader is heard of, in ms; a twentieth of the lease, if not given.
+    /// Interval of the leader's heartbeats, in ms; by default a twentieth of `lease_ms`, and at least 20.
     #[serde(default)]
     pub heartbeat_ms: Option<u64>,
-    /// Where this agent reaches a member, if not at the member's own address: by name.
+    /// Addresses at which this agent reaches members, by name; by default the member's own address.
     #[serde(default)]
     pub via: BTreeMap<String, String>,
 }
 
-/// A voter.
+/// A voter of the consensus group.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Voter {
-    /// Its name.
+    /// Name of the voter.
     pub name: String,
-    /// Where it is.
+    /// Address of the voter, as `host:port`.
     pub at: String,
 }
 
@@ -68,19 +68,19 @@
     Settings::default().drift_milli
 }
 
-/// The duties of the fleet, as this agent would do them.
+/// `[duties]`: how this agent carries out the duties of the fleet.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Duties {
-    /// Where use by day is written; without it this agent exports nothing.
+    /// Folder for the export of usage by day; without it this agent exports nothing.
     pub export: Option<PathBuf>,
-    /// Whether as CSV too.
+    /// Whether the export also writes CSV.
     pub csv: bool,
-    /// For how many days the ledger's lines are kept.
+    /// Number of days that the rows of the ledger are kept.
     pub keep_days: u32,
-    /// After how many seconds without a word a gatekeeper's life counts as ended.
+    /// Time without a report after which the incarnation of a gatekeeper counts as ended, in seconds.
     pub gap_after_s: u32,
-    /// How long after its end a day is exported, in seconds: use comes late.
+    /// Time after its end at which a day is exported, in seconds, because usage arrives late.
     pub export_after_s: u32,
 }
 
@@ -90,19 +90,19 @@
     }
 }
 
-/// Zones, decided on in common.
+/// `[zones]`: failover between zones, decided for the whole fleet.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Zones {
-    /// How often what gatekeepers saw is reported to the owner, in ms.
+    /// Interval of the reports of observations to the owner, in ms.
     pub report_ms: u64,
-    /// How often gatekeepers are told that the decision still stands, in ms.
+    /// Interval at which the decision is renewed at gatekeepers, in ms.
     pub renew_ms: u64,
-    /// For how long it holds when it is not renewed, in ms, and then how long it takes to fade.
+    /// Time that a decision holds at gatekeepers without renewal, in ms.
     pub hold_ms: u64,
-    /// See `hold_ms`.
+    /// Time that the effect of a decision takes to fade after `hold_ms`, in ms.
     pub fade_ms: u64,
-    /// How zones are judged.
+    /// Settings of the failover controller.
     pub judge: frostvale_zones::Settings,
 }
 
@@ -114,12 +114,13 @@
 }
 
 impl Zones {
+    /// Checks the values; the error names the field and its range.
     pub(super) fn check(&self) -> Result<(), String> {
-        let range = |name: &str, value: u64, least: u64, most: u64| {
-            if (least..=most).contains(&value) {
+        let range = |name: &str, value: u64, min: u64, max: u64| {
+            if (min..=max).contains(&value) {
                 Ok(())
             } else {
-                Err(format!("zones.{name}: {value}; {least} to {most}"))
+                Err(format!("zones.{name}: {value}; {min} to {max}"))
             }
         };
         range("report_ms", self.report_ms, 20, 10_000)?;
@@ -137,19 +138,19 @@
     }
 }
 
-/// The audit: what each gatekeeper acts on, and what is done about those that are behind.
+/// `[audit]`: which versions each gatekeeper applies, and what is done about those that lag behind.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Audit {
-    /// How often the owner is told what this host's gatekeepers act on, in ms.
+    /// Interval of the reports of applied versions to the owner, in ms.
     pub report_ms: u64,
-    /// How often gatekeepers are told that the decision on who is shut out still stands, in ms.
+    /// Interval at which the decision on fenced-off gatekeepers is renewed at gatekeepers, in ms.
     pub renew_ms: u64,
-    /// For how long it holds when it is not renewed, in ms.
+    /// Time that the decision holds at gatekeepers without renewal, in ms.
     pub hold_ms: u64,
-    /// Days that the history is kept.
+    /// Number of days that the history is kept.
     pub keep_days: u32,
-    /// What is waited for, and how far it goes.
+    /// Times and limits of the escalation.
     pub ladder: frostvale_audit::Settings,
 }
 
@@ -161,12 +162,13 @@
 }
 
 impl Audit {
+    /// Checks the values; the error names the field and its range.
     pub(super) fn check(&self) -> Result<(), String> {
-        let range = |name: &str, value: u64, least: u64, most: u64| {
-            if (least..=most).contains(&value) {
+        let range = |name: &str, value: u64, min: u64, max: u64| {
+            if (min..=max).contains(&value) {
                 Ok(())
             } else {
-                Err(format!("audit.{name}: {value}; {least} to {most}"))
+                Err(format!("audit.{name}: {value}; {min} to {max}"))
             }
         };
         range("report_ms", self.report_ms, 20, 10_000)?;
@@ -182,31 +184,31 @@
     }
 }
 
-/// For drills and tests: duties that do nothing, and clocks that are off.
+/// `[drill]`, for drills and tests: duties without effect, clocks that deviate and a faulty consensus file.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Drill {
-    /// So many duties whose step only shows its fence to the record.
+    /// Number of duties whose step only presents its fence to the record.
     pub duties: u32,
-    /// How long a step of theirs takes, in ms.
+    /// Duration of a step of these duties, in ms.
     pub step_ms: u64,
-    /// How long after a step the next one begins, in ms.
+    /// Pause between two steps, in ms.
     pub pause_ms: u64,
-    /// The number of the one whose steps crash; none if over `duties`.
+    /// Number of the duty whose steps panic; none if it is not below `duties`.
     pub crashes: u32,
-    /// The number of the one whose steps end the whole process; none if over `duties`.
+    /// Number of the duty whose steps abort the whole process; none if it is not below `duties`.
     pub aborts: u32,
-    /// Added to this host's wall clock, in ms.
+    /// Offset that is added to this host's wall clock, in ms.
     pub clock_ahead_ms: i64,
-    /// How fast this host's monotonic clock is taken to run, in thousandths.
+    /// Speed of this host's monotonic clock, in thousandths of real time.
     pub clock_rate_milli: u64,
-    /// After so many ms the wall clock jumps by as many as follow.
+    /// Time after which the wall clock jumps by `clock_jump_ms`, in ms; 0 is never.
     pub clock_jump_after_ms: u64,
-    /// By how much it jumps, in ms.
+    /// Size of the jump of the wall clock, in ms.
     pub clock_jump_ms: i64,
-    /// The council's file may grow to so many pages, as on a disk that is full; 0: as it likes.
+    /// Most pages of the consensus file, to simulate a full disk; 0 is no limit.
     pub council_pages: u32,
-    /// The council's file is opened as on a disk that can't be written.
+    /// Whether the consensus file is opened read-only, to simulate a disk that cannot be written.
     pub council_read_only: bool,
 }
 
@@ -229,7 +231,7 @@
 }
 
 impl Council {
-    /// As the council takes it.
+    /// Converts the section to the settings of a group member. `at` is the address of the rate limit service.
     #[must_use]
     pub fn member(&self, name: &str, at: &str) -> frostvale_council::Settings {
         let at = self.at.clone().unwrap_or_else(|| at.to_string());
@@ -253,17 +255,17 @@
         }
     }
 
-    /// The times of leases.
+    /// Settings of leases.
     #[must_use]
     pub fn settings(&self) -> Settings {
         Settings { lease_ms: self.lease_ms, drift_milli: self.drift_milli, ..Settings::default() }
     }
 
-    /// Whether it can be acted on.
+    /// Checks the section; `listens` is whether the rate limit service is configured.
     pub(super) fn check(&self, name: &str, listens: bool) -> Result<(), String> {
-        let said = |e: String| format!("council.{e}");
-        self.member(name, "here").check().map_err(said)?;
-        self.settings().check().map_err(said)?;
+        let with_section = |e: String| format!("council.{e}");
+        self.member(name, "here").check().map_err(with_section)?;
+        self.settings().check().map_err(with_section)?;
         if !self.file.is_absolute() {
             return Err("council.file: an absolute path".into());
         }
@@ -273,8 +275,8 @@
         let heartbeat = self.member(name, "here").heartbeat_ms;
         if heartbeat * 16 > self.lease_ms {
             return Err(format!(
-                "council.heartbeat_ms: {heartbeat}; 20 to {} (a 16th of lease_ms, so that a change of leader leaves leases \
-                 alone)",
+                "council.heartbeat_ms: {heartbeat}; 20 to {} (a 16th of lease_ms, so that leases survive a change of \
+                 leader)",
                 self.lease_ms / 16
             ));
         }
@@ -282,13 +284,16 @@
             return Err(format!("council.via: {other:?} is no name"));
         }
         if (self.voters.len() > 1 || self.follow) && !listens {
-            return Err("council: others reach this agent at its rate limit service: [rls] is wanted".into());
+            return Err(
+                "council: other members reach this agent at its rate limit service: [rls] is required".into(),
+            );
         }
         Ok(())
     }
 }
 
 impl Duties {
+    /// Checks the values; the error names the field and its range.
     pub(super) fn check(&self) -> Result<(), String> {
         if self.export.as_ref().is_some_and(|e| !e.is_absolute()) {
             return Err("duties.export: an absolute path".into());
@@ -307,6 +312,7 @@
 }
 
 impl Drill {
+    /// Checks the values; the error names the field and its range.
     pub(super) fn check(&self) -> Result<(), String> {
         if self.duties > 9_000 {
             return Err("drill.duties: 0 to 9000".into());
--- a/crates/agent/src/council.rs
+++ b/crates/agent/src/council.rs
@@ -1,5 +1,7 @@
-//! This agent's seat in the council: the way to other members, its session and its duties, and what gatekeepers are told
-//! of epochs. What is decided, `frostvale-owner` decides; what is agreed on, `frostvale-council`.
+//! This agent's place in the consensus group: connections to the other members, the agent's session and its
+//! duties, and the epochs that gatekeepers receive.
+//!
+//! `frostvale-owner` decides who owns a duty; `frostvale-council` stores what the group agrees on.
 
 use crate::audit::{AUDIT_DUTY, Audit};
 use crate::clock::{Clock, unix_ms};
@@ -29,28 +31,30 @@
 use tonic::transport::{Certificate, Channel, ClientTlsConfig, Endpoint, Identity};
 use tonic::{Request, Response, Status};
 
-/// A session and its duties are looked at this often, besides at each change.
-const TURN: Duration = Duration::from_millis(30);
-/// How long an orderly end waits for duties to be handed over.
-const CLOSE: Duration = Duration::from_secs(3);
-/// A connection to a member comes up within this time.
-const CONNECT: Duration = Duration::from_secs(1);
-/// A message around a body.
-const AROUND: usize = 64 * 1024;
-/// A gatekeeper that started is told what is current; while nobody can say so, it is tried again this often.
-const CONFIRM: Duration = Duration::from_millis(200);
-/// Duties whose decisions gatekeepers take.
+/// Interval at which the session and its duties are checked, besides at each change of the agreed state.
+const TICK: Duration = Duration::from_millis(30);
+/// Longest time that an orderly shutdown waits for the handover of duties.
+const HANDOVER_TIMEOUT: Duration = Duration::from_secs(3);
+/// Timeout of connecting to a member.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// Allowance for the fields of a message besides its body, in bytes.
+const MESSAGE_OVERHEAD_BYTES: usize = 64 * 1024;
+/// Retry interval of the read of the current state for a gatekeeper that connected, while no leader confirms
+/// it.
+const READ_RETRY_INTERVAL: Duration = Duration::from_millis(200);
+/// Duties whose decisions are sent to gatekeepers.
 pub(crate) const FOR_GATEKEEPERS: [&str; 3] = [duties::PUBLISH_DUTY, ZONES_DUTY, AUDIT_DUTY];
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// The way to other members: gRPC, at the agents' own listeners.
+/// gRPC channels to the other members, at the listeners of their rate limit services.
 pub(crate) struct MemberChannels {
     tls: Option<ClientTlsConfig>,
-    /// By the member's own address: where this agent reaches it.
+    /// Addresses at which this agent reaches members, by the member's own address.
     via: BTreeMap<String, String>,
+    /// Open channels, by the member's own address.
     channels: Mutex<HashMap<String, Channel>>,
 }
 
@@ -69,6 +73,10 @@
         Ok(MemberChannels { tls: tls.transpose()?, via: via.collect(), channels: Mutex::default() })
     }
 
+    /// Returns the channel to the member whose own address is `at`; it connects on first use.
+    ///
+    /// # Errors
+    /// If the address or the TLS configuration is invalid.
     pub(crate) fn channel(&self, at: &str) -> Result<Channel, String> {
         let mut channels = lock(&self.channels);
         if let Some(known) = channels.get(at) {
@@ -78,13 +86,13 @@
         let scheme = if self.tls.is_some() { "https" } else { "http" };
         let endpoint = Endpoint::from_shared(format!("{scheme}://{to}"))
             .map_err(|e| format!("{to}: {e}"))?
-            .connect_timeout(CONNECT)
+            .connect_timeout(CONNECT_TIMEOUT)
             .tcp_nodelay(true);
         let endpoint = match &self.tls {
             Some(tls) => endpoint.tls_config(tls.clone()).map_err(|e| format!("{to}: {e}"))?,
             None => endpoint,
         };
-        // Members come and go: those that are gone need no place.
+        // Membership changes over time: clearing the map drops the channels of former members.
         if channels.len() >= 64 {
             channels.clear();
         }
@@ -94,12 +102,14 @@
     }
 }
 
+/// Converts an envelope to its gRPC message.
 fn message(envelope: Envelope) -> CouncilMessage {
     let Envelope { version, fleet, generation, from, to, writes, heard, kind, body } = envelope;
     let kind = MESSAGE_KINDS.iter().position(|k| *k == kind).map_or(0, |k| k as u32 + 1);
     CouncilMessage { version, fleet, generation, from, to, writes, heard, kind, body }
 }
 
+/// Converts a gRPC message to an envelope; an unknown kind is rejected.
 fn envelope(message: CouncilMessage) -> Result<Envelope, Rejection> {
     let CouncilMessage { version, fleet, generation, from, to, writes, heard, kind, body } = message;
     let known = usize::try_from(kind).ok().and_then(|k| MESSAGE_KINDS.get(k.wrapping_sub(1)).copied());
@@ -111,23 +121,23 @@
 impl Transport for MemberChannels {
     async fn call(&self, at: &str, asked: Envelope) -> Result<Envelope, String> {
         let mut client = CouncilClient::new(self.channel(at)?)
-            .max_decoding_message_size(MAX_BODY_BYTES + AROUND)
-            .max_encoding_message_size(MAX_BODY_BYTES + AROUND);
+            .max_decoding_message_size(MAX_BODY_BYTES + MESSAGE_OVERHEAD_BYTES)
+            .max_encoding_message_size(MAX_BODY_BYTES + MESSAGE_OVERHEAD_BYTES);
         let answer = client.tell(message(asked)).await.map_err(|e| e.message().to_string())?;
         envelope(answer.into_inner()).map_err(|e| e.to_string())
     }
 }
 
-/// What other members ask.
+/// The gRPC service for the other members of the consensus group.
 pub struct CouncilService(pub Arc<CouncilSeat>);
 
 impl CouncilService {
-    /// The service, with its bounds.
+    /// Returns the tonic service with its message size limits.
     #[must_use]
     pub fn service(self) -> council_server::CouncilServer<CouncilService> {
         council_server::CouncilServer::new(self)
-            .max_decoding_message_size(MAX_BODY_BYTES + AROUND)
-            .max_encoding_message_size(MAX_BODY_BYTES + AROUND)
+            .max_decoding_message_size(MAX_BODY_BYTES + MESSAGE_OVERHEAD_BYTES)
+            .max_encoding_message_size(MAX_BODY_BYTES + MESSAGE_OVERHEAD_BYTES)
     }
 }
 
@@ -170,40 +180,46 @@
     }
 }
 
+/// Status of a zones call to an agent without a `[zones]` section.
 pub(crate) fn no_zones() -> Status {
     Status::failed_precondition("this agent has no part in zones: its file has no [zones] section")
 }
 
+/// Status of an audit call to an agent without an `[audit]` section.
 pub(crate) fn no_audit() -> Status {
     Status::failed_precondition("this agent has no part in the audit: its file has no [audit] section")
 }
 
-/// A runner of a duty: told to end by this.
-type Ending = watch::Sender<bool>;
+/// Stops the task that runs a duty, by sending `true`.
+type StopSender = watch::Sender<bool>;
 
-/// This agent's seat.
+/// This agent's place in the consensus group.
 pub struct CouncilSeat {
-    /// The council.
+    /// The consensus group member.
     pub council: Arc<Council>,
-    host: Mutex<DutyController>,
+    controller: Mutex<DutyController>,
     clock: Clock,
-    patience: Duration,
-    runners: Mutex<HashMap<(String, u64), Ending>>,
+    /// Timeout of a proposal or a confirmed read: the length of a lease.
+    call_timeout: Duration,
+    /// Running duties, by name and epoch.
+    runners: Mutex<HashMap<(String, u64), StopSender>>,
     worker: Arc<Worker>,
-    hand: StepMarkers,
+    step_markers: StepMarkers,
+    /// Wakes the main loop before the next tick.
     wake: Notify,
+    /// Links to the gatekeepers of this host.
     links: OnceLock<Vec<Link>>,
-    /// Where zones are decided on in common.
+    /// Zone failover; `None` without a `[zones]` section.
     pub zones: Option<Arc<Zones>>,
-    /// Where the fleet is audited.
+    /// The audit of the fleet; `None` without an `[audit]` section.
     pub audit: Option<Arc<Audit>>,
 }
 
 impl CouncilSeat {
-    /// Takes part, and does what duties come to it.
+    /// Joins the consensus group and starts the tasks that carry out the duties of this agent.
     ///
     /// # Errors
-    /// With one line on what can't be used.
+    /// One line that names what cannot be used.
     pub fn start(
         config: &config::Config,
         part: &config::Council,
@@ -211,43 +227,39 @@
         keeper: Option<Arc<RecordKeeper>>,
     ) -> Result<Arc<CouncilSeat>, String> {
         let tls = config.rls.as_ref().and_then(|r| r.tls.as_ref());
-        let ways = Arc::new(MemberChannels::new(part, tls)?);
+        let channels = Arc::new(MemberChannels::new(part, tls)?);
         let mut settings = part.member(&config.name, at);
         settings.read_only = config.drill.council_read_only;
-        let council = Council::start(settings, ways.clone()).map_err(|e| format!("council: {e}"))?;
+        let council = Council::start(settings, channels.clone()).map_err(|e| format!("council: {e}"))?;
         if config.drill.council_pages > 0 && council.limit_file_size(config.drill.council_pages).is_err() {
-            tracing::warn!("drill.council_pages: the file can't be limited");
+            tracing::warn!("cannot limit the size of the consensus file: drill.council_pages");
         }
         let clock = Clock::new(config.drill.clock_rate_milli);
         let zones = config.zones.clone().map(|z| {
-            Arc::new(Zones::new(z, &config.name, &part.fleet, clock, council.clone(), ways.clone()))
+            Arc::new(Zones::new(z, &config.name, &part.fleet, clock, council.clone(), channels.clone()))
         });
         let audit = config.audit.clone().map(|a| {
             let (council, keeper) = (council.clone(), keeper.clone());
-            Arc::new(Audit::new(a, &config.name, &part.fleet, clock, council, ways, keeper))
+            Arc::new(Audit::new(a, &config.name, &part.fleet, clock, council, channels, keeper))
         });
         let worker = Worker::new(config, keeper, clock, zones.clone(), audit.clone());
-        let drawn = RandomState::new();
-        let (nonce, seed) = (drawn.hash_one(&config.name), drawn.hash_one((&config.name, 1)));
-        let mut host =
+        let random = RandomState::new();
+        let (nonce, seed) = (random.hash_one(&config.name), random.hash_one((&config.name, 1)));
+        let mut controller =
             DutyController::new(&config.name, &part.zone, &worker.duties(), part.settings(), nonce, seed);
-        let (hand, fell) = StepMarkers::open(&part.file);
-        for (duty, epoch) in &fell {
-            tracing::warn!(
-                duty,
-                epoch,
-                "the process before this one died in a step of duty {duty}, epoch {epoch}"
-            );
+        let (step_markers, interrupted) = StepMarkers::open(&part.file);
+        for (duty, epoch) in &interrupted {
+            tracing::warn!(duty, epoch, "previous process died in a step of duty {duty}, epoch {epoch}");
         }
-        host.set_interrupted_steps(fell);
+        controller.set_interrupted_steps(interrupted);
         let seat = Arc::new(CouncilSeat {
             council,
-            host: Mutex::new(host),
+            controller: Mutex::new(controller),
             clock,
-            patience: Duration::from_millis(part.lease_ms),
+            call_timeout: Duration::from_millis(part.lease_ms),
             runners: Mutex::default(),
             worker: Arc::new(worker),
-            hand,
+            step_markers,
             wake: Notify::new(),
             links: OnceLock::new(),
             zones,
@@ -259,16 +271,17 @@
         if let Some(zones) = &seat.zones {
             tokio::spawn(zones.clone().run_reporting());
         }
-        tokio::spawn(seat.clone().go_on());
+        tokio::spawn(seat.clone().run_loop());
         Ok(seat)
     }
 
-    async fn go_on(self: Arc<Self>) {
+    /// Main loop: advances the duty controller and pushes epochs and decisions to the gatekeepers.
+    async fn run_loop(self: Arc<Self>) {
         let mut seen = self.council.watch();
-        let mut told = 0;
+        let mut sent_epoch = 0;
         loop {
             tokio::select! {
-                () = sleep(TURN) => {}
+                () = sleep(TICK) => {}
                 () = self.wake.notified() => {}
                 changed = seen.changed() => if changed.is_err() {
                     return;
@@ -277,22 +290,22 @@
             let whole = seen.borrow_and_update().clone();
             let now = self.clock.now();
             let actions = {
-                let mut host = lock(&self.host);
-                host.set_wall_offset_ms(unix_ms().saturating_sub_unsigned(now));
-                host.tick(now, &whole.owner)
+                let mut controller = lock(&self.controller);
+                controller.set_wall_offset_ms(unix_ms().saturating_sub_unsigned(now));
+                controller.tick(now, &whole.owner)
             };
-            self.act(actions);
-            let given = given(&whole);
-            let newest = given.iter().map(|f| f.epoch).max().unwrap_or(0);
-            if newest > told {
-                told = newest;
+            self.execute(actions);
+            let fences = current_fences(&whole);
+            let newest = fences.iter().map(|f| f.epoch).max().unwrap_or(0);
+            if newest > sent_epoch {
+                sent_epoch = newest;
                 for link in self.links.get().into_iter().flatten() {
-                    link.send_epochs(Epochs { nonce: 0, given: given.clone() });
+                    link.send_epochs(Epochs { nonce: 0, given: fences.clone() });
                 }
             }
             if let Some(links) = self.links.get() {
-                // While this agent's session holds, what it knows is what stands, or was a lease ago.
-                let holds = lock(&self.host).holds_session(self.clock.now());
+                // While this agent's session holds, the state that it has is at most one lease old.
+                let holds = lock(&self.controller).holds_session(self.clock.now());
                 if let Some(zones) = &self.zones {
                     zones.push_to_gatekeepers(&whole, holds, links);
                 }
@@ -303,118 +316,144 @@
         }
     }
 
-    fn act(self: &Arc<Self>, actions: Vec<Action>) {
+    /// Carries out the actions of the duty controller.
+    fn execute(self: &Arc<Self>, actions: Vec<Action>) {
         for action in actions {
             match action {
                 Action::Propose(command) => drop(tokio::spawn(self.clone().propose(command))),
                 Action::Begin(lease) => self.begin(lease),
                 Action::Stop { duty, epoch } => {
-                    let ending = lock(&self.runners).get(&(duty.clone(), epoch)).cloned();
-                    match ending {
-                        Some(ending) => drop(ending.send(true)),
+                    let stop = lock(&self.runners).get(&(duty.clone(), epoch)).cloned();
+                    match stop {
+                        Some(stop) => drop(stop.send(true)),
                         None => {
-                            let more = lock(&self.host).step_stopped(self.clock.now(), &duty, epoch);
-                            self.act(more);
+                            let more = lock(&self.controller).step_stopped(self.clock.now(), &duty, epoch);
+                            self.execute(more);
                         }
                     }
                 }
-                Action::Notify(tell) => say(&tell),
+                Action::Notify(notice) => log_notice(&notice),
             }
         }
     }
 
+    /// Proposes a command to the consensus group and passes the outcome to the duty controller.
     async fn propose(self: Arc<Self>, command: Command) {
-        let outcome = self.council.propose(command.clone(), self.patience).await.ok();
+        let outcome = self.council.propose(command.clone(), self.call_timeout).await.ok();
         let now = self.clock.now();
-        let more = lock(&self.host).handle_outcome(now, &command, outcome.as_ref());
-        self.act(more);
+        let more = lock(&self.controller).handle_outcome(now, &command, outcome.as_ref());
+        self.execute(more);
         self.wake.notify_one();
     }
 
-    /// Does a duty for as long as its lease holds and nobody ends it.
+    /// Starts the task that carries out a duty until its lease expires or it is stopped.
     fn begin(self: &Arc<Self>, lease: Lease) {
-        let (ending, ended) = watch::channel(false);
+        let (stop, stopped) = watch::channel(false);
         let key = (lease.duty().to_string(), lease.epoch());
-        // After a lapse the same epoch may come again while its last step still ends.
-        if let Some(old) = lock(&self.runners).insert(key, ending) {
+        // After a session expired, the same epoch may start again while its last step is still ending.
+        if let Some(old) = lock(&self.runners).insert(key, stop) {
             let _ = old.send(true);
         }
-        tokio::spawn(self.clone().run(lease, ended));
+        tokio::spawn(self.clone().run(lease, stopped));
     }
 
-    async fn run(self: Arc<Self>, lease: Lease, mut ended: watch::Receiver<bool>) {
+    /// Carries out the steps of a duty until its lease expires, it is stopped or a step panics.
+    async fn run(self: Arc<Self>, lease: Lease, mut stopped: watch::Receiver<bool>) {
         let (duty, epoch) = (lease.duty().to_string(), lease.epoch());
         let mut count = 0;
         let mut failures = 0;
         let memory = Arc::default();
-        while !*ended.borrow() && lease.remaining_ms(self.clock.now()).is_ok() {
-            self.hand.mark(&duty, epoch);
+        while !*stopped.borrow() && lease.remaining_ms(self.clock.now()).is_ok() {
+            self.step_markers.mark(&duty, epoch);
             let step = tokio::spawn(self.worker.clone().step(lease.clone(), Arc::clone(&memory))).await;
-            self.hand.unmark(&duty);
+            self.step_markers.unmark(&duty);
             let pause = match step {
                 Ok(Ok(done)) => {
                     (count, failures) = (count + 1, 0);
                     let at_ms = u64::try_from(unix_ms()).unwrap_or(0);
                     let next_ms = at_ms + u64::try_from(done.again.as_millis()).unwrap_or(0);
                     let duty = duty.clone();
-                    lock(&self.host).step_done(Step { duty, epoch, count, at_ms, next_ms, note: done.note });
+                    lock(&self.controller).step_done(Step {
+                        duty,
+                        epoch,
+                        count,
+                        at_ms,
+                        next_ms,
+                        note: done.note,
+                    });
                     done.again
                 }
-                Ok(Err(duties::StepError::LeaseExpired)) => TURN,
+                Ok(Err(duties::StepError::LeaseExpired)) => TICK,
                 Ok(Err(duties::StepError::Fenced { stands, by })) => {
                     tracing::warn!(
                         duty,
                         epoch,
                         stands,
-                        "duty {duty}: epoch {epoch} was refused, {stands} of {by} stands"
+                        "step of duty {duty} was refused: epoch {epoch} is superseded by epoch {stands} of {by}"
                     );
-                    let more = lock(&self.host).step_fenced(self.clock.now(), &duty, epoch, stands);
-                    self.act(more);
-                    self.patience
+                    let more = lock(&self.controller).step_fenced(self.clock.now(), &duty, epoch, stands);
+                    self.execute(more);
+                    self.call_timeout
                 }
                 Ok(Err(duties::StepError::Failed(why))) => {
                     failures += 1;
-                    // An owner that can say so has not died of the duty: a record that is away is not held against it.
+                    // An owner that can report a failure has not crashed in the duty: an unavailable record
+                    // does not count against the owner.
                     let at_ms = u64::try_from(unix_ms()).unwrap_or(0);
-                    let (of, note) = (duty.clone(), format!("failed: {why}"));
-                    lock(&self.host).step_done(Step { duty: of, epoch, count, at_ms, next_ms: at_ms, note });
+                    let (duty_name, note) = (duty.clone(), format!("failed: {why}"));
+                    lock(&self.controller).step_done(Step {
+                        duty: duty_name,
+                        epoch,
+                        count,
+                        at_ms,
+                        next_ms: at_ms,
+                        note,
+                    });
                     tracing::warn!(
                         duty,
                         epoch,
                         reason = why,
-                        "duty {duty}: a step failed: {why}; it is tried again"
+                        "step of duty {duty} failed, it is retried: {why}"
                     );
-                    (TURN * 10 * failures).min(Duration::from_secs(5))
+                    (TICK * 10 * failures).min(Duration::from_secs(5))
                 }
                 Err(crash) => {
-                    let said = what_panicked(crash);
-                    tracing::error!(duty, epoch, reason = said, "duty {duty}: a step crashed: {said}");
-                    self.over(&duty, epoch);
-                    let more = lock(&self.host).step_crashed(self.clock.now(), &duty, epoch, &said);
-                    return self.act(more);
+                    let panic_message = panic_text(crash);
+                    tracing::error!(
+                        duty,
+                        epoch,
+                        reason = panic_message,
+                        "step of duty {duty} panicked: {panic_message}"
+                    );
+                    self.remove_runner(&duty, epoch);
+                    let more =
+                        lock(&self.controller).step_crashed(self.clock.now(), &duty, epoch, &panic_message);
+                    return self.execute(more);
                 }
             };
             tokio::select! {
                 () = sleep(pause) => {}
-                _ = ended.wait_for(|e| *e) => {}
+                _ = stopped.wait_for(|e| *e) => {}
             }
         }
-        self.over(&duty, epoch);
-        let more = lock(&self.host).step_stopped(self.clock.now(), &duty, epoch);
-        self.act(more);
+        self.remove_runner(&duty, epoch);
+        let more = lock(&self.controller).step_stopped(self.clock.now(), &duty, epoch);
+        self.execute(more);
         self.wake.notify_one();
     }
 
-    fn over(&self, duty: &str, epoch: u64) {
+    /// Removes a duty from the running ones.
+    fn remove_runner(&self, duty: &str, epoch: u64) {
         lock(&self.runners).remove(&(duty.to_string(), epoch));
     }
 
-    /// These are the gatekeepers of this host.
+    /// Sets the links to the gatekeepers of this host. Only the first call counts.
     pub fn set_links(&self, links: Vec<Link>) {
         let _ = self.links.set(links);
     }
 
-    /// A gatekeeper is here: it is told what is current, as of now or later, and then what was decided.
+    /// Sends a newly connected gatekeeper the current epochs, and then the plans and the decisions in force.
+    /// Retries until a leader confirms the state, and ends when the gatekeeper connects anew.
     pub async fn gatekeeper_connected(
         self: Arc<Self>,
         link: Link,
@@ -425,8 +464,8 @@
             if link.welcome().is_none_or(|w| w.nonce != welcome.nonce) {
                 return;
             }
-            if let Ok(whole) = self.council.read_current(self.patience).await {
-                link.send_epochs(Epochs { nonce: welcome.nonce, given: given(&whole) });
+            if let Ok(whole) = self.council.read_current(self.call_timeout).await {
+                link.send_epochs(Epochs { nonce: welcome.nonce, given: current_fences(&whole) });
                 if let Some(plans) = keeper.and_then(|k| k.current_plans()) {
                     link.send_plans(plans);
                 }
@@ -438,42 +477,43 @@
                 }
                 return;
             }
-            sleep(CONFIRM).await;
+            sleep(READ_RETRY_INTERVAL).await;
         }
     }
 
-    /// Ends in order: duties go to others before this agent does.
+    /// Shuts down in order: hands the duties over to other agents, for at most [`HANDOVER_TIMEOUT`].
     pub async fn close(self: &Arc<Self>) {
-        let until = tokio::time::Instant::now() + CLOSE;
+        let until = tokio::time::Instant::now() + HANDOVER_TIMEOUT;
         let mut seen = self.council.watch();
         while tokio::time::Instant::now() < until {
             let whole = seen.borrow_and_update().clone();
-            let (done, actions) = lock(&self.host).close(self.clock.now(), &whole.owner);
-            self.act(actions);
+            let (done, actions) = lock(&self.controller).close(self.clock.now(), &whole.owner);
+            self.execute(actions);
             if done {
                 return;
             }
             tokio::select! {
-                () = sleep(TURN) => {}
+                () = sleep(TICK) => {}
                 _ = seen.changed() => {}
             }
         }
-        self.hand.clear();
-        tracing::warn!("ends with duties that nobody has taken: they are free once its session was silent");
+        self.step_markers.clear();
+        tracing::warn!("cannot hand over all duties: they become free when the session expires");
     }
 
-    /// Has an operator's wish carried out.
+    /// Proposes an operator's change to the consensus group.
     ///
     /// # Errors
-    /// With why it was not.
+    /// The reason for which it was not carried out.
     pub async fn propose_change(&self, command: Command) -> Result<(), String> {
-        match self.council.propose(command, self.patience).await.map_err(|e| e.to_string())? {
+        match self.council.propose(command, self.call_timeout).await.map_err(|e| e.to_string())? {
             Outcome::Refused(why) => Err(why.to_string()),
             _ => Ok(()),
         }
     }
 
-    /// All that is agreed on: as it is now, or as this agent last heard.
+    /// Returns the agreed state and `true` if the leader confirmed that it is current, or else the last state
+    /// that this agent received and `false`.
     pub async fn current_state(&self) -> (Arc<AgreedState>, bool) {
         match self.council.read_current(Duration::from_millis(800)).await {
             Ok(whole) => (whole, true),
@@ -482,8 +522,8 @@
     }
 }
 
-/// What gatekeepers are told.
-fn given(whole: &AgreedState) -> Vec<Fence> {
+/// Epochs and owners of the duties whose decisions gatekeepers receive.
+fn current_fences(whole: &AgreedState) -> Vec<Fence> {
     let of = |name: &&str| {
         let duty = whole.owner.duties.get(*name).filter(|d| d.epoch > 0)?;
         let owner = duty.owner.as_ref().map_or(String::new(), ToString::to_string);
@@ -492,35 +532,37 @@
     FOR_GATEKEEPERS.iter().filter_map(of).collect()
 }
 
-fn what_panicked(crash: tokio::task::JoinError) -> String {
+/// Returns the message of a panic.
+fn panic_text(crash: tokio::task::JoinError) -> String {
     match crash.try_into_panic() {
-        Ok(said) => match said.downcast::<String>() {
+        Ok(payload) => match payload.downcast::<String>() {
             Ok(text) => *text,
-            Err(said) => said.downcast::<&str>().map_or("it panicked".into(), |t| (*t).to_string()),
+            Err(payload) => payload.downcast::<&str>().map_or("it panicked".into(), |t| (*t).to_string()),
         },
         Err(other) => other.to_string(),
     }
 }
 
-fn say(tell: &Notice) {
-    match tell {
-        Notice::Acquired { duty, epoch } => tracing::info!(duty, epoch, "owns duty {duty}, epoch {epoch}"),
+/// Logs a notice of the duty controller.
+fn log_notice(notice: &Notice) {
+    match notice {
+        Notice::Acquired { duty, epoch } => tracing::info!(duty, epoch, "acquire duty {duty}: epoch {epoch}"),
         Notice::Released { duty, epoch, why } => {
-            tracing::info!(duty, epoch, reason = why, "leaves duty {duty}, epoch {epoch}: {why}");
+            tracing::info!(duty, epoch, reason = why, "release duty {duty}, epoch {epoch}: {why}");
         }
         Notice::SessionExpired { duties } => tracing::warn!(
             duties,
-            "this agent's lease ran out by its own clock: {duties} duties are stopped; was it stopped, or cut off from the \
-             council?"
+            "this agent's lease ran out by its own clock: stop {duties} duties; was the process suspended, or cut off from \
+             the consensus group?"
         ),
-        Notice::SessionEnded => tracing::warn!("others have ended this agent's session: it begins another"),
+        Notice::SessionEnded => tracing::warn!("others have ended this agent's session: start another"),
         Notice::PeerExpired(owner) => {
-            tracing::warn!(agent = %owner, "{owner} was silent for too long: its session is ended")
+            tracing::warn!(agent = %owner, "end session of {owner}: no heartbeat within the lease")
         }
         Notice::SetAside { duty, said } => tracing::error!(
             duty,
             reason = said,
-            "duty {duty} is set aside ({said}): mend it, then frostctl duties resume {duty} --why ..."
+            "set duty {duty} aside: {said}; correct the cause, then run frostctl duties resume {duty} --why ..."
         ),
     }
 }
--- a/crates/agent/src/main.rs
+++ b/crates/agent/src/main.rs
@@ -82,7 +82,7 @@
         _ = int.recv() => {}
     }
     tracing::info!(
-        "stops: finish pending calls and collect the final usage reports of gatekeepers; a second signal exits at once"
+        "stops: finish pending calls and take the final usage reports of gatekeepers; a second signal ends it at once"
     );
     let _ = stop.send(true);
     tokio::select! {
