--- a/crates/agent/src/audit.rs
+++ b/crates/agent/src/audit.rs
@@ -15,7 +15,7 @@
 use frostvale_audit::applied_version_table::DelayTracker;
 use frostvale_audit::applied_versions::{KIND_EPOCH_PREFIX, KIND_PLANS};
 use frostvale_audit::escalation::{EscalationStep, ExpectedDigest, InstanceOverride, TargetRevision};
-use frostvale_audit::hash_chain::{ChainRow, Checkpoint, append as chain};
+use frostvale_audit::hash_chain::{ChainRow, Checkpoint, append as append_rows};
 use frostvale_audit::{
     Action, AppliedVersionTable, AppliedVersions, Decision, Escalation, HistoryEvent, Version,
 };
@@ -130,13 +130,13 @@
 }
 
 impl OwnerState {
-    fn new(s: frostvale_audit::Settings, lease: &Lease, stands: &str, now: u64) -> OwnerState {
-        let decision: Decision = serde_json::from_str(stands).unwrap_or_default();
+    fn new(s: frostvale_audit::Settings, lease: &Lease, decision_body: &str, now: u64) -> OwnerState {
+        let decision: Decision = serde_json::from_str(decision_body).unwrap_or_default();
         let mut table = AppliedVersionTable::new(s);
         table.resume(now, &decision.roster);
         // It is not known whether the previous owner recorded these fence-offs in the history, so they are
         // recorded again under this epoch.
-        let outs = decision.out.clone();
+        let fenced_off = decision.out.clone();
         let mut state = OwnerState {
             epoch: lease.epoch(),
             owner: lease.owner().to_string(),
@@ -157,7 +157,7 @@
             resends: BTreeMap::new(),
             events_before_proposal: None,
         };
-        for out in outs {
+        for out in fenced_off {
             state.record_event(&out.instance, "out", "", &out.why);
         }
         state
@@ -165,12 +165,12 @@
 
     /// Continues from the decision in force after a proposal whose result is unknown. Recorded events stay,
     /// except the fence-offs and readmissions of a decision that did not take effect: they are decided again.
-    fn resolve_proposal(&mut self, stands: &str) {
+    fn resolve_proposal(&mut self, decision_body: &str) {
         let Some(before) = self.events_before_proposal.take() else { return };
-        let standing: Decision = serde_json::from_str(stands).unwrap_or_default();
+        let standing: Decision = serde_json::from_str(decision_body).unwrap_or_default();
         if standing.out != self.decision.out {
-            let noted = self.pending.split_off(before.min(self.pending.len()));
-            self.pending.extend(noted.into_iter().filter(|event| event.kind != "out"));
+            let recent_events = self.pending.split_off(before.min(self.pending.len()));
+            self.pending.extend(recent_events.into_iter().filter(|event| event.kind != "out"));
         }
         self.decision = standing;
     }
@@ -197,16 +197,16 @@
     }
 
     /// Updates the wanted revision of each kind, and the digest of the plans that the majority reports.
-    fn update_targets(&mut self, now: u64, plans: Option<u64>, whole: &AgreedState) {
+    fn update_targets(&mut self, now: u64, plans: Option<u64>, agreed: &AgreedState) {
         let mut all = BTreeMap::new();
         if let Some(revision) = plans {
             all.insert(KIND_PLANS.to_string(), revision);
         }
-        if let Some(decided) = whole.owner.decisions.get(ZONES_DUTY) {
+        if let Some(decided) = agreed.owner.decisions.get(ZONES_DUTY) {
             all.insert(ZONES_DUTY.to_string(), decided.version);
         }
         for duty in crate::council::FOR_GATEKEEPERS {
-            if let Some(duty_now) = whole.owner.duties.get(duty).filter(|d| d.epoch > 0) {
+            if let Some(duty_now) = agreed.owner.duties.get(duty).filter(|d| d.epoch > 0) {
                 all.insert(format!("{KIND_EPOCH_PREFIX}{duty}"), duty_now.epoch);
             }
         }
@@ -241,14 +241,14 @@
         self.pending.extend(silent);
         self.decision = decision;
         let sets: BTreeSet<(u32, u32)> = self.sets.values().flatten().copied().collect();
-        let acts =
+        let actions =
             self.escalation.tick(now, at_ms, &self.table, &self.targets, (&sets, overrides), &self.decision);
         let before = (self.decision.out.clone(), self.decision.roster.clone(), self.decision.retry_ms);
         self.alarms.retain(|name, _| {
             self.escalation.stragglers().any(|(n, _)| n == name) || overrides.contains_key(name)
         });
-        for act in acts {
-            match act {
+        for action in actions {
+            match action {
                 Action::Notify(name) => self.request_resend(&name, false),
                 Action::SendSnapshot(name) => self.request_resend(&name, true),
                 Action::FenceOff(out) => {
@@ -419,8 +419,8 @@
     pub(crate) async fn run_reporting(self: Arc<Self>, seat: Weak<CouncilSeat>) {
         loop {
             sleep(Duration::from_millis(self.config.report_ms)).await;
-            let whole = self.council.watch().borrow().clone();
-            let owner = whole.owner.duties.get(AUDIT_DUTY).and_then(|d| d.owner.clone());
+            let agreed = self.council.watch().borrow().clone();
+            let owner = agreed.owner.duties.get(AUDIT_DUTY).and_then(|d| d.owner.clone());
             let Some(owner) = owner else { continue };
             let now = self.clock.now();
             let reports: Vec<(AppliedVersions, u64)> = {
@@ -538,33 +538,33 @@
     pub(crate) async fn step(&self, lease: &Lease, worker: &Worker) -> Result<StepDone, StepError> {
         let now = self.clock.now();
         let at_ms = unsigned(unix_ms());
-        let whole = self.council.watch().borrow().clone();
-        let stands = whole.owner.decisions.get(AUDIT_DUTY).cloned().unwrap_or_default();
-        self.withdraw_expired(&whole).await;
-        let overrides = operator_overrides(&whole);
+        let agreed = self.council.watch().borrow().clone();
+        let in_force = agreed.owner.decisions.get(AUDIT_DUTY).cloned().unwrap_or_default();
+        self.withdraw_expired(&agreed).await;
+        let overrides = operator_overrides(&agreed);
         let plans = self.keeper.as_ref().and_then(|k| k.current_plans()).map(|p| p.revision);
         let body = {
             let mut state = lock(&self.owner_state);
             if state.as_ref().is_none_or(|b| b.epoch != lease.epoch()) {
-                *state = Some(OwnerState::new(self.config.ladder, lease, &stands.body, now));
+                *state = Some(OwnerState::new(self.config.ladder, lease, &in_force.body, now));
             }
             let Some(state) = state.as_mut() else { return Err(StepError::LeaseExpired) };
             state.last_step_at = now;
-            state.resolve_proposal(&stands.body);
+            state.resolve_proposal(&in_force.body);
             let pending = state.pending.len();
-            state.update_targets(now, plans, &whole);
-            let new = state.evaluate(now, at_ms, &self.config.ladder, &overrides);
-            let former = stands.epoch < lease.epoch();
-            let decides = new || former;
-            state.events_before_proposal = decides.then_some(pending);
-            decides.then(|| serde_json::to_string(&state.decision))
+            state.update_targets(now, plans, &agreed);
+            let has_changed = state.evaluate(now, at_ms, &self.config.ladder, &overrides);
+            let is_former_epoch = in_force.epoch < lease.epoch();
+            let should_propose = has_changed || is_former_epoch;
+            state.events_before_proposal = should_propose.then_some(pending);
+            should_propose.then(|| serde_json::to_string(&state.decision))
         };
         if let Some(body) = body {
             let body = body.map_err(|e| StepError::Failed(e.to_string()))?;
             lease.fence(now)?;
             let (owner, epoch) = (lease.owner().clone(), lease.epoch());
             let duty = AUDIT_DUTY.to_string();
-            let decide = Command::Decide { duty, owner, epoch, seen: stands.version, body, at_ms };
+            let decide = Command::Decide { duty, owner, epoch, seen: in_force.version, body, at_ms };
             match self.council.propose(decide, CALL_TIMEOUT).await {
                 Ok(Outcome::Decided(version)) => {
                     if let Some(state) = lock(&self.owner_state).as_mut() {
@@ -630,19 +630,19 @@
         let (after, rows) = {
             let mut state = lock(&self.owner_state);
             let Some(state) = state.as_mut().filter(|b| b.epoch == lease.epoch()) else { return Ok(0) };
-            let over = state.pending.len().saturating_sub(MAX_PENDING_EVENTS);
-            if over > 0 {
-                state.pending.drain(..over);
+            let excess = state.pending.len().saturating_sub(MAX_PENDING_EVENTS);
+            if excess > 0 {
+                state.pending.drain(..excess);
                 state.record_event(
                     "",
                     "history",
                     "",
-                    &format!("{over} events were dropped: the record took none for too long"),
+                    &format!("{excess} events were dropped: the record took none for too long"),
                 );
             }
             let Some(head) = state.head.clone().filter(|_| !state.pending.is_empty()) else { return Ok(0) };
-            let some: Vec<HistoryEvent> = state.pending.iter().take(MAX_ROWS_PER_STEP).cloned().collect();
-            let rows = chain(&head, unsigned(unix_ms()), lease.epoch(), some);
+            let batch: Vec<HistoryEvent> = state.pending.iter().take(MAX_ROWS_PER_STEP).cloned().collect();
+            let rows = append_rows(&head, unsigned(unix_ms()), lease.epoch(), batch);
             state.unconfirmed_rows.clone_from(&rows);
             (head, rows)
         };
@@ -696,10 +696,10 @@
     }
 
     /// Withdraws operators' overrides that have expired.
-    async fn withdraw_expired(&self, whole: &AgreedState) {
+    async fn withdraw_expired(&self, agreed: &AgreedState) {
         let at_ms = unsigned(unix_ms());
         let expired =
-            whole.owner.intents.get(AUDIT_DUTY).into_iter().flatten().filter(|(_, i)| i.until_ms <= at_ms);
+            agreed.owner.intents.get(AUDIT_DUTY).into_iter().flatten().filter(|(_, i)| i.until_ms <= at_ms);
         for (key, _) in expired {
             let (duty, key, by) = (AUDIT_DUTY.to_string(), key.clone(), "its expiry".to_string());
             let _ = self.council.propose(Command::Withdraw { duty, key, by, at_ms }, CALL_TIMEOUT).await;
@@ -715,8 +715,8 @@
 
     /// Pushes the decision in force to the gatekeepers when it changed, and renews it every `renew_ms`. Does
     /// nothing unless `holds` is set, which is while this agent's session holds.
-    pub(crate) fn push_to_gatekeepers(&self, whole: &AgreedState, holds: bool, links: &[Link]) {
-        let Some(decided) = whole.owner.decisions.get(AUDIT_DUTY).filter(|_| holds) else { return };
+    pub(crate) fn push_to_gatekeepers(&self, agreed: &AgreedState, holds: bool, links: &[Link]) {
+        let Some(decided) = agreed.owner.decisions.get(AUDIT_DUTY).filter(|_| holds) else { return };
         let now = self.clock.now();
         let mut pushed = lock(&self.pushed);
         if (pushed.version, pushed.epoch) != (decided.version, decided.epoch) {
@@ -817,9 +817,9 @@
     }
 
     /// Requests the view from the owner of the duty.
-    async fn query_owner(&self, whole: &AgreedState) -> Result<AuditView, String> {
+    async fn query_owner(&self, agreed: &AgreedState) -> Result<AuditView, String> {
         let look = AuditLook { fleet: self.fleet.clone() };
-        let owner = whole.owner.duties.get(AUDIT_DUTY).and_then(|d| d.owner.clone());
+        let owner = agreed.owner.duties.get(AUDIT_DUTY).and_then(|d| d.owner.clone());
         let owner = owner.ok_or("nobody owns the audit at present")?;
         if owner.agent == self.name {
             return self.view(&look);
@@ -832,8 +832,8 @@
 
     /// Builds the response to an operator: the decision in force, the overrides and, if available, the
     /// owner's view.
-    pub async fn response(&self, whole: &AgreedState, current: bool) -> AuditResponse {
-        let stands = whole.owner.decisions.get(AUDIT_DUTY).cloned().unwrap_or_default();
+    pub async fn response(&self, agreed: &AgreedState, current: bool) -> AuditResponse {
+        let in_force = agreed.owner.decisions.get(AUDIT_DUTY).cloned().unwrap_or_default();
         let intent = |(instance, i): (&String, &OperatorOverride)| AuditIntent {
             instance: instance.clone(),
             what: i.body.clone(),
@@ -842,14 +842,14 @@
             until_ms: i.until_ms,
         };
         AuditResponse {
-            version: stands.version,
-            epoch: stands.epoch,
-            owner: stands.owner,
-            at_ms: stands.at_ms,
+            version: in_force.version,
+            epoch: in_force.epoch,
+            owner: in_force.owner,
+            at_ms: in_force.at_ms,
             current,
-            decision: stands.body,
-            view: self.query_owner(whole).await.ok(),
-            intents: whole.owner.intents.get(AUDIT_DUTY).into_iter().flatten().map(intent).collect(),
+            decision: in_force.body,
+            view: self.query_owner(agreed).await.ok(),
+            intents: agreed.owner.intents.get(AUDIT_DUTY).into_iter().flatten().map(intent).collect(),
         }
     }
 
@@ -857,10 +857,10 @@
     ///
     /// # Errors
     /// The reason for which the change is refused.
-    pub async fn operator_change(&self, asked: AuditChange) -> Result<(Command, String), String> {
+    pub async fn operator_change(&self, request: AuditChange) -> Result<(Command, String), String> {
         let at_ms = unsigned(unix_ms());
-        let what = asked.what();
-        let AuditChange { instance, by, why, until_ms, .. } = asked;
+        let what = request.what();
+        let AuditChange { instance, by, why, until_ms, .. } = request;
         let (duty, key) = (AUDIT_DUTY.to_string(), instance.clone());
         let body = match what {
             What::Clear => {
@@ -874,8 +874,8 @@
         if until_ms <= at_ms || until_ms > at_ms + MAX_OVERRIDE_MS {
             return Err("until: a time to come, within 31 days".into());
         }
-        let whole = self.council.watch().borrow().clone();
-        let view = self.query_owner(&whole).await?;
+        let agreed = self.council.watch().borrow().clone();
+        let view = self.query_owner(&agreed).await?;
         if !view.instances.iter().any(|i| i.name == instance) {
             return Err(format!("instance: there is no gatekeeper {instance:?}"));
         }
@@ -893,10 +893,10 @@
     ///
     /// # Errors
     /// If this agent has no record, or the record cannot be read.
-    pub async fn history(&self, asked: &HistoryRequest) -> Result<HistoryResponse, String> {
+    pub async fn history(&self, request: &HistoryRequest) -> Result<HistoryResponse, String> {
         let keeper = self.keeper.as_ref().ok_or("this agent keeps no record, and so no history")?;
-        let limit = i64::from(asked.most.clamp(1, MAX_HISTORY_ROWS));
-        let op = Op::History { after: signed(asked.after), most: limit };
+        let limit = i64::from(request.most.clamp(1, MAX_HISTORY_ROWS));
+        let op = Op::History { after: signed(request.after), most: limit };
         let reply = keeper.backend().run(op).await.map_err(|e| e.to_string())?;
         let Reply::History(rows, (number, hash)) = reply else {
             return Err("the record answered something else".into());
@@ -942,7 +942,7 @@
 }
 
 /// Overrides of operators that are in force, by instance.
-fn operator_overrides(whole: &AgreedState) -> BTreeMap<String, InstanceOverride> {
+fn operator_overrides(agreed: &AgreedState) -> BTreeMap<String, InstanceOverride> {
     let of = |(instance, i): (&String, &OperatorOverride)| {
         let instance_override = match i.body.as_str() {
             OUT => InstanceOverride::FenceOff { why: format!("by {}: {}", i.by, i.why) },
@@ -950,5 +950,5 @@
         };
         (instance.clone(), instance_override)
     };
-    whole.owner.intents.get(AUDIT_DUTY).into_iter().flatten().map(of).collect()
+    agreed.owner.intents.get(AUDIT_DUTY).into_iter().flatten().map(of).collect()
 }
--- a/crates/agent/src/config/council.rs
+++ b/crates/agent/src/config/council.rs
@@ -275,8 +275,8 @@
         let heartbeat = self.member(name, "here").heartbeat_ms;
         if heartbeat * 16 > self.lease_ms {
             return Err(format!(
-                "council.heartbeat_ms: {heartbeat}; 20 to {} (a 16th of lease_ms, so that leases survive a change of \
-                 leader)",
+                "council.heartbeat_ms: {heartbeat}; 20 to {} (a 16th of lease_ms, so that leases survive a \
+                 change of leader)",
                 self.lease_ms / 16
             ));
         }
--- a/crates/agent/src/council.rs
+++ b/crates/agent/src/council.rs
@@ -39,8 +39,8 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 /// Allowance for the fields of a message besides its body, in bytes.
 const MESSAGE_OVERHEAD_BYTES: usize = 64 * 1024;
-/// Retry interval of the read of the current state for a gatekeeper that connected, while no leader confirms
-/// it.
+/// Interval at which the read of the current state for a newly connected gatekeeper is retried, while no leader
+/// confirms that the state is current.
 const READ_RETRY_INTERVAL: Duration = Duration::from_millis(200);
 /// Duties whose decisions are sent to gatekeepers.
 pub(crate) const FOR_GATEKEEPERS: [&str; 3] = [duties::PUBLISH_DUTY, ZONES_DUTY, AUDIT_DUTY];
@@ -119,12 +119,12 @@
 
 #[tonic::async_trait]
 impl Transport for MemberChannels {
-    async fn call(&self, at: &str, asked: Envelope) -> Result<Envelope, String> {
+    async fn call(&self, at: &str, request: Envelope) -> Result<Envelope, String> {
         let mut client = CouncilClient::new(self.channel(at)?)
             .max_decoding_message_size(MAX_BODY_BYTES + MESSAGE_OVERHEAD_BYTES)
             .max_encoding_message_size(MAX_BODY_BYTES + MESSAGE_OVERHEAD_BYTES);
-        let answer = client.tell(message(asked)).await.map_err(|e| e.message().to_string())?;
-        envelope(answer.into_inner()).map_err(|e| e.to_string())
+        let response = client.tell(message(request)).await.map_err(|e| e.message().to_string())?;
+        envelope(response.into_inner()).map_err(|e| e.to_string())
     }
 }
 
@@ -143,39 +143,39 @@
 
 #[tonic::async_trait]
 impl council_server::Council for CouncilService {
-    async fn tell(&self, asked: Request<CouncilMessage>) -> Result<Response<CouncilMessage>, Status> {
-        let answer = match envelope(asked.into_inner()) {
-            Ok(asked) => self.0.council.handle_message(asked).await,
+    async fn tell(&self, request: Request<CouncilMessage>) -> Result<Response<CouncilMessage>, Status> {
+        let response = match envelope(request.into_inner()) {
+            Ok(request) => self.0.council.handle_message(request).await,
             Err(e) => {
                 self.0.council.count_rejected(&e);
                 Err(e)
             }
         };
-        match answer {
-            Ok(answer) => Ok(Response::new(message(answer))),
+        match response {
+            Ok(response) => Ok(Response::new(message(response))),
             Err(e @ Rejection::Stopped(_)) => Err(Status::unavailable(e.to_string())),
             Err(e) => Err(Status::failed_precondition(e.to_string())),
         }
     }
 
-    async fn evidence(&self, asked: Request<EvidenceMessage>) -> Result<Response<EvidenceTaken>, Status> {
-        let asked = asked.into_inner();
-        let taken = if asked.duty == AUDIT_DUTY {
-            self.0.audit.as_ref().ok_or_else(no_audit)?.receive_evidence(asked)
+    async fn evidence(&self, request: Request<EvidenceMessage>) -> Result<Response<EvidenceTaken>, Status> {
+        let request = request.into_inner();
+        let taken = if request.duty == AUDIT_DUTY {
+            self.0.audit.as_ref().ok_or_else(no_audit)?.receive_evidence(request)
         } else {
-            self.0.zones.as_ref().ok_or_else(no_zones)?.receive_evidence(asked)
+            self.0.zones.as_ref().ok_or_else(no_zones)?.receive_evidence(request)
         };
         taken.map(Response::new).map_err(Status::failed_precondition)
     }
 
-    async fn look_at_audit(&self, asked: Request<AuditLook>) -> Result<Response<AuditView>, Status> {
+    async fn look_at_audit(&self, request: Request<AuditLook>) -> Result<Response<AuditView>, Status> {
         let audit = self.0.audit.as_ref().ok_or_else(no_audit)?;
-        audit.view(&asked.into_inner()).map(Response::new).map_err(Status::failed_precondition)
+        audit.view(&request.into_inner()).map(Response::new).map_err(Status::failed_precondition)
     }
 
-    async fn look_at_zones(&self, asked: Request<ZonesLook>) -> Result<Response<ZonesView>, Status> {
+    async fn look_at_zones(&self, request: Request<ZonesLook>) -> Result<Response<ZonesView>, Status> {
         let zones = self.0.zones.as_ref().ok_or_else(no_zones)?;
-        let view = zones.view(&asked.into_inner()).map_err(Status::failed_precondition)?;
+        let view = zones.view(&request.into_inner()).map_err(Status::failed_precondition)?;
         Ok(Response::new(view))
     }
 }
@@ -222,13 +222,13 @@
     /// One line that names what cannot be used.
     pub fn start(
         config: &config::Config,
-        part: &config::Council,
+        section: &config::Council,
         at: &str,
         keeper: Option<Arc<RecordKeeper>>,
     ) -> Result<Arc<CouncilSeat>, String> {
         let tls = config.rls.as_ref().and_then(|r| r.tls.as_ref());
-        let channels = Arc::new(MemberChannels::new(part, tls)?);
-        let mut settings = part.member(&config.name, at);
+        let channels = Arc::new(MemberChannels::new(section, tls)?);
+        let mut settings = section.member(&config.name, at);
         settings.read_only = config.drill.council_read_only;
         let council = Council::start(settings, channels.clone()).map_err(|e| format!("council: {e}"))?;
         if config.drill.council_pages > 0 && council.limit_file_size(config.drill.council_pages).is_err() {
@@ -236,18 +236,24 @@
         }
         let clock = Clock::new(config.drill.clock_rate_milli);
         let zones = config.zones.clone().map(|z| {
-            Arc::new(Zones::new(z, &config.name, &part.fleet, clock, council.clone(), channels.clone()))
+            Arc::new(Zones::new(z, &config.name, &section.fleet, clock, council.clone(), channels.clone()))
         });
         let audit = config.audit.clone().map(|a| {
             let (council, keeper) = (council.clone(), keeper.clone());
-            Arc::new(Audit::new(a, &config.name, &part.fleet, clock, council, channels, keeper))
+            Arc::new(Audit::new(a, &config.name, &section.fleet, clock, council, channels, keeper))
         });
         let worker = Worker::new(config, keeper, clock, zones.clone(), audit.clone());
         let random = RandomState::new();
         let (nonce, seed) = (random.hash_one(&config.name), random.hash_one((&config.name, 1)));
-        let mut controller =
-            DutyController::new(&config.name, &part.zone, &worker.duties(), part.settings(), nonce, seed);
-        let (step_markers, interrupted) = StepMarkers::open(&part.file);
+        let mut controller = DutyController::new(
+            &config.name,
+            &section.zone,
+            &worker.duties(),
+            section.settings(),
+            nonce,
+            seed,
+        );
+        let (step_markers, interrupted) = StepMarkers::open(&section.file);
         for (duty, epoch) in &interrupted {
             tracing::warn!(duty, epoch, "previous process died in a step of duty {duty}, epoch {epoch}");
         }
@@ -256,7 +262,7 @@
             council,
             controller: Mutex::new(controller),
             clock,
-            call_timeout: Duration::from_millis(part.lease_ms),
+            call_timeout: Duration::from_millis(section.lease_ms),
             runners: Mutex::default(),
             worker: Arc::new(worker),
             step_markers,
@@ -287,15 +293,15 @@
                     return;
                 },
             }
-            let whole = seen.borrow_and_update().clone();
+            let agreed = seen.borrow_and_update().clone();
             let now = self.clock.now();
             let actions = {
                 let mut controller = lock(&self.controller);
                 controller.set_wall_offset_ms(unix_ms().saturating_sub_unsigned(now));
-                controller.tick(now, &whole.owner)
+                controller.tick(now, &agreed.owner)
             };
             self.execute(actions);
-            let fences = current_fences(&whole);
+            let fences = current_fences(&agreed);
             let newest = fences.iter().map(|f| f.epoch).max().unwrap_or(0);
             if newest > sent_epoch {
                 sent_epoch = newest;
@@ -307,10 +313,10 @@
                 // While this agent's session holds, the state that it has is at most one lease old.
                 let holds = lock(&self.controller).holds_session(self.clock.now());
                 if let Some(zones) = &self.zones {
-                    zones.push_to_gatekeepers(&whole, holds, links);
+                    zones.push_to_gatekeepers(&agreed, holds, links);
                 }
                 if let Some(audit) = &self.audit {
-                    audit.push_to_gatekeepers(&whole, holds, links);
+                    audit.push_to_gatekeepers(&agreed, holds, links);
                 }
             }
         }
@@ -389,7 +395,7 @@
                         duty,
                         epoch,
                         stands,
-                        "step of duty {duty} was refused: epoch {epoch} is superseded by epoch {stands} of {by}"
+                        "step of duty {duty} was refused: epoch {epoch} is superseded by {stands} of {by}"
                     );
                     let more = lock(&self.controller).step_fenced(self.clock.now(), &duty, epoch, stands);
                     self.execute(more);
@@ -464,8 +470,8 @@
             if link.welcome().is_none_or(|w| w.nonce != welcome.nonce) {
                 return;
             }
-            if let Ok(whole) = self.council.read_current(self.call_timeout).await {
-                link.send_epochs(Epochs { nonce: welcome.nonce, given: current_fences(&whole) });
+            if let Ok(agreed) = self.council.read_current(self.call_timeout).await {
+                link.send_epochs(Epochs { nonce: welcome.nonce, given: current_fences(&agreed) });
                 if let Some(plans) = keeper.and_then(|k| k.current_plans()) {
                     link.send_plans(plans);
                 }
@@ -486,8 +492,8 @@
         let until = tokio::time::Instant::now() + HANDOVER_TIMEOUT;
         let mut seen = self.council.watch();
         while tokio::time::Instant::now() < until {
-            let whole = seen.borrow_and_update().clone();
-            let (done, actions) = lock(&self.controller).close(self.clock.now(), &whole.owner);
+            let agreed = seen.borrow_and_update().clone();
+            let (done, actions) = lock(&self.controller).close(self.clock.now(), &agreed.owner);
             self.execute(actions);
             if done {
                 return;
@@ -516,16 +522,16 @@
     /// that this agent received and `false`.
     pub async fn current_state(&self) -> (Arc<AgreedState>, bool) {
         match self.council.read_current(Duration::from_millis(800)).await {
-            Ok(whole) => (whole, true),
+            Ok(agreed) => (agreed, true),
             Err(_) => (self.council.watch().borrow().clone(), false),
         }
     }
 }
 
 /// Epochs and owners of the duties whose decisions gatekeepers receive.
-fn current_fences(whole: &AgreedState) -> Vec<Fence> {
+fn current_fences(agreed: &AgreedState) -> Vec<Fence> {
     let of = |name: &&str| {
-        let duty = whole.owner.duties.get(*name).filter(|d| d.epoch > 0)?;
+        let duty = agreed.owner.duties.get(*name).filter(|d| d.epoch > 0)?;
         let owner = duty.owner.as_ref().map_or(String::new(), ToString::to_string);
         Some(Fence { duty: (*name).to_string(), epoch: duty.epoch, owner })
     };
@@ -552,8 +558,8 @@
         }
         Notice::SessionExpired { duties } => tracing::warn!(
             duties,
-            "this agent's lease ran out by its own clock: stop {duties} duties; was the process suspended, or cut off from \
-             the consensus group?"
+            "this agent's lease ran out by its own clock: stop {duties} duties; was the process suspended, or \
+             cut off from the consensus group?"
         ),
         Notice::SessionEnded => tracing::warn!("others have ended this agent's session: start another"),
         Notice::PeerExpired(owner) => {
@@ -562,7 +568,8 @@
         Notice::SetAside { duty, said } => tracing::error!(
             duty,
             reason = said,
-            "set duty {duty} aside: {said}; correct the cause, then run frostctl duties resume {duty} --why ..."
+            "set duty {duty} aside: {said}; correct the cause, then run frostctl duties resume {duty} \
+             --why ..."
         ),
     }
 }
--- a/crates/agent/src/duties.rs
+++ b/crates/agent/src/duties.rs
@@ -1,4 +1,4 @@
-//! The duties: tasks that exactly one agent of the fleet carries out at a time, in bounded steps.
+//! The duties: tasks that one agent carries out for the whole fleet, in bounded steps.
 //!
 //! A step may be interrupted at any point, also in the middle: the record applies each effect as a whole or
 //! not at all, and only under a lease that holds.
--- a/crates/agent/src/main.rs
+++ b/crates/agent/src/main.rs
@@ -30,15 +30,15 @@
     let args = Args::parse();
     let config = match Config::read(&args.config) {
         Ok(config) => config,
-        Err(what) => return exit_with_error(&what),
+        Err(error) => return exit_with_error(&error),
     };
     if args.check {
         println!("frostagent: the configuration is valid");
         return ExitCode::SUCCESS;
     }
     let (who, format) = (("agent", config.name.as_str()), args.log_format);
-    if let Err(what) = frostvale_log::init("frostagent", who, format, &args.log_level) {
-        return exit_with_error(&what);
+    if let Err(error) = frostvale_log::init("frostagent", who, format, &args.log_level) {
+        return exit_with_error(&error);
     }
     let runtime = match tokio::runtime::Builder::new_multi_thread().enable_all().build() {
         Ok(runtime) => runtime,
@@ -48,13 +48,13 @@
     frostvale_log::finish();
     match ended {
         Ok(()) => ExitCode::SUCCESS,
-        Err(what) => exit_with_error(&what),
+        Err(error) => exit_with_error(&error),
     }
 }
 
 /// Prints an error and returns the exit code of a failure.
-fn exit_with_error(what: &str) -> ExitCode {
-    eprintln!("frostagent: {what}");
+fn exit_with_error(error: &str) -> ExitCode {
+    eprintln!("frostagent: {error}");
     ExitCode::FAILURE
 }
 
@@ -82,7 +82,8 @@
         _ = int.recv() => {}
     }
     tracing::info!(
-        "stops: finish pending calls and take the final usage reports of gatekeepers; a second signal ends it at once"
+        "stops: finish pending calls and take the final usage reports of gatekeepers; a second signal ends \
+         it at once"
     );
     let _ = stop.send(true);
     tokio::select! {
--- a/crates/agent/src/operators.rs
+++ b/crates/agent/src/operators.rs
@@ -98,10 +98,10 @@
         }))
     }
 
-    async fn duties(&self, asked: Request<DutiesRequest>) -> Result<Response<DutiesResponse>, Status> {
-        let DutiesRequest { duty: only, history } = asked.into_inner();
-        let (whole, current) = self.seat()?.current_state().await;
-        let state = &whole.owner;
+    async fn duties(&self, request: Request<DutiesRequest>) -> Result<Response<DutiesResponse>, Status> {
+        let DutiesRequest { duty: only, history } = request.into_inner();
+        let (agreed, current) = self.seat()?.current_state().await;
+        let state = &agreed.owner;
         if !only.is_empty() && !state.duties.contains_key(&only) {
             return Err(Status::not_found(format!("there is no duty {only:?}")));
         }
@@ -136,10 +136,10 @@
         Ok(Response::new(DutiesResponse { duties, history, sessions, current }))
     }
 
-    async fn change_duty(&self, asked: Request<DutyChange>) -> Result<Response<Said>, Status> {
-        let asked = asked.into_inner();
-        let what = asked.what();
-        let DutyChange { duty, to, by, why, .. } = asked;
+    async fn change_duty(&self, request: Request<DutyChange>) -> Result<Response<Said>, Status> {
+        let request = request.into_inner();
+        let what = request.what();
+        let DutyChange { duty, to, by, why, .. } = request;
         let at_ms = u64::try_from(unix_ms()).unwrap_or(0);
         let (command, text) = match what {
             What::Move => {
@@ -189,15 +189,15 @@
     async fn zones(&self, _: Request<ZonesRequest>) -> Result<Response<ZonesResponse>, Status> {
         let seat = self.seat()?;
         let zones = seat.zones.as_ref().ok_or_else(crate::council::no_zones)?;
-        let (whole, current) = seat.current_state().await;
-        Ok(Response::new(zones.response(&whole, current).await))
+        let (agreed, current) = seat.current_state().await;
+        Ok(Response::new(zones.response(&agreed, current).await))
     }
 
-    async fn change_zones(&self, asked: Request<ZonesChange>) -> Result<Response<Said>, Status> {
+    async fn change_zones(&self, request: Request<ZonesChange>) -> Result<Response<Said>, Status> {
         let seat = self.seat()?;
         let zones = seat.zones.as_ref().ok_or_else(crate::council::no_zones)?;
         let (command, text) =
-            zones.operator_change(asked.into_inner()).await.map_err(Status::failed_precondition)?;
+            zones.operator_change(request.into_inner()).await.map_err(Status::failed_precondition)?;
         seat.propose_change(command).await.map_err(Status::failed_precondition)?;
         Ok(Response::new(Said { text }))
     }
@@ -205,22 +205,22 @@
     async fn audit(&self, _: Request<AuditRequest>) -> Result<Response<AuditResponse>, Status> {
         let seat = self.seat()?;
         let audit = seat.audit.as_ref().ok_or_else(crate::council::no_audit)?;
-        let (whole, current) = seat.current_state().await;
-        Ok(Response::new(audit.response(&whole, current).await))
+        let (agreed, current) = seat.current_state().await;
+        Ok(Response::new(audit.response(&agreed, current).await))
     }
 
-    async fn change_audit(&self, asked: Request<AuditChange>) -> Result<Response<Said>, Status> {
+    async fn change_audit(&self, request: Request<AuditChange>) -> Result<Response<Said>, Status> {
         let seat = self.seat()?;
         let audit = seat.audit.as_ref().ok_or_else(crate::council::no_audit)?;
         let (command, text) =
-            audit.operator_change(asked.into_inner()).await.map_err(Status::failed_precondition)?;
+            audit.operator_change(request.into_inner()).await.map_err(Status::failed_precondition)?;
         seat.propose_change(command).await.map_err(Status::failed_precondition)?;
         Ok(Response::new(Said { text }))
     }
 
-    async fn history(&self, asked: Request<HistoryRequest>) -> Result<Response<HistoryResponse>, Status> {
+    async fn history(&self, request: Request<HistoryRequest>) -> Result<Response<HistoryResponse>, Status> {
         let audit = self.seat()?.audit.as_ref().ok_or_else(crate::council::no_audit)?;
-        audit.history(&asked.into_inner()).await.map(Response::new).map_err(Status::unavailable)
+        audit.history(&request.into_inner()).await.map(Response::new).map_err(Status::unavailable)
     }
 
     async fn use_by_revision(
@@ -231,8 +231,8 @@
         audit.use_by_revision().await.map(Response::new).map_err(Status::unavailable)
     }
 
-    async fn change_council(&self, asked: Request<CouncilChange>) -> Result<Response<Said>, Status> {
-        let CouncilChange { add, remove, at } = asked.into_inner();
+    async fn change_council(&self, request: Request<CouncilChange>) -> Result<Response<Said>, Status> {
+        let CouncilChange { add, remove, at } = request.into_inner();
         let admin = match (add.is_empty(), remove.is_empty()) {
             (false, true) => MembershipChange::Add { name: add, at },
             (true, false) => MembershipChange::Remove { name: remove },
--- a/crates/agent/src/zones.rs
+++ b/crates/agent/src/zones.rs
@@ -154,14 +154,14 @@
         observations.gatekeepers.retain(|_, h| now.saturating_sub(h.at) <= stale);
         observations.number += 1;
         let sums = std::mem::take(&mut observations.sums);
-        let mut by: BTreeMap<String, Report> = BTreeMap::new();
+        let mut reports_by_zone: BTreeMap<String, Report> = BTreeMap::new();
         let mut acts = Vec::new();
         let has_many_zones = observations
             .gatekeepers
             .values()
             .any(|h| Some(&h.seen.zone) != observations.gatekeepers.values().next().map(|h| &h.seen.zone));
         for (name, Observation { at, seen }) in &observations.gatekeepers {
-            let report = by.entry(seen.zone.clone()).or_insert_with(|| Report {
+            let report = reports_by_zone.entry(seen.zone.clone()).or_insert_with(|| Report {
                 agent: if has_many_zones {
                     format!("{}@{}", self.name, seen.zone)
                 } else {
@@ -198,14 +198,14 @@
             });
         }
         for ((from, to, class), [attempts, bad, late]) in sums {
-            let Some(report) = by.get_mut(&from) else { continue };
+            let Some(report) = reports_by_zone.get_mut(&from) else { continue };
             if !report.places.iter().any(|p| p.zone == to) {
                 report.places.push(ZoneCapacity { zone: to.clone(), servers: 0, size: 0.0, warm: 0.0 });
             }
             report.lines.push(AttemptCounts { to, class, attempts, bad, late });
         }
         acts.truncate(MAX_APPLIED_VERSIONS);
-        (by.into_values().collect(), acts)
+        (reports_by_zone.into_values().collect(), acts)
     }
 
     /// Task that reports to the owner of the duty every `report_ms`.
@@ -213,8 +213,8 @@
         loop {
             sleep(Duration::from_millis(self.config.report_ms)).await;
             let (reports, acts) = self.reports();
-            let whole = self.council.watch().borrow().clone();
-            let owner = whole.owner.duties.get(ZONES_DUTY).and_then(|d| d.owner.clone());
+            let agreed = self.council.watch().borrow().clone();
+            let owner = agreed.owner.duties.get(ZONES_DUTY).and_then(|d| d.owner.clone());
             let Some(owner) = owner.filter(|_| !reports.is_empty()) else { continue };
             let Ok(body) = serde_json::to_vec(&reports) else { continue };
             let message = EvidenceMessage {
@@ -297,13 +297,13 @@
     /// changed.
     pub(crate) async fn step(&self, lease: &Lease) -> Result<StepDone, StepError> {
         let now = self.clock.now();
-        let whole = self.council.watch().borrow().clone();
-        let stands = whole.owner.decisions.get(ZONES_DUTY).cloned().unwrap_or_default();
-        self.withdraw_expired(&whole).await;
+        let agreed = self.council.watch().borrow().clone();
+        let in_force = agreed.owner.decisions.get(ZONES_DUTY).cloned().unwrap_or_default();
+        self.withdraw_expired(&agreed).await;
         let decision = {
             let mut state = lock(&self.owner_state);
             if state.as_ref().is_none_or(|b| b.epoch != lease.epoch()) {
-                let controller = match serde_json::from_str::<Decision>(&stands.body) {
+                let controller = match serde_json::from_str::<Decision>(&in_force.body) {
                     Ok(decision) => FailoverController::resume(self.config.judge, decision, now),
                     Err(_) => FailoverController::new(self.config.judge),
                 };
@@ -316,7 +316,7 @@
             }
             let Some(state) = state.as_mut() else { return Err(StepError::LeaseExpired) };
             state.last_step_at = now;
-            state.controller.set_drains(now, &drains(&whole));
+            state.controller.set_drains(now, &drains(&agreed));
             state.controller.tick(now)
         };
         let body = match decision {
@@ -325,10 +325,10 @@
             }
             // The decision of a former owner stays in force, but is proposed again under this epoch, because
             // from now on gatekeepers refuse the former epoch.
-            None if stands.version > 0 && stands.epoch < lease.epoch() => stands.body.clone(),
+            None if in_force.version > 0 && in_force.epoch < lease.epoch() => in_force.body.clone(),
             None => {
                 return Ok(StepDone {
-                    note: format!("version {} stands", stands.version),
+                    note: format!("version {} stands", in_force.version),
                     again: STEP_INTERVAL,
                 });
             }
@@ -336,7 +336,7 @@
         lease.fence(now)?;
         let owner = lease.owner().clone();
         let at_ms = u64::try_from(unix_ms()).unwrap_or(0);
-        let (duty, epoch, seen) = (ZONES_DUTY.to_string(), lease.epoch(), stands.version);
+        let (duty, epoch, seen) = (ZONES_DUTY.to_string(), lease.epoch(), in_force.version);
         let decide = Command::Decide { duty, owner, epoch, seen, body, at_ms };
         match self.council.propose(decide, CALL_TIMEOUT).await {
             Ok(Outcome::Decided(version)) => {
@@ -358,10 +358,10 @@
     }
 
     /// Withdraws drains that have expired.
-    async fn withdraw_expired(&self, whole: &AgreedState) {
+    async fn withdraw_expired(&self, agreed: &AgreedState) {
         let now_ms = u64::try_from(unix_ms()).unwrap_or(0);
         let expired =
-            whole.owner.intents.get(ZONES_DUTY).into_iter().flatten().filter(|(_, i)| i.until_ms <= now_ms);
+            agreed.owner.intents.get(ZONES_DUTY).into_iter().flatten().filter(|(_, i)| i.until_ms <= now_ms);
         for (key, _) in expired {
             let (duty, key, by) = (ZONES_DUTY.to_string(), key.clone(), "its expiry".to_string());
             let _ =
@@ -378,8 +378,8 @@
 
     /// Pushes the decision in force to the gatekeepers when it changed, and renews it every `renew_ms`. Does
     /// nothing unless `holds` is set, which is while this agent's session holds.
-    pub(crate) fn push_to_gatekeepers(&self, whole: &AgreedState, holds: bool, links: &[Link]) {
-        let Some(decided) = whole.owner.decisions.get(ZONES_DUTY).filter(|_| holds) else { return };
+    pub(crate) fn push_to_gatekeepers(&self, agreed: &AgreedState, holds: bool, links: &[Link]) {
+        let Some(decided) = agreed.owner.decisions.get(ZONES_DUTY).filter(|_| holds) else { return };
         let now = self.clock.now();
         let mut pushed = lock(&self.pushed);
         if (pushed.version, pushed.epoch) != (decided.version, decided.epoch) {
@@ -461,21 +461,22 @@
             ..ZoneAgent::default()
         }));
         let acts = lock(&self.applied);
-        let old = |(at, all): &ReportedVersions| {
-            let late = now.saturating_sub(*at);
-            all.iter().map(move |a| ZoneActs { age_ms: a.age_ms + late, ..a.clone() }).collect::<Vec<_>>()
+        let with_current_age = |(at, all): &ReportedVersions| {
+            let elapsed = now.saturating_sub(*at);
+            all.iter().map(move |a| ZoneActs { age_ms: a.age_ms + elapsed, ..a.clone() }).collect::<Vec<_>>()
         };
         let short = match state.controller.can_drain(now, &look.drain) {
             _ if look.drain.is_empty() => String::new(),
             Ok(()) => String::new(),
             Err(s) => format!(
-                "all requests need {:.1} worked on at once, the zones that are left bear {:.1}: {:.1} would be refused",
+                "all requests need {:.1} worked on at once, the zones that are left bear {:.1}: {:.1} would be \
+                 refused",
                 s.demand, s.capacity, s.shortfall
             ),
         };
         Ok(ZonesView {
             agents,
-            acts: acts.values().flat_map(old).collect(),
+            acts: acts.values().flat_map(with_current_age).collect(),
             heard: view.counts.accepted,
             refused: view.counts.rejected,
             old: view.counts.outdated,
@@ -485,9 +486,9 @@
     }
 
     /// Requests the view from the owner of the duty; `drain` names the zone to check, or is empty.
-    async fn query_owner(&self, whole: &AgreedState, drain: &str) -> Result<ZonesView, String> {
+    async fn query_owner(&self, agreed: &AgreedState, drain: &str) -> Result<ZonesView, String> {
         let look = ZonesLook { fleet: self.fleet.clone(), drain: drain.to_string() };
-        let owner = whole.owner.duties.get(ZONES_DUTY).and_then(|d| d.owner.clone());
+        let owner = agreed.owner.duties.get(ZONES_DUTY).and_then(|d| d.owner.clone());
         let owner = owner.ok_or("nobody owns zones at present")?;
         if owner.agent == self.name {
             return self.view(&look);
@@ -500,8 +501,8 @@
 
     /// Builds the response to an operator: the decision in force, the drains, the history and, if available,
     /// the owner's view.
-    pub async fn response(&self, whole: &AgreedState, current: bool) -> ZonesResponse {
-        let stands = whole.owner.decisions.get(ZONES_DUTY).cloned().unwrap_or_default();
+    pub async fn response(&self, agreed: &AgreedState, current: bool) -> ZonesResponse {
+        let in_force = agreed.owner.decisions.get(ZONES_DUTY).cloned().unwrap_or_default();
         let intent = |(zone, i): (&String, &OperatorOverride)| ZoneIntent {
             zone: zone.clone(),
             force: i.body == FORCE,
@@ -518,15 +519,15 @@
             at_ms: c.at_ms,
         };
         ZonesResponse {
-            version: stands.version,
-            epoch: stands.epoch,
-            owner: stands.owner,
-            at_ms: stands.at_ms,
+            version: in_force.version,
+            epoch: in_force.epoch,
+            owner: in_force.owner,
+            at_ms: in_force.at_ms,
             current,
-            decision: stands.body,
-            intents: whole.owner.intents.get(ZONES_DUTY).into_iter().flatten().map(intent).collect(),
-            view: self.query_owner(whole, "").await.ok(),
-            history: whole.owner.history_of(ZONES_DUTY).map(change).collect(),
+            decision: in_force.body,
+            intents: agreed.owner.intents.get(ZONES_DUTY).into_iter().flatten().map(intent).collect(),
+            view: self.query_owner(agreed, "").await.ok(),
+            history: agreed.owner.history_of(ZONES_DUTY).map(change).collect(),
         }
     }
 
@@ -535,17 +536,17 @@
     /// # Errors
     /// The reason for which the change is refused, with the figures if the other zones lack the capacity for
     /// a drain.
-    pub async fn operator_change(&self, asked: ZonesChange) -> Result<(Command, String), String> {
+    pub async fn operator_change(&self, request: ZonesChange) -> Result<(Command, String), String> {
         let at_ms = u64::try_from(unix_ms()).unwrap_or(0);
-        let ZonesChange { drain, restore, by, why, until_ms, force } = asked;
+        let ZonesChange { drain, restore, by, why, until_ms, force } = request;
         let duty = ZONES_DUTY.to_string();
         match (drain.is_empty(), restore.is_empty()) {
             (false, true) => {
                 if until_ms <= at_ms || until_ms > at_ms + MAX_DRAIN_MS {
                     return Err("until: a time to come, within 31 days".into());
                 }
-                let whole = self.council.watch().borrow().clone();
-                let view = self.query_owner(&whole, &drain).await?;
+                let agreed = self.council.watch().borrow().clone();
+                let view = self.query_owner(&agreed, &drain).await?;
                 if !view.known {
                     return Err(format!("zone: there is no zone {drain:?}"));
                 }
@@ -576,7 +577,7 @@
 const FORCE: &str = "force";
 
 /// Drains that operators have set.
-fn drains(whole: &AgreedState) -> Vec<Drain> {
+fn drains(agreed: &AgreedState) -> Vec<Drain> {
     let of = |(zone, i): (&String, &OperatorOverride)| Drain { zone: zone.clone(), force: i.body == FORCE };
-    whole.owner.intents.get(ZONES_DUTY).into_iter().flatten().map(of).collect()
+    agreed.owner.intents.get(ZONES_DUTY).into_iter().flatten().map(of).collect()
 }
