--- a/crates/agent/src/config.rs
+++ b/crates/agent/src/config.rs
@@ -434,7 +434,7 @@
             ),
             (
                 &format!("name = \"a\"\n[council]\nfile = \"/c.db\"\n{}{}", voter("a"), voter("b")),
-                "council.voters: 2 of them",
+                "council.voters: 2 entries; 1, 3 or 5",
             ),
             (
                 &format!(
