--- a/crates/agent/tests/record.rs
+++ b/crates/agent/tests/record.rs
@@ -300,7 +300,7 @@
         }));
     }
     let agent = cluster.agent.as_mut().expect("an agent");
-    agent.wait_for_log("fills").await.expect("a warning before the spool is full");
+    agent.wait_for_log("is filling up").await.expect("a warning before the spool is full");
     agent.wait_for_log("the spool is full").await.expect("a log line");
     let before = status(&cluster).await.expect("a record");
     assert!(before.spool_bytes <= 1 << 20, "{before:?}");
--- a/crates/sim/src/lib.rs
+++ b/crates/sim/src/lib.rs
@@ -1,4 +1,4 @@
-//! A deterministic discrete-event simulation of a fleet. The real decision modules of many gatekeepers run in
+//! A deterministic discrete-event simulation of a fleet. The control_module decision modules of many gatekeepers run in
 //! one process against simulated formula servers, service discovery, peer messages and clients. All events
 //! are ordered by virtual time, and all random numbers come from one seed.
 //!
@@ -9,12 +9,12 @@
 //! events before it, and a failing scenario can be shrunk automatically to a small one that goes into CI.
 //!
 //! ```
-//! use frostvale_sim::{Scenario, real, run};
+//! use frostvale_sim::{Scenario, control_module, run};
 //!
 //! let scenario = Scenario { seconds: 2.0, ..Scenario::default() };
-//! let report = run(&scenario, 7, &real)?;
+//! let report = run(&scenario, 7, &control_module)?;
 //! assert!(report.held());
-//! assert_eq!(report, run(&scenario, 7, &real)?);
+//! assert_eq!(report, run(&scenario, 7, &control_module)?);
 //! # Ok::<(), String>(())
 //! ```
 
--- a/src/bin/frostvale/zones/tests.rs
+++ b/src/bin/frostvale/zones/tests.rs
@@ -23,7 +23,7 @@
         ("\"q\" is not known", 0, decision(vec![row("a", 0, vec![spill("q", 1)])])),
         ("\"a\" is not known", 0, decision(vec![row("a", 0, vec![spill("a", 1)])])),
         ("from 0 to 1", 0, decision(vec![row("a", 1001, vec![])])),
-        ("a zone twice", 0, decision(vec![row("a", 0, vec![spill("b", 1), spill("b", 2)])])),
+        ("a zone is listed twice", 0, decision(vec![row("a", 0, vec![spill("b", 1), spill("b", 2)])])),
     ];
     for (what, home, decision) in bad {
         let error = routing_snapshot(&areas, home, &decision).expect_err(what);
