--- a/crates/agent/tests/audit.rs
+++ b/crates/agent/tests/audit.rs
@@ -447,6 +447,16 @@
             fleet.set_link_mode(cut, ProxyMode::Hold);
         }
         set_plan(&fleet, rate, revision).await;
+        // The next change, and the cut, must not come before this one is applied and used.
+        let connected =
+            fleet.cluster.gatekeepers.iter().enumerate().filter(|(k, _)| revision < 2 || *k != cut);
+        let names: Vec<String> = connected.map(|(_, g)| g.name.clone()).collect();
+        wait_for_status(&fleet, 0, "the connected gatekeepers apply the change", |t| {
+            names.iter().all(|name| {
+                instance(t, name).is_some_and(|i| applied_plans(i).0 == revision.unsigned_abs() + 1)
+            })
+        })
+        .await;
         load.wait_for_served(200).await;
         sleep(Duration::from_millis(400)).await;
     }
